--- a/answer.c
+++ b/answer.c
@@ -12,7 +12,7 @@
 #include "share_status.h"
 #include "table_status.h"
 
-#define MISSING_MAX 64
+#define MISSING_SHARDS_LISTED_MAX 64
 
 /*
  * Codes that say by themselves that nothing ran. All others leave it open,
@@ -68,9 +68,9 @@
 	json_text_add(out, value);
 }
 
-void answer_refusal(struct evbuffer *out, struct str request_id, int code,
-		    bool maybe_ran, int64_t retry_after_ms,
-		    const struct error *err)
+void answer_error(struct evbuffer *out, struct str request_id, int code,
+		  bool maybe_ran, int64_t retry_after_ms,
+		  const struct error *err)
 {
 	evbuffer_add_printf(out, "{\"request_id\":");
 	json_text_add(out, request_id);
@@ -102,7 +102,8 @@
 	evbuffer_add(out, "]", 1);
 }
 
-static void add_missing(struct evbuffer *out, const struct search *search)
+static void add_missing_shards(struct evbuffer *out,
+			       const struct search *search)
 {
 	int listed = 0;
 	int missing = 0;
@@ -112,7 +113,7 @@
 	for (i = 0; i < search->map->n_shards; i++) {
 		if (search->shards[i].state == SEARCH_SHARD_ANSWERED)
 			continue;
-		if (++missing > MISSING_MAX)
+		if (++missing > MISSING_SHARDS_LISTED_MAX)
 			continue;
 		evbuffer_add_printf(out,
 				    "%s{\"lo\":%d,\"hi\":%d,\"reason\":\"%s\"}",
@@ -134,7 +135,7 @@
 			    ",\"ratio\":%.6f,\"sufficient\":%s",
 			    search->covered, search_total(search), ratio,
 			    ratio >= search->min_coverage ? "true" : "false");
-	add_missing(out, search);
+	add_missing_shards(out, search);
 	evbuffer_add(out, "}", 1);
 }
 
@@ -144,9 +145,9 @@
 	int64_t now = clock_now(board->clock);
 
 	if (search->code) {
-		answer_refusal(out, str_from(search->request.request_id),
-			       search->code, search->maybe_ran,
-			       search->retry_after_ms, &search->error);
+		answer_error(out, str_from(search->request.request_id),
+			     search->code, search->maybe_ran,
+			     search->retry_after_ms, &search->error);
 		return;
 	}
 	evbuffer_add_printf(out, "{\"request_id\":");
@@ -341,7 +342,8 @@
 }
 
 /* On the platform's list, which lags, but not in the fleet. */
-static void add_gone(struct evbuffer *out, const struct blackboard *board)
+static void add_unlisted_members(struct evbuffer *out,
+				 const struct blackboard *board)
 {
 	struct fleet_member *member;
 	struct fleet_member *next;
@@ -415,7 +417,7 @@
 	add_members(out, &board->fleet);
 	evbuffer_add_printf(out, ",\"shares\":");
 	share_status_add(out, board->share);
-	add_gone(out, board);
+	add_unlisted_members(out, board);
 	add_servers(out, &board->catalog);
 	evbuffer_add_printf(out, "}\n");
 }
--- a/answer_due.h
+++ b/answer_due.h
@@ -18,16 +18,16 @@
  */
 struct answer_due {
 	int64_t goal;
-	int64_t patience;
-	int64_t told;
+	int64_t longest_timeout;
+	int64_t caller_timeout;
 	int64_t round_trip;
 };
 
 /**
- * answer_due_after() - how long after it was taken a request is answered
+ * answer_due_timeout() - how long after it was taken a request is answered
  *
  * Return: microseconds, a quarter of the goal at least.
  */
-int64_t answer_due_after(const struct answer_due *due);
+int64_t answer_due_timeout(const struct answer_due *due);
 
 #endif
--- a/dispatch.c
+++ b/dispatch.c
@@ -12,32 +12,32 @@
  * kept within these bounds. Below the least a hedge would meet answers that
  * are about to come; above the share of the goal it would come too late.
  */
-#define HEDGE_LEAST MSEC(8)
-#define HEDGE_MOST_OF_GOAL 0.35
+#define HEDGE_DELAY_MIN MSEC(8)
+#define HEDGE_DELAY_MAX_RATIO 0.35
 /*
  * A hedge helps where one server is late among many that are not. If most parts
  * of a request are late, load is the cause and hedges add to it.
  */
-#define HEDGE_PARTS_IN 0.5
+#define HEDGE_ANSWERED_RATIO_MIN 0.5
 /* Sends end at the deadline too: what they say then is that time is up. */
-#define DEADLINE_SLACK MSEC(2)
+#define DEADLINE_MARGIN MSEC(2)
 /*
  * A retry without budget left is tried again so much later, and so is a server
  * that had no connection or no slot free.
  */
-#define RETRY_PERIOD MSEC(5)
+#define RETRY_DELAY MSEC(5)
 /* A cold server bears another request so much later: it bears some a second. */
-#define COLD_PERIOD MSEC(100)
+#define COLD_RETRY_DELAY MSEC(100)
 
 int64_t dispatch_hedge_delay(const struct dispatch *dispatch)
 {
 	int64_t most = (int64_t)((double)MSEC(dispatch->route->goal_ms) *
-				 HEDGE_MOST_OF_GOAL);
-	int64_t delay = (int64_t)dispatch->latency->late;
+				 HEDGE_DELAY_MAX_RATIO);
+	int64_t delay = (int64_t)dispatch->latency->tail;
 
 	if (delay > most)
 		delay = most;
-	return delay < HEDGE_LEAST ? HEDGE_LEAST : delay;
+	return delay < HEDGE_DELAY_MIN ? HEDGE_DELAY_MIN : delay;
 }
 
 static void init_part(struct dispatch *dispatch, struct registry *registry,
@@ -62,7 +62,7 @@
 		   const struct dispatch_limits *limits, void *arg,
 		   struct registry *registry, const struct route *route,
 		   const struct route_service *target, struct latency *latency,
-		   int64_t deadline, int64_t answer_after)
+		   int64_t deadline, int64_t soft_timeout)
 {
 	int n = route->sharded ? route->n_targets : 1;
 	int i;
@@ -76,7 +76,7 @@
 	dispatch->latency = latency;
 	dispatch->start = clock_now(clock);
 	dispatch->deadline = deadline;
-	dispatch->answer_at = dispatch->start + answer_after;
+	dispatch->soft_deadline = dispatch->start + soft_timeout;
 	dispatch->parts = mem_zalloc((size_t)n * sizeof(*dispatch->parts));
 	for (i = 0; i < n; i++)
 		init_part(dispatch, registry,
@@ -92,9 +92,9 @@
 	for (i = 0; i < part->n_sends; i++) {
 		struct dispatch_send *send = &part->sends[i];
 
-		if (send->state != SEND_UNDER_WAY)
+		if (send->state != SEND_IN_FLIGHT)
 			continue;
-		send->state = SEND_OVER;
+		send->state = SEND_ENDED;
 		part->dispatch->ops->abandon(part->dispatch->arg, send);
 	}
 }
@@ -104,7 +104,7 @@
 	int i;
 	int j;
 
-	dispatch_load_leave(dispatch);
+	dispatch_load_release(dispatch);
 
 	for (i = 0; i < dispatch->n_parts; i++) {
 		struct dispatch_part *part = &dispatch->parts[i];
@@ -119,29 +119,29 @@
 		records_finish(&dispatch->records);
 }
 
-static void end(struct dispatch *dispatch, enum dispatch_outcome outcome,
-		int code)
+static void end_dispatch(struct dispatch *dispatch,
+			 enum dispatch_outcome outcome, int code)
 {
 	int i;
 
 	if (outcome != DISPATCH_CANCELLED)
-		dispatch_load_judge(dispatch, code);
-	dispatch_load_leave(dispatch);
+		dispatch_load_report(dispatch, code);
+	dispatch_load_release(dispatch);
 	dispatch->outcome = outcome;
 	dispatch->code = code;
 	for (i = 0; i < dispatch->n_parts; i++)
 		abandon_sends(&dispatch->parts[i]);
 }
 
-static bool is_enough(const struct dispatch *dispatch)
+static bool has_min_coverage(const struct dispatch *dispatch)
 {
 	/* A rounding error must not ask for one part more. */
-	double share = (double)dispatch->n_in / dispatch->n_parts + 1e-9;
+	double share = (double)dispatch->n_answered / dispatch->n_parts + 1e-9;
 
-	return dispatch->n_in && share >= dispatch->route->coverage_min;
+	return dispatch->n_answered && share >= dispatch->route->coverage_min;
 }
 
-static bool can_be_enough(const struct dispatch *dispatch)
+static bool can_reach_min_coverage(const struct dispatch *dispatch)
 {
 	int most = dispatch->n_parts - dispatch->n_failed;
 	double share = (double)most / dispatch->n_parts + 1e-9;
@@ -149,7 +149,7 @@
 	return most && share >= dispatch->route->coverage_min;
 }
 
-static int worst_code(const struct dispatch *dispatch)
+static int first_failure_code(const struct dispatch *dispatch)
 {
 	int i;
 
@@ -166,14 +166,14 @@
 	int i;
 
 	for (i = 0; i < dispatch->n_parts; i++) {
-		if (dispatch_part_under_way(&dispatch->parts[i]))
+		if (dispatch_part_in_flight(&dispatch->parts[i]))
 			return true;
 	}
-	return dispatch->ran;
+	return dispatch->maybe_ran;
 }
 
 /* What has not left this instance does not run any more. */
-static void take_back_waiting(struct dispatch *dispatch)
+static void abandon_queued_sends(struct dispatch *dispatch)
 {
 	int i;
 
@@ -181,8 +181,8 @@
 		struct dispatch_part *part = &dispatch->parts[i];
 		struct dispatch_send *send;
 
-		while ((send = dispatch_part_waiting(part))) {
-			send->state = SEND_OVER;
+		while ((send = dispatch_part_queued_send(part))) {
+			send->state = SEND_ENDED;
 			dispatch->ops->abandon(dispatch->arg, send);
 		}
 	}
@@ -192,39 +192,42 @@
 {
 	bool ran;
 
-	take_back_waiting(dispatch);
+	abandon_queued_sends(dispatch);
 	ran = may_have_run(dispatch);
 
-	end(dispatch, ran ? DISPATCH_FAILED : DISPATCH_REFUSED, code);
+	end_dispatch(dispatch, ran ? DISPATCH_FAILED : DISPATCH_REFUSED, code);
 }
 
 /* Whether the answer is ready, or cannot come any more. */
-static void review(struct dispatch *dispatch)
+static void check_outcome(struct dispatch *dispatch)
 {
 	int64_t now = clock_now(dispatch->clock);
 
-	if (dispatch->outcome || dispatch->held)
+	if (dispatch->outcome || dispatch->batching)
 		return;
-	if (now + DEADLINE_SLACK >= dispatch->deadline &&
-	    dispatch->n_in < dispatch->n_parts && !is_enough(dispatch))
+	if (now + DEADLINE_MARGIN >= dispatch->deadline &&
+	    dispatch->n_answered < dispatch->n_parts &&
+	    !has_min_coverage(dispatch))
 		fail_all(dispatch, ERR_TOO_LATE);
-	else if (dispatch->n_in == dispatch->n_parts)
-		end(dispatch, DISPATCH_WHOLE, 0);
-	else if (dispatch->n_in + dispatch->n_failed == dispatch->n_parts &&
-		 is_enough(dispatch))
-		end(dispatch, DISPATCH_PARTIAL, 0);
-	else if (!can_be_enough(dispatch) && !dispatch_recall(dispatch))
-		fail_all(dispatch, worst_code(dispatch));
-	else if (dispatch->route->sharded && now >= dispatch->answer_at &&
-		 is_enough(dispatch))
-		end(dispatch, DISPATCH_PARTIAL, 0);
-	else if (now >= dispatch->answer_at)
-		dispatch_load_judge(dispatch, ERR_TOO_LATE);
+	else if (dispatch->n_answered == dispatch->n_parts)
+		end_dispatch(dispatch, DISPATCH_COMPLETE, 0);
+	else if (dispatch->n_answered + dispatch->n_failed ==
+			 dispatch->n_parts &&
+		 has_min_coverage(dispatch))
+		end_dispatch(dispatch, DISPATCH_PARTIAL, 0);
+	else if (!can_reach_min_coverage(dispatch) &&
+		 !dispatch_send_left_out(dispatch))
+		fail_all(dispatch, first_failure_code(dispatch));
+	else if (dispatch->route->sharded && now >= dispatch->soft_deadline &&
+		 has_min_coverage(dispatch))
+		end_dispatch(dispatch, DISPATCH_PARTIAL, 0);
+	else if (now >= dispatch->soft_deadline)
+		dispatch_load_report(dispatch, ERR_TOO_LATE);
 }
 
 void dispatch_part_fail(struct dispatch_part *part)
 {
-	if (part->state != PART_WAITING)
+	if (part->state != PART_PENDING)
 		return;
 	part->state = PART_FAILED;
 	part->dispatch->n_failed++;
@@ -235,13 +238,14 @@
  * are waited for: each request that comes adds to the budget, and each that
  * ends frees a connection.
  */
-static void wait_or_fail(struct dispatch_part *part, int code)
+static void schedule_retry_or_fail(struct dispatch_part *part, int code)
 {
 	struct dispatch *dispatch = part->dispatch;
 	int64_t now = clock_now(dispatch->clock);
-	int64_t period = part->code == ERR_COLD ? COLD_PERIOD : RETRY_PERIOD;
+	int64_t period =
+		part->code == ERR_COLD ? COLD_RETRY_DELAY : RETRY_DELAY;
 
-	if (code == ERR_BUDGET && now + period < dispatch->answer_at)
+	if (code == ERR_BUDGET && now + period < dispatch->soft_deadline)
 		part->retry_at = now + period;
 	else
 		dispatch_part_fail(part);
@@ -251,7 +255,7 @@
  * Shards without a live server would hold the request up until its goal, and
  * the extra sends to them be taken from others.
  */
-static void leave_out_lost(struct dispatch *dispatch)
+static void fail_unreachable_parts(struct dispatch *dispatch)
 {
 	int64_t since;
 	int i;
@@ -262,10 +266,10 @@
 		if (!outage_hits(dispatch->limits->outage, part->service,
 				 &since))
 			continue;
-		if (since > dispatch->lost_since)
-			dispatch->lost_since = since;
+		if (since > dispatch->outage_since)
+			dispatch->outage_since = since;
 		part->code = ERR_NO_REPLICA;
-		dispatch->n_lost++;
+		dispatch->n_unreachable++;
 		dispatch_part_fail(part);
 	}
 }
@@ -275,30 +279,31 @@
 	struct dispatch *dispatch = part->dispatch;
 	int ret;
 
-	if (part->state != PART_WAITING)
+	if (part->state != PART_PENDING)
 		return;
 	budget_need(&part->service->budget, &dispatch->limits->budget, 1,
 		    clock_now(dispatch->clock));
 	ret = dispatch_part_send(part, "first", false);
 	if (ret)
-		wait_or_fail(part, ret);
+		schedule_retry_or_fail(part, ret);
 }
 
 enum dispatch_outcome dispatch_start(struct dispatch *dispatch)
 {
 	int i;
 
-	leave_out_lost(dispatch);
-	if (can_be_enough(dispatch))
-		dispatch_load_ask(dispatch);
-	if (can_be_enough(dispatch) &&
+	fail_unreachable_parts(dispatch);
+	if (can_reach_min_coverage(dispatch))
+		dispatch_load_add_demand(dispatch);
+	if (can_reach_min_coverage(dispatch) &&
 	    (!dispatch_forecast(dispatch) || !dispatch_load_admit(dispatch))) {
-		end(dispatch, DISPATCH_REFUSED, ERR_OVERLOAD);
+		end_dispatch(dispatch, DISPATCH_REFUSED, ERR_OVERLOAD);
 		return dispatch->outcome;
 	}
-	for (i = 0; i < dispatch->n_parts && can_be_enough(dispatch); i++)
+	for (i = 0; i < dispatch->n_parts && can_reach_min_coverage(dispatch);
+	     i++)
 		send_first(&dispatch->parts[i]);
-	review(dispatch);
+	check_outcome(dispatch);
 	return dispatch->outcome;
 }
 
@@ -314,29 +319,29 @@
 	return false;
 }
 
-static void take_part(struct dispatch_part *part,
-		      const struct dispatch_answer *answer)
+static void accept_answer(struct dispatch_part *part,
+			  const struct dispatch_answer *answer)
 {
 	struct dispatch *dispatch = part->dispatch;
 
-	part->state = PART_IN;
+	part->state = PART_ANSWERED;
 	part->stamp = mem_dup_len(answer->stamp.data, answer->stamp.len);
-	dispatch->n_in++;
+	dispatch->n_answered++;
 	if (dispatch->route->sharded)
 		records_add(&dispatch->records, answer->body, 0);
 	abandon_sends(part);
 }
 
-static void try_again(struct dispatch_part *part)
+static void retry_part(struct dispatch_part *part)
 {
 	struct dispatch *dispatch = part->dispatch;
 	int ret = ERR_NO_REPLICA;
 
 	part->retry_at = INT64_MAX;
-	if (dispatch->route->repeatable || !part->n_run)
+	if (dispatch->route->repeatable || !part->n_maybe_run)
 		ret = dispatch_part_send_again(part, "retry", false);
-	if (ret && !dispatch_part_under_way(part))
-		wait_or_fail(part, ret);
+	if (ret && !dispatch_part_in_flight(part))
+		schedule_retry_or_fail(part, ret);
 }
 
 /*
@@ -344,10 +349,10 @@
  * single server is told at once that its request did not run; a part of a
  * sharded request holds nobody up while others are waited for.
  */
-static bool is_busy(const struct dispatch *dispatch,
-		    const struct dispatch_answer *answer)
+static bool is_server_busy(const struct dispatch *dispatch,
+			   const struct dispatch_answer *answer)
 {
-	return dispatch_is_worth_waiting(dispatch, answer->code) ||
+	return dispatch_is_temporary(dispatch, answer->code) ||
 	       (answer->code == ERR_SHED && dispatch->route->sharded);
 }
 
@@ -365,41 +370,41 @@
 {
 	struct dispatch_part *part = send->part;
 
-	send->state = SEND_OVER;
+	send->state = SEND_ENDED;
 	if (dispatch_is_unsent(answer->code))
-		part->n_arrived--;
-	if (is_busy(dispatch, answer))
-		send->busy_until =
-			clock_now(dispatch->clock) +
-			(answer->code == ERR_COLD ? COLD_PERIOD : RETRY_PERIOD);
+		part->n_delivered--;
+	if (is_server_busy(dispatch, answer))
+		send->busy_until = clock_now(dispatch->clock) +
+				   (answer->code == ERR_COLD ? COLD_RETRY_DELAY
+							     : RETRY_DELAY);
 	if (answer->not_run)
-		part->n_run--;
+		part->n_maybe_run--;
 	else
-		dispatch->ran = true;
-	if (dispatch->outcome || part->state != PART_WAITING)
+		dispatch->maybe_ran = true;
+	if (dispatch->outcome || part->state != PART_PENDING)
 		return dispatch->outcome;
 	if (!answer->code && answer->success &&
 	    !has_stamp(dispatch, answer->stamp)) {
 		latency_add(dispatch->latency, answer->took);
-		dispatch_forecast_learn(send, answer->took);
-		take_part(part, answer);
+		dispatch_forecast_update(send, answer->took);
+		accept_answer(part, answer);
 	} else {
 		part->code = answer->code ? answer->code : ERR_UNKNOWN;
-		try_again(part);
+		retry_part(part);
 	}
-	review(dispatch);
+	check_outcome(dispatch);
 	return dispatch->outcome;
 }
 
-void dispatch_hold(struct dispatch *dispatch)
+void dispatch_begin_batch(struct dispatch *dispatch)
 {
-	dispatch->held = true;
+	dispatch->batching = true;
 }
 
-enum dispatch_outcome dispatch_release(struct dispatch *dispatch)
+enum dispatch_outcome dispatch_end_batch(struct dispatch *dispatch)
 {
-	dispatch->held = false;
-	review(dispatch);
+	dispatch->batching = false;
+	check_outcome(dispatch);
 	return dispatch->outcome;
 }
 
@@ -407,13 +412,15 @@
 static bool is_straggler(const struct dispatch *dispatch)
 {
 	return dispatch->n_parts == 1 ||
-	       dispatch->n_in >= dispatch->n_parts * HEDGE_PARTS_IN;
+	       dispatch->n_answered >=
+		       dispatch->n_parts * HEDGE_ANSWERED_RATIO_MIN;
 }
 
 /* What has not left this instance is moved, and runs once at most. */
 static bool may_hedge(const struct dispatch_part *part)
 {
-	return part->dispatch->route->repeatable || dispatch_part_waiting(part);
+	return part->dispatch->route->repeatable ||
+	       dispatch_part_queued_send(part);
 }
 
 /*
@@ -425,11 +432,11 @@
 	struct dispatch_send *waiting;
 	int ret;
 
-	if (part->state != PART_WAITING || now < part->hedge_at)
+	if (part->state != PART_PENDING || now < part->hedge_at)
 		return;
 	part->hedge_at = INT64_MAX;
-	waiting = dispatch_part_waiting(part);
-	if (!waiting && part->n_run >= part->dispatch->route->servers_max)
+	waiting = dispatch_part_queued_send(part);
+	if (!waiting && part->n_maybe_run >= part->dispatch->route->servers_max)
 		return;
 	ret = ERR_BUDGET;
 	if (waiting)
@@ -437,7 +444,7 @@
 	else if (is_straggler(part->dispatch))
 		ret = dispatch_part_send_again(part, "hedge", true);
 	if (ret)
-		part->hedge_at = now + RETRY_PERIOD;
+		part->hedge_at = now + RETRY_DELAY;
 }
 
 enum dispatch_outcome dispatch_tick(struct dispatch *dispatch)
@@ -445,32 +452,32 @@
 	int64_t now = clock_now(dispatch->clock);
 	int i;
 
-	review(dispatch);
+	check_outcome(dispatch);
 	for (i = 0; i < dispatch->n_parts && !dispatch->outcome; i++) {
 		struct dispatch_part *part = &dispatch->parts[i];
 
-		if (part->state == PART_WAITING && now >= part->retry_at)
-			try_again(part);
+		if (part->state == PART_PENDING && now >= part->retry_at)
+			retry_part(part);
 		else if (may_hedge(part))
 			hedge_part(part, now);
 	}
-	review(dispatch);
+	check_outcome(dispatch);
 	return dispatch->outcome;
 }
 
 int64_t dispatch_due(const struct dispatch *dispatch)
 {
 	int64_t now = clock_now(dispatch->clock);
-	int64_t due = dispatch->deadline - DEADLINE_SLACK;
+	int64_t due = dispatch->deadline - DEADLINE_MARGIN;
 	int i;
 
-	if (dispatch->route->sharded && dispatch->answer_at > now &&
-	    dispatch->answer_at < due)
-		due = dispatch->answer_at;
+	if (dispatch->route->sharded && dispatch->soft_deadline > now &&
+	    dispatch->soft_deadline < due)
+		due = dispatch->soft_deadline;
 	for (i = 0; i < dispatch->n_parts; i++) {
 		const struct dispatch_part *part = &dispatch->parts[i];
 
-		if (part->state != PART_WAITING)
+		if (part->state != PART_PENDING)
 			continue;
 		if (part->retry_at < due)
 			due = part->retry_at;
@@ -483,5 +490,5 @@
 void dispatch_cancel(struct dispatch *dispatch)
 {
 	if (!dispatch->outcome)
-		end(dispatch, DISPATCH_CANCELLED, ERR_CANCELLED);
+		end_dispatch(dispatch, DISPATCH_CANCELLED, ERR_CANCELLED);
 }
--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -10,12 +10,12 @@
 #include "mem.h"
 
 /* Words of a server that are older say nothing of what waits there now. */
-#define TOLD_AGE_MOST MSEC(1000)
+#define REPORT_AGE_MAX MSEC(1000)
 /* A peer may tell any pace. */
-#define SLOWNESS_LEAST 0.25
-#define SLOWNESS_MOST 50.0
+#define SLOWNESS_MIN 0.25
+#define SLOWNESS_MAX 50.0
 
-static bool is_on(const struct dispatch *dispatch)
+static bool is_enabled(const struct dispatch *dispatch)
 {
 	const struct load_control *control = dispatch->limits->control;
 
@@ -23,12 +23,12 @@
 }
 
 /* Before the first answer of its kind nothing is expected of a request. */
-static bool can_expect(const struct dispatch *dispatch)
+static bool can_forecast(const struct dispatch *dispatch)
 {
-	return is_on(dispatch) && dispatch->latency->unloaded > 0;
+	return is_enabled(dispatch) && dispatch->latency->unloaded > 0;
 }
 
-static int needed(const struct dispatch *dispatch)
+static int parts_needed(const struct dispatch *dispatch)
 {
 	return forecast_needed(dispatch->n_parts,
 			       dispatch->route->coverage_min);
@@ -45,9 +45,9 @@
 		return 1;
 	if (server->outlook.pace_at)
 		pace = server_outlook_pace(&server->outlook, usual, now);
-	else if (score->latency_at && now - score->latency_at < TOLD_AGE_MOST)
+	else if (score->latency_at && now - score->latency_at < REPORT_AGE_MAX)
 		pace = score->latency;
-	return fmin(fmax(pace / usual, SLOWNESS_LEAST), SLOWNESS_MOST);
+	return fmin(fmax(pace / usual, SLOWNESS_MIN), SLOWNESS_MAX);
 }
 
 static int level_of(const struct dispatch *dispatch)
@@ -55,8 +55,8 @@
 	return server_outlook_level(dispatch->route->priority);
 }
 
-static bool may_take(const struct dispatch *dispatch,
-		     const struct registry_server *server)
+static bool is_eligible(const struct dispatch *dispatch,
+			const struct registry_server *server)
 {
 	return registry_is_open(server) &&
 	       region_set_allows(&dispatch->route->regions, server->region);
@@ -67,8 +67,9 @@
  * was told of longest ago. All are sent to alike, so that the mean says more of
  * each of them than its own word.
  */
-static int64_t ahead_at(const struct dispatch *dispatch,
-			const struct registry_server *server, int64_t now)
+static int64_t expected_queue_wait(const struct dispatch *dispatch,
+				   const struct registry_server *server,
+				   int64_t now)
 {
 	const struct registry_service *service = server->service;
 	int level = level_of(dispatch);
@@ -79,7 +80,7 @@
 	if (!server->outlook.levels[level].at)
 		return 0;
 	for (i = 0; i < service->n; i++) {
-		if (!may_take(dispatch, service->servers[i]))
+		if (!is_eligible(dispatch, service->servers[i]))
 			continue;
 		sum += server_outlook_ahead(&service->servers[i]->outlook,
 					    level, now);
@@ -88,21 +89,21 @@
 	return n ? sum / n : 0;
 }
 
-static struct forecast_part expect(const struct dispatch *dispatch,
-				   const struct registry_server *server,
-				   int64_t now)
+static struct forecast_part
+forecast_server(const struct dispatch *dispatch,
+		const struct registry_server *server, int64_t now)
 {
 	double run = dispatch->latency->unloaded * slowness(server, now);
 
 	return (struct forecast_part){
-		.ahead = ahead_at(dispatch, server, now),
+		.ahead = expected_queue_wait(dispatch, server, now),
 		.run = (int64_t)run,
 		.told_at = server->outlook.levels[level_of(dispatch)].at,
 	};
 }
 
 /* Sends of this instance that the servers of a service have not answered. */
-static int under_way(const struct registry_service *service)
+static int n_in_flight(const struct registry_service *service)
 {
 	int n = 0;
 	int i;
@@ -113,36 +114,37 @@
 }
 
 /* Return: parts of other requests that are under way at the same servers. */
-static int fill(struct dispatch *dispatch, struct forecast *forecast)
+static int fill_forecast(struct dispatch *dispatch, struct forecast *forecast)
 {
 	int64_t now = clock_now(dispatch->clock);
 	int n_others = 0;
 	int i;
 
-	forecast->goal = dispatch->answer_at - now;
+	forecast->goal = dispatch->soft_deadline - now;
 	if (forecast->goal < 0)
 		forecast->goal = 0;
 	forecast->deadline = dispatch->deadline - now;
-	forecast->lag = (int64_t)dispatch->latency->lag;
-	forecast->needed = needed(dispatch);
+	forecast->lag = (int64_t)dispatch->latency->forecast_error;
+	forecast->needed = parts_needed(dispatch);
 	for (i = 0; i < dispatch->n_parts; i++) {
 		const struct dispatch_part *part = &dispatch->parts[i];
 		const struct registry_server *server;
 
-		if (part->state != PART_WAITING)
+		if (part->state != PART_PENDING)
 			continue;
 		server = dispatch_part_pick(part, false);
 		if (!server)
 			continue;
-		forecast->parts[forecast->n] = expect(dispatch, server, now);
+		forecast->parts[forecast->n] =
+			forecast_server(dispatch, server, now);
 		forecast->parts[forecast->n++].index = i;
-		n_others += under_way(part->service);
+		n_others += n_in_flight(part->service);
 	}
 	return n_others;
 }
 
-static void leave_out(struct dispatch *dispatch,
-		      const struct forecast *forecast)
+static void fail_left_out_parts(struct dispatch *dispatch,
+				const struct forecast *forecast)
 {
 	int i;
 
@@ -158,36 +160,36 @@
 	}
 }
 
-static void decide(struct dispatch *dispatch, struct forecast *forecast)
+static void apply_forecast(struct dispatch *dispatch, struct forecast *forecast)
 {
 	forecast_decide(forecast);
-	leave_out(dispatch, forecast);
-	dispatch->foreseen = forecast->refused;
-	dispatch->room_in = forecast->room_in;
-	dispatch->enough_at = clock_now(dispatch->clock) +
-			      forecast_expected(forecast->deciding);
-	if (dispatch->ops->foreseen &&
+	fail_left_out_parts(dispatch, forecast);
+	dispatch->refused_by_forecast = forecast->refused;
+	dispatch->capacity_delay = forecast->room_in;
+	dispatch->expected_answer_at = clock_now(dispatch->clock) +
+				       forecast_expected(forecast->deciding);
+	if (dispatch->ops->forecast_decided &&
 	    (forecast->refused || forecast->n_left_out))
-		dispatch->ops->foreseen(dispatch->arg, forecast);
+		dispatch->ops->forecast_decided(dispatch->arg, forecast);
 }
 
 bool dispatch_forecast(struct dispatch *dispatch)
 {
 	struct forecast forecast = {.promised = dispatch->promised};
 
-	if (!can_expect(dispatch))
+	if (!can_forecast(dispatch))
 		return true;
 	forecast.parts =
 		mem_zalloc((size_t)dispatch->n_parts * sizeof(*forecast.parts));
 	/* The only one under way shows whether servers recovered. */
-	forecast.probe = fill(dispatch, &forecast) < forecast.n;
+	forecast.probe = fill_forecast(dispatch, &forecast) < forecast.n;
 	if (forecast.n >= forecast.needed)
-		decide(dispatch, &forecast);
+		apply_forecast(dispatch, &forecast);
 	free(forecast.parts);
 	return !forecast.refused;
 }
 
-bool dispatch_recall(struct dispatch *dispatch)
+bool dispatch_send_left_out(struct dispatch *dispatch)
 {
 	int64_t now = clock_now(dispatch->clock);
 	int most =
@@ -195,7 +197,7 @@
 	bool sent = false;
 	int i;
 
-	if (!dispatch->n_left_out || most < needed(dispatch))
+	if (!dispatch->n_left_out || most < parts_needed(dispatch))
 		return false;
 	dispatch->n_left_out = 0;
 	for (i = 0; i < dispatch->n_parts; i++) {
@@ -207,7 +209,7 @@
 			    1, now);
 		if (dispatch_part_send(part, "first", false))
 			continue;
-		part->state = PART_WAITING;
+		part->state = PART_PENDING;
 		dispatch->n_failed--;
 		sent = true;
 	}
@@ -218,22 +220,22 @@
 {
 	struct dispatch *dispatch = part->dispatch;
 	int64_t now = clock_now(dispatch->clock);
-	bool enough = dispatch->n_in >= needed(dispatch);
+	bool enough = dispatch->n_answered >= parts_needed(dispatch);
 	const struct registry_server *server;
 	struct forecast_part expected;
 
-	if (!can_expect(dispatch))
+	if (!can_forecast(dispatch))
 		return true;
 	server = dispatch_part_pick(part, hedge);
 	if (!server)
 		return true;
-	expected = expect(dispatch, server, now);
+	expected = forecast_server(dispatch, server, now);
 	if (now + forecast_expected(&expected) <=
-	    (enough ? dispatch->answer_at : dispatch->deadline))
+	    (enough ? dispatch->soft_deadline : dispatch->deadline))
 		return true;
-	if (!part->kept_back && dispatch->ops->kept_back)
-		dispatch->ops->kept_back(dispatch->arg, part, &expected);
-	part->kept_back = true;
+	if (!part->suppressed && dispatch->ops->send_suppressed)
+		dispatch->ops->send_suppressed(dispatch->arg, part, &expected);
+	part->suppressed = true;
 	return false;
 }
 
@@ -242,7 +244,7 @@
  * burst would find every queue as short as its first request did. A server that
  * it sends to itself is told of by its own queue.
  */
-void dispatch_forecast_sent(const struct dispatch_send *send)
+void dispatch_forecast_add_sent(const struct dispatch_send *send)
 {
 	const struct dispatch *dispatch = send->part->dispatch;
 	struct registry_server *server = send->server;
@@ -252,10 +254,10 @@
 	int64_t more;
 	int i;
 
-	if (!can_expect(dispatch) || server->queue || !outlook->pace_at ||
-	    now - outlook->pace_at > TOLD_AGE_MOST)
+	if (!can_forecast(dispatch) || server->queue || !outlook->pace_at ||
+	    now - outlook->pace_at > REPORT_AGE_MAX)
 		return;
-	more = expect(dispatch, server, now).run / slots;
+	more = forecast_server(dispatch, server, now).run / slots;
 	for (i = level_of(dispatch); i < OUTLOOK_LEVELS; i++)
 		server_outlook_told(outlook, i,
 				    server_outlook_ahead(outlook, i, now) +
@@ -263,7 +265,7 @@
 				    now);
 }
 
-void dispatch_forecast_learn(const struct dispatch_send *send, int64_t took)
+void dispatch_forecast_update(const struct dispatch_send *send, int64_t took)
 {
 	const struct dispatch *dispatch = send->part->dispatch;
 	const struct load_control *control = dispatch->limits->control;
@@ -274,6 +276,8 @@
 		return;
 	latency_add_unloaded(dispatch->latency,
 			     (double)took / slowness(send->server, now));
-	if (dispatch->enough_at && dispatch->n_in + 1 == needed(dispatch))
-		latency_add_lag(dispatch->latency, now - dispatch->enough_at);
+	if (dispatch->expected_answer_at &&
+	    dispatch->n_answered + 1 == parts_needed(dispatch))
+		latency_add_forecast_error(dispatch->latency,
+					   now - dispatch->expected_answer_at);
 }
--- a/dispatch_send.c
+++ b/dispatch_send.c
@@ -6,29 +6,30 @@
 #include "dispatch_forecast.h"
 #include "error.h"
 
-bool dispatch_part_under_way(const struct dispatch_part *part)
+bool dispatch_part_in_flight(const struct dispatch_part *part)
 {
 	int i;
 
 	for (i = 0; i < part->n_sends; i++) {
-		if (part->sends[i].state == SEND_UNDER_WAY)
+		if (part->sends[i].state == SEND_IN_FLIGHT)
 			return true;
 	}
 	return false;
 }
 
-struct dispatch_send *dispatch_part_waiting(const struct dispatch_part *part)
+struct dispatch_send *
+dispatch_part_queued_send(const struct dispatch_part *part)
 {
 	const struct dispatch *dispatch = part->dispatch;
 	int i;
 
-	if (!dispatch->ops->waits)
+	if (!dispatch->ops->is_queued)
 		return NULL;
 	for (i = 0; i < part->n_sends; i++) {
 		const struct dispatch_send *send = &part->sends[i];
 
-		if (send->state == SEND_UNDER_WAY &&
-		    dispatch->ops->waits(dispatch->arg, send))
+		if (send->state == SEND_IN_FLIGHT &&
+		    dispatch->ops->is_queued(dispatch->arg, send))
 			return (struct dispatch_send *)send;
 	}
 	return NULL;
@@ -40,25 +41,25 @@
 	int n;
 };
 
-static bool is_free_again(const struct dispatch_send *send, int64_t now)
+static bool is_available_again(const struct dispatch_send *send, int64_t now)
 {
 	return send->busy_until && now >= send->busy_until;
 }
 
-static void fill_tried(const struct dispatch_part *part, struct tried *tried)
+static void collect_tried(const struct dispatch_part *part, struct tried *tried)
 {
 	int64_t now = clock_now(part->dispatch->clock);
 	int i;
 
 	tried->n = 0;
 	for (i = 0; i < part->n_sends; i++) {
-		if (!is_free_again(&part->sends[i], now))
+		if (!is_available_again(&part->sends[i], now))
 			tried->servers[tried->n++] = part->sends[i].server;
 	}
 }
 
 /* Servers that had no connection or slot free; later they may have one. */
-static bool has_busy(const struct dispatch_part *part)
+static bool has_busy_server(const struct dispatch_part *part)
 {
 	int i;
 
@@ -73,27 +74,28 @@
  * Room for one more send, or NULL. Where servers have no connection free for
  * long, those that were not sent must not use up the room.
  */
-static struct dispatch_send *free_slot(struct dispatch_part *part)
+static struct dispatch_send *unused_send(struct dispatch_part *part)
 {
 	int64_t now = clock_now(part->dispatch->clock);
 	int i;
 
 	for (i = 0; i < part->n_sends; i++) {
-		if (is_free_again(&part->sends[i], now))
+		if (is_available_again(&part->sends[i], now))
 			return &part->sends[i];
 	}
 	return part->n_sends < DISPATCH_SENDS_MAX ? &part->sends[i] : NULL;
 }
 
-static struct registry_server *pick(const struct dispatch_part *part,
-				    const struct tried *tried, bool fresh_only)
+static struct registry_server *pick_untried(const struct dispatch_part *part,
+					    const struct tried *tried,
+					    bool preferred_only)
 {
 	const struct dispatch *dispatch = part->dispatch;
 	int64_t now = clock_now(dispatch->clock);
 	const struct registry_choice choice = {
 		.tried = tried->servers,
 		.n_tried = tried->n,
-		.fresh_only = fresh_only,
+		.fresh_only = preferred_only,
 		.regions = &dispatch->route->regions,
 		.relayed = dispatch->route->sharded,
 		.level = server_outlook_level(dispatch->route->priority),
@@ -104,12 +106,12 @@
 }
 
 struct registry_server *dispatch_part_pick(const struct dispatch_part *part,
-					   bool fresh_only)
+					   bool preferred_only)
 {
 	struct tried tried;
 
-	fill_tried(part, &tried);
-	return pick(part, &tried, fresh_only);
+	collect_tried(part, &tried);
+	return pick_untried(part, &tried, preferred_only);
 }
 
 /* Return: 0 if it was sent to the server; or why not. */
@@ -117,7 +119,7 @@
 		   const char *why)
 {
 	struct dispatch *dispatch = part->dispatch;
-	struct dispatch_send *send = free_slot(part);
+	struct dispatch_send *send = unused_send(part);
 	const struct dispatch_send before = *send;
 	int64_t now = clock_now(dispatch->clock);
 	int ret;
@@ -125,10 +127,10 @@
 	memset(send, 0, sizeof(*send));
 	send->part = part;
 	send->server = server;
-	send->state = SEND_UNDER_WAY;
+	send->state = SEND_IN_FLIGHT;
 	send->sent_at = now;
 	send->why = why;
-	send->charged = part->n_arrived > 0;
+	send->charged = part->n_delivered > 0;
 	ret = dispatch->ops->send(dispatch->arg, send, dispatch->deadline);
 	if (ret) {
 		*send = before;
@@ -140,17 +142,17 @@
 		registry_server_unref(before.server);
 	else
 		part->n_sends++;
-	part->n_run++;
-	part->n_arrived++;
+	part->n_maybe_run++;
+	part->n_delivered++;
 	dispatch->n_sends++;
 	part->hedge_at = now + dispatch_hedge_delay(dispatch);
-	dispatch_forecast_sent(send);
-	if (dispatch->ops->decided)
-		dispatch->ops->decided(dispatch->arg, send);
+	dispatch_forecast_add_sent(send);
+	if (dispatch->ops->sent)
+		dispatch->ops->sent(dispatch->arg, send);
 	return 0;
 }
 
-bool dispatch_is_worth_waiting(const struct dispatch *dispatch, int code)
+bool dispatch_is_temporary(const struct dispatch *dispatch, int code)
 {
 	if (code == ERR_COLD || code == ERR_OVERLOAD)
 		return dispatch->route->sharded;
@@ -158,23 +160,23 @@
 }
 
 int dispatch_part_send(struct dispatch_part *part, const char *why,
-		       bool fresh_only)
+		       bool preferred_only)
 {
 	struct registry_server *server;
 	int ret = ERR_NO_REPLICA;
 	struct tried tried;
 
-	if (!free_slot(part))
+	if (!unused_send(part))
 		return ERR_NO_REPLICA;
-	fill_tried(part, &tried);
+	collect_tried(part, &tried);
 	while (tried.n < DISPATCH_SENDS_MAX) {
-		server = pick(part, &tried, fresh_only);
+		server = pick_untried(part, &tried, preferred_only);
 		if (!server)
 			break;
 		tried.servers[tried.n++] = server;
 		if (!send_to(part, server, why))
 			return 0;
-		if (dispatch_is_worth_waiting(part->dispatch, part->code))
+		if (dispatch_is_temporary(part->dispatch, part->code))
 			ret = ERR_BUDGET;
 	}
 	if (!part->n_sends && ret == ERR_NO_REPLICA && !part->code)
@@ -186,14 +188,14 @@
  * What never reached a server is no second send to its service. Hedges leave
  * half of the budget: they only win time, and without a retry a part is lost.
  */
-static bool take_budget(struct dispatch_part *part, bool hedge)
+static bool take_budget_token(struct dispatch_part *part, bool hedge)
 {
 	struct dispatch *dispatch = part->dispatch;
 	const struct budget_limit *limit = &dispatch->limits->budget;
 	struct budget *budget = &part->service->budget;
 	int64_t now = clock_now(dispatch->clock);
 
-	if (!part->n_arrived)
+	if (!part->n_delivered)
 		return true;
 	if (hedge && !budget_is_half_full(budget, limit, now)) {
 		budget->refused++;
@@ -206,18 +208,19 @@
 			     bool hedge)
 {
 	struct dispatch *dispatch = part->dispatch;
-	bool arrived = part->n_arrived;
+	bool arrived = part->n_delivered;
 	struct tried tried;
 	int ret;
 
-	fill_tried(part, &tried);
-	if (part->n_run >= dispatch->route->servers_max || !free_slot(part))
+	collect_tried(part, &tried);
+	if (part->n_maybe_run >= dispatch->route->servers_max ||
+	    !unused_send(part))
 		return ERR_NO_REPLICA;
-	if (!pick(part, &tried, hedge))
-		return has_busy(part) ? ERR_BUDGET : ERR_NO_REPLICA;
+	if (!pick_untried(part, &tried, hedge))
+		return has_busy_server(part) ? ERR_BUDGET : ERR_NO_REPLICA;
 	if (!dispatch_is_worth_sending(part, hedge))
 		return ERR_NO_REPLICA;
-	if (!take_budget(part, hedge))
+	if (!take_budget_token(part, hedge))
 		return ERR_BUDGET;
 	ret = dispatch_part_send(part, why, hedge);
 	if (!ret) {
@@ -237,19 +240,19 @@
 	int ret;
 
 	/* It has not run: the other send is in place of it. */
-	part->n_run--;
-	part->n_arrived--;
-	arrived = part->n_arrived;
+	part->n_maybe_run--;
+	part->n_delivered--;
+	arrived = part->n_delivered;
 	ret = dispatch_part_send_again(part, "moved", true);
 	if (ret) {
-		part->n_run++;
-		part->n_arrived++;
+		part->n_maybe_run++;
+		part->n_delivered++;
 		return ret;
 	}
 	dispatch->n_extra--;
 	if (!arrived)
 		part->service->budget.uncharged--;
-	waiting->state = SEND_OVER;
+	waiting->state = SEND_ENDED;
 	dispatch->ops->abandon(dispatch->arg, waiting);
 	return 0;
 }
--- a/gateway_answer.c
+++ b/gateway_answer.c
@@ -43,7 +43,7 @@
 		 LOG_I64("left_us",
 			 dispatch->deadline - clock_now(&gateway->clock)),
 		 LOG_I64("parts", dispatch->n_parts),
-		 LOG_I64("parts_in", dispatch->n_in),
+		 LOG_I64("parts_in", dispatch->n_answered),
 		 LOG_I64("sends", dispatch->n_sends),
 		 LOG_I64("extra", dispatch->n_extra),
 		 LOG_TEXT("error", error_name(dispatch->code)));
@@ -64,7 +64,7 @@
 		const struct server_load *load =
 			last->server ? &last->server->load : &unknown;
 
-		if (part->state == PART_IN || part->code == ERR_LEFT_OUT)
+		if (part->state == PART_ANSWERED || part->code == ERR_LEFT_OUT)
 			continue;
 		LOG_INFO("part_missing",
 			 LOG_STR("request", request->request.id),
@@ -106,7 +106,7 @@
 	}
 	evbuffer_add_printf(fields, "\r\n" STR_FMT ": %d\r\n",
 			    STR_ARG(names->parts_missing),
-			    dispatch->n_parts - dispatch->n_in);
+			    dispatch->n_parts - dispatch->n_answered);
 	gateway_answer_log(request, HTTP_STATUS_OK);
 	log_missing(request);
 	inbound_answer(request->conn, HTTP_STATUS_OK, fields,
@@ -139,13 +139,13 @@
 static void log_lost(const struct gateway_request *request, int64_t retry_after)
 {
 	const struct dispatch *dispatch = &request->dispatch;
-	int64_t lost_for = clock_now(dispatch->clock) - dispatch->lost_since;
+	int64_t lost_for = clock_now(dispatch->clock) - dispatch->outage_since;
 
 	LOG_INFO("shards_lost", LOG_STR("request", request->request.id),
-		 LOG_I64("lost", dispatch->n_lost),
+		 LOG_I64("lost", dispatch->n_unreachable),
 		 LOG_I64("parts", dispatch->n_parts),
 		 LOG_I64("lost_for_ms",
-			 dispatch->lost_since ? lost_for / USEC_PER_MSEC : 0),
+			 dispatch->outage_since ? lost_for / USEC_PER_MSEC : 0),
 		 LOG_I64("retry_after_ms", retry_after));
 }
 
@@ -154,7 +154,7 @@
 			 int64_t retry_after)
 {
 	const struct dispatch *dispatch = &request->dispatch;
-	const struct load_limit *load = dispatch_load(dispatch);
+	const struct load_limit *load = dispatch_load_limit(dispatch);
 	int64_t age = clock_now(dispatch->clock) - load->lowered_at;
 	int level = dispatch->level;
 
@@ -163,7 +163,7 @@
 		 LOG_I64("open", load->open), LOG_F64("limit", load->limit),
 		 LOG_F64("asked", load->levels[level].asked),
 		 LOG_F64("admitted", load->levels[level].admitted),
-		 LOG_I64("room_in_us", dispatch->room_in),
+		 LOG_I64("room_in_us", dispatch->capacity_delay),
 		 LOG_I64("limit_age_ms", age / USEC_PER_MSEC),
 		 LOG_I64("retry_after_ms", retry_after));
 }
@@ -196,9 +196,10 @@
 	if (code == ERR_OVERLOAD) {
 		metric_inc(overload_level(request));
 		metric_inc(&request->gateway->counters.overload);
-		if (!request->dispatch.foreseen)
+		if (!request->dispatch.refused_by_forecast)
 			log_overload(request, retry_after);
-	} else if (!request->dispatch.n_sends && request->dispatch.n_lost) {
+	} else if (!request->dispatch.n_sends &&
+		   request->dispatch.n_unreachable) {
 		metric_inc(&request->gateway->counters.no_server);
 		log_lost(request, retry_after);
 	}
@@ -212,9 +213,9 @@
 	struct gateway_stats *counters = &request->gateway->counters;
 	enum dispatch_outcome outcome = request->dispatch.outcome;
 
-	if (outcome == DISPATCH_WHOLE || outcome == DISPATCH_PARTIAL) {
-		metric_inc(outcome == DISPATCH_WHOLE ? &counters->answered
-						     : &counters->partial);
+	if (outcome == DISPATCH_COMPLETE || outcome == DISPATCH_PARTIAL) {
+		metric_inc(outcome == DISPATCH_COMPLETE ? &counters->answered
+							: &counters->partial);
 		if (request->route->sharded)
 			answer_parts(request);
 		else
--- a/gateway_forecast.c
+++ b/gateway_forecast.c
@@ -103,8 +103,8 @@
 	LOG_INFO("send_kept_back", LOG_STR("request", request->request.id),
 		 LOG_TEXT("service", part->service->name),
 		 LOG_I64("sends", part->n_sends),
-		 LOG_I64("parts_in", dispatch->n_in),
+		 LOG_I64("parts_in", dispatch->n_answered),
 		 LOG_I64("ahead_us", expected->ahead),
 		 LOG_I64("run_us", expected->run),
-		 LOG_I64("goal_left_us", dispatch->answer_at - now));
+		 LOG_I64("goal_left_us", dispatch->soft_deadline - now));
 }
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -94,7 +94,7 @@
 
 static bool is_ours(const struct gateway *gateway, struct str name)
 {
-	const struct upstream_names *names = &gateway->names->upstream;
+	const struct upstream_header_names *names = &gateway->names->upstream;
 
 	return (name.len == names->deadline.len &&
 		!strncasecmp(name.data, names->deadline.data, name.len)) ||
@@ -164,12 +164,13 @@
 	int64_t now = clock_now(&gateway->clock);
 	const struct answer_due due = {
 		.goal = MSEC(route->goal_ms),
-		.patience = MSEC(peak_add(&stats->patience, told, now)),
-		.told = told < 0 ? -1 : MSEC(told),
+		.longest_timeout = MSEC(peak_add(&stats->patience, told, now)),
+		.caller_timeout = told < 0 ? -1 : MSEC(told),
 		.round_trip = inbound_conn_round_trip(conn),
 	};
 
-	return answer_due_after(&due) - blackboard_stall(&gateway->fleet.board);
+	return answer_due_timeout(&due) -
+	       blackboard_stall(&gateway->fleet.board);
 }
 
 static struct str host_of(const struct http_message *message)
@@ -216,7 +217,7 @@
 		http_message_field(message,
 				   gateway->names->upstream.request_id);
 	request->request.is_head = message->parser.method == HTTP_HEAD;
-	request->request.fresh = !route->repeatable;
+	request->request.needs_recent_conn = !route->repeatable;
 	build_head(request, message);
 	inbound_conn_set(conn, request);
 	DL_APPEND(gateway->open, request);
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -132,14 +132,14 @@
 {
 	struct gateway_request *request = arg;
 
-	dispatch_hold(&request->dispatch);
+	dispatch_begin_batch(&request->dispatch);
 }
 
 static void release(void *arg)
 {
 	struct gateway_request *request = arg;
 
-	request->go_on(request, dispatch_release(&request->dispatch));
+	request->go_on(request, dispatch_end_batch(&request->dispatch));
 }
 
 /* Towards the decisions. */
@@ -227,7 +227,7 @@
 	struct gateway *gateway = request->gateway;
 	const struct server_rank rank = {
 		.priority = request->route->priority,
-		.goal_at = request->dispatch.answer_at,
+		.goal_at = request->dispatch.soft_deadline,
 	};
 	struct server_turn *turn;
 	int ret;
@@ -307,18 +307,18 @@
 	LOG_INFO("load_limit_fell", LOG_STR("request", request->request.id),
 		 LOG_TEXT("service", request->dispatch.parts[0].service->name),
 		 LOG_F64("limit", load->limit), LOG_I64("open", load->open),
-		 LOG_I64("parts_in", request->dispatch.n_in),
+		 LOG_I64("parts_in", request->dispatch.n_answered),
 		 LOG_I64("parts", request->dispatch.n_parts));
 }
 
 const struct dispatch_ops gateway_send_ops = {
 	.send = send_part,
 	.abandon = abandon,
-	.waits = waits,
-	.decided = decided,
-	.limited = limited,
-	.foreseen = gateway_foreseen,
-	.kept_back = gateway_kept_back,
+	.is_queued = waits,
+	.sent = decided,
+	.limit_lowered = limited,
+	.forecast_decided = gateway_foreseen,
+	.send_suppressed = gateway_kept_back,
 };
 
 /*
@@ -334,7 +334,7 @@
 	relay->request = &request->request;
 	relay->fingerprint = request->fingerprint;
 	relay->deadline = request->dispatch.deadline;
-	relay->goal_at = request->dispatch.answer_at;
+	relay->goal_at = request->dispatch.soft_deadline;
 	relay->priority = request->route->priority;
 	relay->records_max = request->route->records_max;
 	relay->taken = &request->dispatch.records;
--- a/hedge.c
+++ b/hedge.c
@@ -4,20 +4,20 @@
  * Part of the budget for requests that are merely above the quantile; the
  * rest is for stragglers.
  */
-#define BUDGET_PART 0.6
+#define QUANTILE_BUDGET_SHARE 0.6
 /* A hedge is itself hedged sooner: they are few, and the search is late. */
-#define AGAIN_QUANTILE 0.7
+#define REHEDGE_QUANTILE 0.7
 #define QUANTILE_MIN 0.5
 #define QUANTILE_MAX 0.999
 /* Of the deadline, while nothing is known. */
-#define UNKNOWN_PART 4
+#define DEFAULT_DELAY_DIVISOR 4
 #define MEDIAN 0.5
 #define SEARCH_QUANTILE 0.95
-#define SEARCH_SAMPLES 16.0
+#define SEARCH_SAMPLES_MIN 16.0
 
-static double quantile_of(const struct service *service)
+static double hedge_quantile(const struct service *service)
 {
-	double q = 1 - service->hedge_extra * BUDGET_PART;
+	double q = 1 - service->hedge_extra * QUANTILE_BUDGET_SHARE;
 
 	if (q < QUANTILE_MIN)
 		return QUANTILE_MIN;
@@ -30,8 +30,8 @@
  * which is then never hedged and holds its slot to the end. The median stays
  * where it was.
  */
-static int64_t late_after(const struct observe *observe,
-			  const struct observe_server *server, double q)
+static int64_t late_threshold(const struct observe *observe,
+			      const struct observe_server *server, double q)
 {
 	double factor = observe->tunables.hedge_median_factor;
 	double most =
@@ -43,22 +43,22 @@
 
 int64_t hedge_delay(const struct observe *observe,
 		    const struct service *service, const struct replica *asked,
-		    const struct replica *others, int n, bool again)
+		    const struct replica *others, int n, bool is_hedge)
 {
 	int64_t floor = MSEC(observe->tunables.hedge_floor_ms);
-	double q = again ? AGAIN_QUANTILE : quantile_of(service);
-	int64_t delay = late_after(observe, asked->server, q);
+	double q = is_hedge ? REHEDGE_QUANTILE : hedge_quantile(service);
+	int64_t delay = late_threshold(observe, asked->server, q);
 	int i;
 
 	if (!delay)
-		return MSEC(service->deadline_ms) / UNKNOWN_PART;
+		return MSEC(service->deadline_ms) / DEFAULT_DELAY_DIVISOR;
 	for (i = 0; i < n; i++) {
 		int64_t other;
 
 		if (others[i].server == asked->server || others[i].excluded ||
 		    replica_ejected(others[i].server))
 			continue;
-		other = late_after(observe, others[i].server, q);
+		other = late_threshold(observe, others[i].server, q);
 		if (other < delay)
 			delay = other;
 	}
@@ -84,7 +84,7 @@
 	return now + observe_mean(observe, server) < deadline;
 }
 
-int64_t hedge_answer_after(const struct observe *observe,
+int64_t hedge_soft_timeout(const struct observe *observe,
 			   const struct service *service,
 			   const struct observe_service *seen,
 			   int64_t deadline_us)
@@ -94,7 +94,7 @@
 	double late;
 
 	if (service->mode == SERVICE_COVERAGE ||
-	    sketch_count(&seen->searches, now, half_life) < SEARCH_SAMPLES)
+	    sketch_count(&seen->searches, now, half_life) < SEARCH_SAMPLES_MIN)
 		return deadline_us;
 	late = observe->tunables.late_factor *
 	       (double)sketch_quantile(&seen->searches, SEARCH_QUANTILE);
--- a/latency.c
+++ b/latency.c
@@ -3,15 +3,15 @@
 /* Of the newest answer in what is usual: one request brings many at a time. */
 #define UNLOADED_WEIGHT 0.005
 /* Of the newest request in the lag. */
-#define LAG_WEIGHT 0.05
+#define FORECAST_ERROR_WEIGHT 0.05
 /* One late answer moves the estimate by this share. */
-#define STEP 0.05
+#define TAIL_STEP 0.05
 
 void latency_init(struct latency *latency, int64_t guess)
 {
 	latency->unloaded = 0;
-	latency->lag = 0;
-	latency->late = (double)guess;
+	latency->forecast_error = 0;
+	latency->tail = (double)guess;
 }
 
 void latency_add_unloaded(struct latency *latency, double usec)
@@ -21,15 +21,16 @@
 	latency->unloaded += (usec - latency->unloaded) * UNLOADED_WEIGHT;
 }
 
-void latency_add_lag(struct latency *latency, int64_t usec)
+void latency_add_forecast_error(struct latency *latency, int64_t usec)
 {
-	latency->lag += ((double)usec - latency->lag) * LAG_WEIGHT;
+	latency->forecast_error += ((double)usec - latency->forecast_error) *
+				   FORECAST_ERROR_WEIGHT;
 }
 
 void latency_add(struct latency *latency, int64_t usec)
 {
-	if ((double)usec > latency->late)
-		latency->late *= 1 + STEP * (1 - LATENCY_LATE);
+	if ((double)usec > latency->tail)
+		latency->tail *= 1 + TAIL_STEP * (1 - LATENCY_TAIL_SHARE);
 	else
-		latency->late *= 1 - STEP * LATENCY_LATE;
+		latency->tail *= 1 - TAIL_STEP * LATENCY_TAIL_SHARE;
 }
--- a/server_queue_net.c
+++ b/server_queue_net.c
@@ -42,13 +42,13 @@
 static void hurry(void *arg, struct server_turn *turn, int64_t linger)
 {
 	(void)arg;
-	exchange_hurry(turn->handle, linger);
+	exchange_set_timeout(turn->handle, linger);
 }
 
 static int under_way(void *arg, const struct registry_server *server)
 {
 	(void)arg;
-	return upstream_under_way(server);
+	return upstream_in_flight(server);
 }
 
 static void wake(void *arg, int64_t at)
@@ -88,12 +88,12 @@
 	net->poison = poison;
 	server_queues_init(&net->queues, upstream->clock, &ops, net, stats);
 	wake_timer_init(&net->timer, base, upstream->clock, on_timer, net);
-	upstream->freed = on_freed;
-	upstream->freed_arg = net;
+	upstream->on_released = on_freed;
+	upstream->on_released_arg = net;
 }
 
 void server_queue_net_finish(struct server_queue_net *net)
 {
-	net->upstream->freed = NULL;
+	net->upstream->on_released = NULL;
 	wake_timer_finish(&net->timer);
 }
--- a/tests/dispatch_world.h
+++ b/tests/dispatch_world.h
@@ -65,7 +65,7 @@
 static const struct dispatch_ops ops = {
 	.send = on_send,
 	.abandon = on_abandon,
-	.waits = on_waits,
+	.is_queued = on_waits,
 };
 
 static inline void on_check(void *arg, struct registry_server *server,
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -5,12 +5,12 @@
 	struct world world;
 
 	world_init(&world);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
-	CU_ASSERT(result(&world, 0, 0, false, "a") == DISPATCH_OPEN);
-	CU_ASSERT(result(&world, 1, 0, false, "b") == DISPATCH_OPEN);
-	CU_ASSERT(result(&world, 2, 0, false, "c") == DISPATCH_OPEN);
-	CU_ASSERT(result(&world, 3, 0, false, "d") == DISPATCH_WHOLE);
+	CU_ASSERT(result(&world, 0, 0, false, "a") == DISPATCH_PENDING);
+	CU_ASSERT(result(&world, 1, 0, false, "b") == DISPATCH_PENDING);
+	CU_ASSERT(result(&world, 2, 0, false, "c") == DISPATCH_PENDING);
+	CU_ASSERT(result(&world, 3, 0, false, "d") == DISPATCH_COMPLETE);
 	CU_ASSERT(world.dispatch.records.n == 3);
 	world_finish(&world);
 }
@@ -29,13 +29,13 @@
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
 	result(&world, 2, 0, false, "c");
-	CU_ASSERT(pass(&world, 10) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 10) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
-	CU_ASSERT(pass(&world, 15) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 15) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(world.sent[4]->server != world.sent[3]->server);
 	CU_ASSERT(world.sent[4]->part == world.sent[3]->part);
-	CU_ASSERT(result(&world, 4, 0, false, "d") == DISPATCH_WHOLE);
+	CU_ASSERT(result(&world, 4, 0, false, "d") == DISPATCH_COMPLETE);
 	CU_ASSERT(world.n_abandoned == 1);
 	world_finish(&world);
 }
@@ -45,7 +45,7 @@
  * other one does not answer either; a moment later it does, and must be asked
  * then, for the first one may stay away for longer than the goal.
  */
-static void test_hedge_when_other_is_back(void)
+static void test_hedge_when_other_recovers(void)
 {
 	struct world world;
 	struct registry_server *other;
@@ -58,11 +58,11 @@
 			? STR("s0-1")
 			: STR("s0-0"));
 	other->score.avoid_until = clock_now(&world.clock) + MSEC(40);
-	CU_ASSERT(pass(&world, 25) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 25) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 1);
 	CU_ASSERT(dispatch_due(&world.dispatch) <=
 		  clock_now(&world.clock) + MSEC(5));
-	CU_ASSERT(pass(&world, 16) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 16) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 2);
 	CU_ASSERT(world.sent[1]->server == other);
 	world_finish(&world);
@@ -80,15 +80,15 @@
 
 	world_init(&world);
 	start(&world, "/shards/");
-	CU_ASSERT(pass(&world, 50) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 50) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	result(&world, 0, 0, false, "a");
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	result(&world, 1, 0, false, "b");
 	CU_ASSERT(dispatch_due(&world.dispatch) <=
 		  clock_now(&world.clock) + MSEC(5));
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 6);
 	world_finish(&world);
 }
@@ -105,17 +105,18 @@
 
 	world_init(&world);
 	start(&world, "/shards/");
-	CU_ASSERT(result(&world, first, ERR_SHED, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, first, ERR_SHED, true, "") ==
+		  DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
-	CU_ASSERT(result(&world, 4, ERR_SHED, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 4, ERR_SHED, true, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 6);
 	CU_ASSERT(world.sent[5]->part == &world.dispatch.parts[3]);
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
 	result(&world, 2, 0, false, "c");
-	CU_ASSERT(result(&world, 5, 0, false, "d") == DISPATCH_WHOLE);
+	CU_ASSERT(result(&world, 5, 0, false, "d") == DISPATCH_COMPLETE);
 	world_finish(&world);
 }
 
@@ -132,15 +133,15 @@
 	start(&world, "/shards/");
 	for (i = 0; i < 3; i++)
 		result(&world, i, 0, false, i == 0 ? "a" : i == 1 ? "b" : "c");
-	CU_ASSERT(pass(&world, 85) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 85) == DISPATCH_PENDING);
 	CU_ASSERT(dispatch_due(&world.dispatch) ==
 		  clock_now(&world.clock) + MSEC(5));
 	CU_ASSERT(pass(&world, 5) == DISPATCH_PARTIAL);
-	CU_ASSERT(world.dispatch.n_in == 3);
+	CU_ASSERT(world.dispatch.n_answered == 3);
 	world_finish(&world);
 }
 
-static void test_late_part_makes_it_enough(void)
+static void test_late_part_reaches_coverage(void)
 {
 	struct world world;
 
@@ -148,7 +149,7 @@
 	start(&world, "/shards/");
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
-	CU_ASSERT(pass(&world, 300) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 300) == DISPATCH_PENDING);
 	CU_ASSERT(result(&world, 2, 0, false, "c") == DISPATCH_PARTIAL);
 	world_finish(&world);
 }
@@ -158,10 +159,10 @@
  * reached. The caller is told at once; it would otherwise wait for its timeout
  * to learn the same.
  */
-static void test_hopeless_fails_at_once(void)
+static void test_unreachable_coverage_fails_at_once(void)
 {
 	struct world world;
-	enum dispatch_outcome outcome = DISPATCH_OPEN;
+	enum dispatch_outcome outcome = DISPATCH_PENDING;
 	int i;
 
 	world_init(&world);
@@ -176,7 +177,7 @@
 }
 
 /* Connections to a service's servers were refused, several times in a row. */
-static void lose_service(struct world *world, const char *name)
+static void make_unreachable(struct world *world, const char *name)
 {
 	struct registry_service *service =
 		registry_service(&world->registry, str_from(name));
@@ -203,8 +204,8 @@
 	struct world world;
 
 	world_init(&world);
-	lose_service(&world, "s1");
-	lose_service(&world, "s2");
+	make_unreachable(&world, "s1");
+	make_unreachable(&world, "s2");
 	clock_advance(&world.clock, MSEC(300));
 	CU_ASSERT(start(&world, "/shards/") == DISPATCH_REFUSED);
 	CU_ASSERT(world.n_sent == 0);
@@ -223,7 +224,7 @@
 	struct load_limit *load;
 
 	world_init(&world);
-	lose_service(&world, "s1");
+	make_unreachable(&world, "s1");
 	clock_advance(&world.clock, MSEC(3000));
 	load = &registry_service(&world.registry, STR("s0"))->load;
 	load_limit_ask(load, 0, 1, clock_now(&world.clock));
@@ -241,13 +242,13 @@
  * One of four shards is lost, and the route can miss one. The answer goes out
  * once the others are in; the caller does not wait for what cannot come.
  */
-static void test_lost_shard_holds_nobody_up(void)
+static void test_lost_shard_does_not_delay(void)
 {
 	struct world world;
 
 	world_init(&world);
-	lose_service(&world, "s1");
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	make_unreachable(&world, "s1");
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 3);
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
@@ -260,19 +261,19 @@
  * Two shards were lost and one is back: a check finds a server that listens.
  * The next request must be sent to it, not refused by what was known before.
  */
-static void test_shard_is_back(void)
+static void test_shard_recovers(void)
 {
 	struct world world;
 
 	world_init(&world);
-	lose_service(&world, "s1");
-	lose_service(&world, "s2");
+	make_unreachable(&world, "s1");
+	make_unreachable(&world, "s2");
 	CU_ASSERT(start(&world, "/shards/") == DISPATCH_REFUSED);
 	dispatch_finish(&world.dispatch);
 	outage_tick(&world.outage);
 	CU_ASSERT(world.n_checks == 4);
 	outage_checked(&world.outage, world.check, true);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 3);
 	world_finish(&world);
 }
@@ -288,7 +289,7 @@
 
 	world_init(&world);
 	start(&world, "/once/");
-	CU_ASSERT(pass(&world, 200) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 200) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 1);
 	CU_ASSERT(result(&world, 0, ERR_LOST, false, "") == DISPATCH_FAILED);
 	CU_ASSERT(world.n_sent == 1);
@@ -301,7 +302,7 @@
 
 	world_init(&world);
 	start(&world, "/once/");
-	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 2);
 	CU_ASSERT(result(&world, 1, ERR_SHED, true, "") == DISPATCH_REFUSED);
 	world_finish(&world);
@@ -327,7 +328,7 @@
 	add_server(&world, "s0", 2);
 	add_server(&world, "s0", 3);
 	start(&world, "/any/");
-	CU_ASSERT(result(&world, 0, ERR_LOST, false, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 0, ERR_LOST, false, "") == DISPATCH_PENDING);
 	CU_ASSERT(result(&world, 1, ERR_LOST, false, "") == DISPATCH_FAILED);
 	CU_ASSERT(world.n_sent == 2);
 	world_finish(&world);
@@ -347,10 +348,11 @@
 	world.limits.budget = (struct budget_limit){.ratio = 0.001, .burst = 0};
 	for (i = 0; i < 20; i++) {
 		world.n_sent = 0;
-		CU_ASSERT(start(&world, "/any/") == DISPATCH_OPEN);
+		CU_ASSERT(start(&world, "/any/") == DISPATCH_PENDING);
 		result(&world, 0, ERR_CONNECT, true, "");
 		CU_ASSERT(world.n_sent == 2);
-		CU_ASSERT(result(&world, 1, 0, false, "x") == DISPATCH_WHOLE);
+		CU_ASSERT(result(&world, 1, 0, false, "x") ==
+			  DISPATCH_COMPLETE);
 		dispatch_finish(&world.dispatch);
 	}
 	start(&world, "/any/");
@@ -371,13 +373,13 @@
 	world.limits.budget.burst = 0;
 	start(&world, "/any/");
 	service = registry_service(&world.registry, STR("s0"));
-	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 1);
 	budget_need(&service->budget, &world.limits.budget, 20,
 		    clock_now(&world.clock));
 	CU_ASSERT(dispatch_due(&world.dispatch) <=
 		  clock_now(&world.clock) + MSEC(5));
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 2);
 	world_finish(&world);
 }
@@ -393,12 +395,12 @@
 
 	world_init(&world);
 	world.refuse = ERR_BUDGET;
-	CU_ASSERT(start(&world, "/any/") == DISPATCH_OPEN);
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/any/") == DISPATCH_PENDING);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	world.refuse = 0;
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 1);
-	CU_ASSERT(result(&world, 0, 0, false, "x") == DISPATCH_WHOLE);
+	CU_ASSERT(result(&world, 0, 0, false, "x") == DISPATCH_COMPLETE);
 	world_finish(&world);
 }
 
@@ -413,11 +415,11 @@
 	start(&world, "/any/");
 	for (i = 0; i < 3; i++) {
 		CU_ASSERT(result(&world, i, ERR_BUDGET, true, "") ==
-			  DISPATCH_OPEN);
+			  DISPATCH_PENDING);
 		pass(&world, 5);
 		CU_ASSERT(world.n_sent == i + 2);
 	}
-	CU_ASSERT(result(&world, 3, 0, false, "x") == DISPATCH_WHOLE);
+	CU_ASSERT(result(&world, 3, 0, false, "x") == DISPATCH_COMPLETE);
 	world_finish(&world);
 }
 
@@ -426,7 +428,7 @@
  * says so at once, again and again. The request must live until one has, and
  * not send more than one message to each in 5 ms.
  */
-static void test_busy_for_long(void)
+static void test_long_busy_servers(void)
 {
 	struct world world;
 	int ended = 0;
@@ -437,21 +439,21 @@
 	for (ms = 0; ms < 60; ms++) {
 		while (ended < world.n_sent)
 			CU_ASSERT(result(&world, ended++, ERR_BUDGET, true,
-					 "") == DISPATCH_OPEN);
+					 "") == DISPATCH_PENDING);
 		pass(&world, 1);
 	}
 	CU_ASSERT(world.n_sent >= 12);
 	CU_ASSERT(world.n_sent <= 26);
 	pass(&world, 5);
 	CU_ASSERT(result(&world, world.n_sent - 1, 0, false, "x") ==
-		  DISPATCH_WHOLE);
+		  DISPATCH_COMPLETE);
 	world_finish(&world);
 }
 
 static void test_retry_gives_up_at_goal(void)
 {
 	struct world world;
-	enum dispatch_outcome outcome = DISPATCH_OPEN;
+	enum dispatch_outcome outcome = DISPATCH_PENDING;
 	int i;
 
 	world_init(&world);
@@ -478,7 +480,7 @@
 }
 
 /* A stamp that is in already would make the whole answer wrong. */
-static void test_same_stamp_twice(void)
+static void test_duplicate_stamp(void)
 {
 	struct world world;
 
@@ -486,7 +488,7 @@
 	start(&world, "/shards/");
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "a");
-	CU_ASSERT(world.dispatch.n_in == 1);
+	CU_ASSERT(world.dispatch.n_answered == 1);
 	world_finish(&world);
 }
 
@@ -516,11 +518,11 @@
 	world_init(&world);
 	start(&world, "/shards/");
 	tokens = world.sent[3]->part->service->budget.tokens;
-	CU_ASSERT(result(&world, 3, code, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 3, code, true, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(world.sent[4]->part == world.sent[3]->part);
 	CU_ASSERT(world.sent[4]->server != world.sent[3]->server);
-	CU_ASSERT(world.sent[3]->part->n_run == 1);
+	CU_ASSERT(world.sent[3]->part->n_maybe_run == 1);
 	CU_ASSERT(world.sent[3]->part->service->budget.tokens >= tokens);
 	world_finish(&world);
 }
@@ -530,7 +532,7 @@
 	test_unsent(ERR_COLD);
 }
 
-static void test_unsent_for_leaving(void)
+static void test_unsent_for_draining(void)
 {
 	test_unsent(ERR_DRAINING);
 }
@@ -561,7 +563,7 @@
 }
 
 /* A part waits here for its turn: when a hedge is due it is moved, for free. */
-static void test_waiting_part_is_moved(void)
+static void test_queued_part_is_moved(void)
 {
 	struct budget *budget;
 	struct world world;
@@ -572,18 +574,18 @@
 	world.waits = world.sent[3];
 	budget = &world.sent[3]->part->service->budget;
 	before = budget->tokens;
-	CU_ASSERT(pass(&world, 25) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 25) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(world.n_abandoned == 1);
 	CU_ASSERT(world.sent[4]->server != world.sent[3]->server);
-	CU_ASSERT(world.sent[4]->part->n_run == 1);
+	CU_ASSERT(world.sent[4]->part->n_maybe_run == 1);
 	CU_ASSERT(budget->tokens >= before);
 	CU_ASSERT(world.dispatch.n_extra == 0);
 	world_finish(&world);
 }
 
 /* What must not be repeated is moved while it surely has not run, not after. */
-static void test_only_waiting_is_moved_once(void)
+static void test_once_moves_only_while_queued(void)
 {
 	struct world world;
 
@@ -592,16 +594,16 @@
 	world.waits = world.sent[0];
 	CU_ASSERT(dispatch_due(&world.dispatch) <=
 		  clock_now(&world.clock) + MSEC(20));
-	CU_ASSERT(pass(&world, 25) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 25) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 2);
 	world.waits = NULL;
-	CU_ASSERT(pass(&world, 50) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 50) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 2);
 	world_finish(&world);
 }
 
 /* An error that is told at the deadline comes too late: the caller has left. */
-static void test_told_before_the_deadline(void)
+static void test_error_before_deadline(void)
 {
 	struct world world;
 	int64_t due;
@@ -623,7 +625,7 @@
 }
 
 /* A deadline passes while all waits here: the caller is told it has not run. */
-static void test_waiting_to_the_end_has_not_run(void)
+static void test_queued_until_deadline_has_not_run(void)
 {
 	struct world world;
 
@@ -638,7 +640,7 @@
 
 /* A part that did not fit comes back unsent: no attempt and no budget is gone.
  */
-static void test_unfit_part_goes_elsewhere(void)
+static void test_overloaded_part_goes_elsewhere(void)
 {
 	struct dispatch_part *part;
 	struct world world;
@@ -648,38 +650,41 @@
 	start(&world, "/shards/");
 	part = world.sent[3]->part;
 	before = part->service->budget.tokens;
-	CU_ASSERT(result(&world, 3, ERR_OVERLOAD, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 3, ERR_OVERLOAD, true, "") ==
+		  DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(world.sent[4]->part == part);
-	CU_ASSERT(result(&world, 4, ERR_OVERLOAD, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 4, ERR_OVERLOAD, true, "") ==
+		  DISPATCH_PENDING);
 	/* Both servers are asked again in a moment. */
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 6);
-	CU_ASSERT(part->n_run == 1);
+	CU_ASSERT(part->n_maybe_run == 1);
 	CU_ASSERT(part->service->budget.tokens >= before);
 	world_finish(&world);
 }
 
 static const struct unit_test tests[] = {
-	{"waiting part is moved", test_waiting_part_is_moved},
-	{"only waiting is moved once", test_only_waiting_is_moved_once},
-	{"waiting to the end has not run", test_waiting_to_the_end_has_not_run},
-	{"unfit part goes elsewhere", test_unfit_part_goes_elsewhere},
+	{"waiting part is moved", test_queued_part_is_moved},
+	{"only waiting is moved once", test_once_moves_only_while_queued},
+	{"waiting to the end has not run",
+	 test_queued_until_deadline_has_not_run},
+	{"unfit part goes elsewhere", test_overloaded_part_goes_elsewhere},
 	{"all parts", test_all_parts},
 	{"unsent for cold", test_unsent_for_cold},
-	{"unsent for leaving", test_unsent_for_leaving},
+	{"unsent for leaving", test_unsent_for_draining},
 	{"all cold", test_all_cold},
 	{"hedge", test_hedge},
-	{"hedge when the other is back", test_hedge_when_other_is_back},
+	{"hedge when the other is back", test_hedge_when_other_recovers},
 	{"no hedges while all are late", test_no_hedges_while_all_are_late},
 	{"shard without a free slot", test_shard_without_a_free_slot},
 	{"partial at the goal", test_partial_at_goal},
-	{"a late part makes it enough", test_late_part_makes_it_enough},
-	{"hopeless fails at once", test_hopeless_fails_at_once},
+	{"a late part makes it enough", test_late_part_reaches_coverage},
+	{"hopeless fails at once", test_unreachable_coverage_fails_at_once},
 	{"lost shards refuse at once", test_lost_shards_refuse_at_once},
 	{"refused for load", test_refused_for_load},
-	{"lost shard holds nobody up", test_lost_shard_holds_nobody_up},
-	{"shard is back", test_shard_is_back},
+	{"lost shard holds nobody up", test_lost_shard_does_not_delay},
+	{"shard is back", test_shard_recovers},
 	{"once is not repeated", test_once_is_not_repeated},
 	{"once goes on if not run", test_once_goes_on_if_not_run},
 	{"time-out while under way", test_timeout_under_way},
@@ -689,12 +694,12 @@
 	{"a retry waits for budget", test_retry_waits_for_budget},
 	{"waits for a connection", test_waits_for_connection},
 	{"a relay has no connection", test_relay_has_no_connection},
-	{"busy for long", test_busy_for_long},
+	{"busy for long", test_long_busy_servers},
 	{"a retry gives up at the goal", test_retry_gives_up_at_goal},
 	{"no server", test_no_server},
-	{"the same stamp twice", test_same_stamp_twice},
+	{"the same stamp twice", test_duplicate_stamp},
 	{"the caller left", test_caller_left},
-	{"told before the deadline", test_told_before_the_deadline},
+	{"told before the deadline", test_error_before_deadline},
 };
 
 UNIT_MAIN("dispatch", tests)
--- a/tests/test_dispatch_forecast.c
+++ b/tests/test_dispatch_forecast.c
@@ -1,10 +1,10 @@
 #include "dispatch_world.h"
 
-#define USUAL MSEC(10)
-#define LATE MSEC(400)
+#define USUAL_LATENCY MSEC(10)
+#define LONG_WAIT MSEC(400)
 
 /* All that is said of the servers of shards @first to 3 is said at once. */
-static void tell(struct world *world, int first, int64_t ahead)
+static void report_wait(struct world *world, int first, int64_t ahead)
 {
 	int64_t now = clock_now(&world->clock);
 	struct registry_server *server;
@@ -14,7 +14,8 @@
 		if (server->entry.service[1] - '0' < first)
 			continue;
 		server_outlook_told(&server->outlook, 0, ahead, now);
-		server_outlook_paced(&server->outlook, (double)USUAL, now);
+		server_outlook_paced(&server->outlook, (double)USUAL_LATENCY,
+				     now);
 	}
 }
 
@@ -25,10 +26,10 @@
 
 	world_init(world);
 	world->control.left_out = true;
-	latency_add_unloaded(&world->latency, (double)USUAL);
+	latency_add_unloaded(&world->latency, (double)USUAL_LATENCY);
 	for (server = world->registry.servers; server;
 	     server = server->hh.next) {
-		server->service->usual = (double)USUAL;
+		server->service->usual = (double)USUAL_LATENCY;
 		server->score.outstanding = n_others;
 		server->score.waiting_since = clock_now(&world->clock);
 	}
@@ -41,13 +42,13 @@
 	struct world world;
 
 	init(&world, 1);
-	tell(&world, 0, LATE);
+	report_wait(&world, 0, LONG_WAIT);
 	CU_ASSERT(start(&world, "/shards/") == DISPATCH_REFUSED);
 	CU_ASSERT(world.n_sent == 0);
 	CU_ASSERT(world.dispatch.code == ERR_OVERLOAD);
-	CU_ASSERT(world.dispatch.foreseen);
-	CU_ASSERT(world.dispatch.room_in > MSEC(300));
-	CU_ASSERT(world.dispatch.room_in <= LATE);
+	CU_ASSERT(world.dispatch.refused_by_forecast);
+	CU_ASSERT(world.dispatch.capacity_delay > MSEC(300));
+	CU_ASSERT(world.dispatch.capacity_delay <= LONG_WAIT);
 	world_finish(&world);
 }
 
@@ -57,33 +58,33 @@
 
 	init(&world, 1);
 	world.control.left_out = false;
-	tell(&world, 0, LATE);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	report_wait(&world, 0, LONG_WAIT);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	world_finish(&world);
 }
 
 /* Guards against refusing on what is not known, or not known any more. */
-static void test_little_known(void)
+static void test_incomplete_reports(void)
 {
 	struct world world;
 
 	init(&world, 1);
-	tell(&world, 0, LATE);
-	clock_advance(&world.clock, LATE);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	report_wait(&world, 0, LONG_WAIT);
+	clock_advance(&world.clock, LONG_WAIT);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	world_finish(&world);
 
 	init(&world, 1);
 	world.latency.unloaded = 0;
-	tell(&world, 0, LATE);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	report_wait(&world, 0, LONG_WAIT);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	world_finish(&world);
 
 	/* Of one shard nothing is known; too many others are late. */
 	init(&world, 1);
-	tell(&world, 1, LATE);
+	report_wait(&world, 1, LONG_WAIT);
 	CU_ASSERT(start(&world, "/shards/") == DISPATCH_REFUSED);
 	world_finish(&world);
 }
@@ -94,8 +95,8 @@
 	struct world world;
 
 	init(&world, 0);
-	tell(&world, 0, LATE);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	report_wait(&world, 0, LONG_WAIT);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	world_finish(&world);
 }
@@ -106,10 +107,10 @@
 	struct world world;
 
 	init(&world, 1);
-	tell(&world, 0, LATE);
+	report_wait(&world, 0, LONG_WAIT);
 	prepare(&world, "/shards/");
 	world.dispatch.promised = true;
-	CU_ASSERT(dispatch_start(&world.dispatch) == DISPATCH_OPEN);
+	CU_ASSERT(dispatch_start(&world.dispatch) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	world_finish(&world);
 }
@@ -120,8 +121,8 @@
 	struct world world;
 
 	init(&world, 1);
-	tell(&world, 3, LATE);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	report_wait(&world, 3, LONG_WAIT);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 3);
 	CU_ASSERT(world.dispatch.n_left_out == 1);
 	CU_ASSERT(world.dispatch.parts[3].code == ERR_LEFT_OUT);
@@ -133,17 +134,17 @@
 }
 
 /* Guards against failing for want of a part that was never asked for. */
-static void test_left_out_is_needed(void)
+static void test_left_out_part_needed_later(void)
 {
 	struct world world;
 
 	init(&world, 1);
-	tell(&world, 3, LATE);
+	report_wait(&world, 3, LONG_WAIT);
 	start(&world, "/shards/");
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
-	CU_ASSERT(result(&world, 2, ERR_LOST, false, "") == DISPATCH_OPEN);
-	CU_ASSERT(result(&world, 3, ERR_LOST, false, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 2, ERR_LOST, false, "") == DISPATCH_PENDING);
+	CU_ASSERT(result(&world, 3, ERR_LOST, false, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(world.sent[4]->part == &world.dispatch.parts[3]);
 	CU_ASSERT(result(&world, 4, 0, false, "d") == DISPATCH_PARTIAL);
@@ -152,7 +153,7 @@
 
 /* Guards against second sends that help nobody, beside an answer that stands.
  */
-static void test_kept_back(void)
+static void test_useless_sends_suppressed(void)
 {
 	struct world world;
 
@@ -160,11 +161,11 @@
 	start(&world, "/shards/");
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
-	tell(&world, 2, LATE);
-	CU_ASSERT(result(&world, 2, ERR_LOST, false, "") == DISPATCH_OPEN);
+	report_wait(&world, 2, LONG_WAIT);
+	CU_ASSERT(result(&world, 2, ERR_LOST, false, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	result(&world, 4, 0, false, "c");
-	CU_ASSERT(pass(&world, 40) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 40) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(result(&world, 3, ERR_LOST, false, "") == DISPATCH_PARTIAL);
 	world_finish(&world);
@@ -178,25 +179,25 @@
 	struct world world;
 
 	init(&world, 0);
-	tell(&world, 0, 0);
+	report_wait(&world, 0, 0);
 	start(&world, "/shards/");
 	outlook = &world.sent[0]->server->outlook;
 	CU_ASSERT(server_outlook_ahead(outlook, 0, world.dispatch.start) ==
-		  USUAL / 2);
+		  USUAL_LATENCY / 2);
 	CU_ASSERT(server_outlook_ahead(outlook, 3, world.dispatch.start) ==
-		  USUAL / 2);
+		  USUAL_LATENCY / 2);
 	world_finish(&world);
 }
 
 static const struct unit_test tests[] = {
 	{"refused", test_refused},
 	{"switched off", test_switched_off},
-	{"little known", test_little_known},
+	{"little known", test_incomplete_reports},
 	{"probe", test_probe},
 	{"promised", test_promised},
 	{"left out", test_left_out},
-	{"what was left out is needed", test_left_out_is_needed},
-	{"kept back", test_kept_back},
+	{"what was left out is needed", test_left_out_part_needed_later},
+	{"kept back", test_useless_sends_suppressed},
 	{"own sends count", test_own_sends_count},
 };
 
--- a/upstream.c
+++ b/upstream.c
@@ -17,32 +17,32 @@
 
 #define CONNECT_TIMEOUT MSEC(250)
 /* Whoever waits gives up at the deadline; the connection just after it. */
-#define SILENCE_GRACE MSEC(10)
+#define ANSWER_TIMEOUT_MARGIN MSEC(10)
 /*
  * A server that crashes resets all its connections, and may be back, cold,
  * before any instance tried to reach it. Its entry says so once it has written
  * there, within 1.2 s, and the view is told within as much.
  */
-#define RESTART_SUSPECTED MSEC(2500)
-#define HEAD_MAX 65536
-#define BODY_MAX (8 * 1024 * 1024)
+#define SUSPECTED_RESTART_COLD_TIME MSEC(2500)
+#define ANSWER_HEAD_MAX 65536
+#define ANSWER_BODY_MAX (8 * 1024 * 1024)
 
 void upstream_init(struct upstream *upstream, struct event_base *base,
 		   const struct clock *clock,
-		   const struct upstream_names *names)
+		   const struct upstream_header_names *names)
 {
 	memset(upstream, 0, sizeof(*upstream));
 	upstream->base = base;
 	upstream->clock = clock;
 	upstream->names = names;
-	upstream->limits.share_near = 1;
-	upstream->limits.share_far = 1;
+	upstream->limits.share_local = 1;
+	upstream->limits.share_remote = 1;
 	upstream->limits.connect_timeout = CONNECT_TIMEOUT;
-	upstream->answer_limits.head = HEAD_MAX;
-	upstream->answer_limits.body = BODY_MAX;
+	upstream->answer_limits.head = ANSWER_HEAD_MAX;
+	upstream->answer_limits.body = ANSWER_BODY_MAX;
 }
 
-static void arm(struct upstream_conn *conn, int64_t usec)
+static void set_timer(struct upstream_conn *conn, int64_t usec)
 {
 	struct timeval tv = {usec / USEC_PER_SEC, usec % USEC_PER_SEC};
 
@@ -69,8 +69,8 @@
 	free(exchange);
 }
 
-static void observe(struct upstream_conn *conn,
-		    const struct exchange_result *result)
+static void record_result(struct upstream_conn *conn,
+			  const struct exchange_result *result)
 {
 	int64_t now = clock_now(conn->upstream->clock);
 	bool success =
@@ -83,7 +83,8 @@
 }
 
 /* The exchange is over; the connection decides for itself what follows. */
-static void end(struct upstream_conn *conn, struct exchange_result *result)
+static void end_exchange(struct upstream_conn *conn,
+			 struct exchange_result *result)
 {
 	struct exchange *exchange = conn->exchange;
 
@@ -91,22 +92,22 @@
 		return;
 	conn->exchange = NULL;
 	result->took = clock_now(conn->upstream->clock) - exchange->sent_at;
-	observe(conn, result);
+	record_result(conn, result);
 	if (!exchange->abandoned)
 		exchange->cb(exchange->arg, result);
 	free_exchange(exchange);
 }
 
 /* @server: held for this */
-static void tell_freed(struct upstream *upstream,
-		       struct registry_server *server)
+static void notify_released(struct upstream *upstream,
+			    struct registry_server *server)
 {
-	if (upstream->freed)
-		upstream->freed(upstream->freed_arg, server);
+	if (upstream->on_released)
+		upstream->on_released(upstream->on_released_arg, server);
 	registry_server_unref(server);
 }
 
-static void fail(struct upstream_conn *conn, int code)
+static void fail_conn(struct upstream_conn *conn, int code)
 {
 	struct registry_server *server = registry_server_ref(conn->server);
 	struct exchange_result result = {.code = code};
@@ -116,12 +117,12 @@
 		result.code = code == ERR_TOO_LATE ? code : ERR_CONNECT;
 		result.not_run = true;
 	}
-	end(conn, &result);
+	end_exchange(conn, &result);
 	free_conn(conn);
-	tell_freed(upstream, server);
+	notify_released(upstream, server);
 }
 
-static void go_idle(struct upstream_conn *conn)
+static void keep_or_close(struct upstream_conn *conn)
 {
 	struct evbuffer *in = bufferevent_get_input(conn->bev);
 	struct evbuffer *out = bufferevent_get_output(conn->bev);
@@ -144,11 +145,11 @@
 	if (conn->idle_for <= 0)
 		free_conn(conn);
 	else
-		arm(conn, conn->idle_for);
+		set_timer(conn, conn->idle_for);
 }
 
 /* What came is not the answer; it is still to come on this connection. */
-static void await_next(struct upstream_conn *conn)
+static void expect_next_message(struct upstream_conn *conn)
 {
 	http_message_reset(&conn->message);
 	conn->message.no_body = conn->exchange->is_head;
@@ -158,9 +159,9 @@
  * A server may answer an earlier request a second time, where the answer to
  * ours is due. The id tells them apart; ours still comes.
  */
-static int drop_foreign(struct upstream_conn *conn)
+static int drop_other_answer(struct upstream_conn *conn)
 {
-	const struct upstream_names *names = conn->upstream->names;
+	const struct upstream_header_names *names = conn->upstream->names;
 
 	conn->upstream->foreign++;
 	conn->foreign = true;
@@ -169,7 +170,7 @@
 		 LOG_I64("status", conn->message.parser.status_code));
 	if (!conn->message.keep_alive || conn->message.until_close)
 		return ERR_LOST;
-	await_next(conn);
+	expect_next_message(conn);
 	return 0;
 }
 
@@ -179,26 +180,26 @@
  * Return: 0 if the answer is still to come; 1 if the request is over, and the
  * connection may be gone; or why it failed.
  */
-static int take_message(struct upstream_conn *conn)
+static int handle_message(struct upstream_conn *conn)
 {
 	struct exchange_result result = {.code = 0};
 	struct upstream *upstream = conn->upstream;
 	struct registry_server *server;
 
 	if (conn->message.parser.status_code / 100 == 1) {
-		await_next(conn);
+		expect_next_message(conn);
 		return 0;
 	}
-	if (upstream_is_other(conn))
-		return drop_foreign(conn);
-	upstream_judge(conn, &result);
+	if (upstream_is_other_answer(conn))
+		return drop_other_answer(conn);
+	upstream_read_answer(conn, &result);
 	if (result.code == ERR_FOREIGN)
 		conn->server->gone = true;
 	event_del(conn->timer);
 	server = registry_server_ref(conn->server);
-	end(conn, &result);
-	go_idle(conn);
-	tell_freed(upstream, server);
+	end_exchange(conn, &result);
+	keep_or_close(conn);
+	notify_released(upstream, server);
 	return 1;
 }
 
@@ -217,21 +218,21 @@
 		ret = http_message_read(&conn->message, in);
 		if (!ret)
 			return;
-		ret = ret < 0 ? ERR_PROTOCOL : take_message(conn);
+		ret = ret < 0 ? ERR_PROTOCOL : handle_message(conn);
 	}
 	if (ret < 0)
-		fail(conn, ret);
+		fail_conn(conn, ret);
 }
 
 static void write_request(struct upstream_conn *conn)
 {
-	const struct upstream_names *names = conn->upstream->names;
+	const struct upstream_header_names *names = conn->upstream->names;
 	struct exchange *exchange = conn->exchange;
 	struct evbuffer *out = bufferevent_get_output(conn->bev);
 	int64_t left = exchange->deadline - clock_now(conn->upstream->clock);
 
 	if (left < USEC_PER_MSEC) {
-		fail(conn, ERR_TOO_LATE);
+		fail_conn(conn, ERR_TOO_LATE);
 		return;
 	}
 	conn->state = CONN_BUSY;
@@ -243,7 +244,7 @@
 			    STR_ARG(names->server_id), conn->server->entry.id);
 	evbuffer_add_buffer(out, exchange->out);
 	exchange->written = true;
-	arm(conn, left + SILENCE_GRACE);
+	set_timer(conn, left + ANSWER_TIMEOUT_MARGIN);
 }
 
 /* Return: whether the connection was made for a check. */
@@ -259,13 +260,13 @@
 }
 
 /* While the connection was made, the server may have come to be left alone. */
-static int may_write(const struct upstream_conn *conn)
+static int check_may_write(const struct upstream_conn *conn)
 {
 	const struct exchange *exchange = conn->exchange;
 
 	if (!exchange || exchange->abandoned)
 		return ERR_CANCELLED;
-	if (exchange->counted)
+	if (exchange->counted_cold)
 		return registry_is_open(conn->server) ? 0 : ERR_DRAINING;
 	return upstream_may_send(conn->upstream, conn->server);
 }
@@ -283,7 +284,7 @@
 			 LOG_I64("for_ms", cold_for / USEC_PER_MSEC));
 }
 
-static void connected(struct upstream_conn *conn)
+static void on_connected(struct upstream_conn *conn)
 {
 	struct exchange_result result = {.not_run = true};
 	struct upstream *upstream = conn->upstream;
@@ -294,18 +295,18 @@
 		presume_cold(conn->server,
 			     conn->server->service->warmup.cold_for,
 			     clock_now(conn->upstream->clock), "reached_again");
-	result.code = may_write(conn);
+	result.code = check_may_write(conn);
 	if (!result.code) {
 		write_request(conn);
 		return;
 	}
 	/* Nothing is sent, the connection stays. */
 	server = registry_server_ref(conn->server);
-	end(conn, &result);
+	end_exchange(conn, &result);
 	end_check(conn, true);
 	conn->message.keep_alive = true;
-	go_idle(conn);
-	tell_freed(upstream, server);
+	keep_or_close(conn);
+	notify_released(upstream, server);
 }
 
 static void on_event(struct bufferevent *bev, short what, void *arg)
@@ -314,12 +315,12 @@
 
 	(void)bev;
 	if (what & BEV_EVENT_CONNECTED) {
-		connected(conn);
+		on_connected(conn);
 		return;
 	}
 	if (what & BEV_EVENT_ERROR && conn->state != CONN_CONNECTING &&
 	    conn->server->n_conns == 1)
-		presume_cold(conn->server, RESTART_SUSPECTED,
+		presume_cold(conn->server, SUSPECTED_RESTART_COLD_TIME,
 			     clock_now(conn->upstream->clock),
 			     "all_connections_reset");
 	if (end_check(conn, false)) {
@@ -334,11 +335,11 @@
 	}
 	/* Without a length, only an orderly close shows the end. */
 	if (what & BEV_EVENT_EOF && http_message_eof(&conn->message) == 1) {
-		if (!take_message(conn))
-			fail(conn, ERR_LOST);
+		if (!handle_message(conn))
+			fail_conn(conn, ERR_LOST);
 		return;
 	}
-	fail(conn, conn->exchange->written ? ERR_LOST : ERR_CONNECT);
+	fail_conn(conn, conn->exchange->written ? ERR_LOST : ERR_CONNECT);
 }
 
 static void on_timer(evutil_socket_t fd, short what, void *arg)
@@ -358,7 +359,7 @@
 						  conn->exchange->id_len})),
 		 LOG_TEXT("state", conn->state == CONN_CONNECTING ? "connecting"
 								  : "waiting"));
-	fail(conn, ERR_SILENT);
+	fail_conn(conn, ERR_SILENT);
 }
 
 static struct upstream_conn *open_conn(struct upstream *upstream,
@@ -419,7 +420,8 @@
 		  struct exchange **out)
 {
 	struct upstream_conn *conn =
-		upstream_find_idle(upstream, server, request->fresh);
+		upstream_find_idle(upstream, server,
+				   request->needs_recent_conn);
 	bool cold = registry_is_cold(server, clock_now(upstream->clock));
 	int ret;
 
@@ -437,13 +439,13 @@
 	}
 	conn->exchange = new_exchange(upstream, request, deadline, cb, arg);
 	conn->exchange->conn = conn;
-	conn->exchange->counted = cold;
+	conn->exchange->counted_cold = cold;
 	*out = conn->exchange;
 	server_score_sent(&server->score, conn->exchange->sent_at);
 	if (conn->state == CONN_IDLE)
 		write_request(conn);
 	else
-		arm(conn, upstream->limits.connect_timeout);
+		set_timer(conn, upstream->limits.connect_timeout);
 	return 0;
 }
 
@@ -454,7 +456,7 @@
 	exchange->abandoned = true;
 	/* A connection that is being made has its own time-out. */
 	if (exchange->written)
-		arm(conn, linger);
+		set_timer(conn, linger);
 }
 
 void upstream_finish(struct upstream *upstream)
@@ -478,14 +480,14 @@
 		return ERR_CONNECT;
 	conn->check = cb;
 	conn->check_arg = arg;
-	arm(conn, upstream->limits.connect_timeout);
+	set_timer(conn, upstream->limits.connect_timeout);
 	return 0;
 }
 
-void exchange_hurry(struct exchange *exchange, int64_t linger)
+void exchange_set_timeout(struct exchange *exchange, int64_t linger)
 {
 	if (exchange->written)
-		arm(exchange->conn, linger);
+		set_timer(exchange->conn, linger);
 }
 
 void upstream_close_idle(struct registry_server *server)
--- a/upstream_answer.c
+++ b/upstream_answer.c
@@ -9,18 +9,18 @@
 
 #define STATUS_MISDIRECTED 421
 /* Without a Keep-Alive header a connection is not kept idle for longer. */
-#define IDLE_MOST MSEC(4000)
+#define IDLE_MAX MSEC(4000)
 /* The server counts from its side: this much before its time-out we stop. */
 #define IDLE_MARGIN MSEC(300)
 /* Of loads that cannot be read, the first are logged and all are counted. */
-#define BAD_LOADS_LOGGED 20
+#define BAD_LOADS_LOGGED_MAX 20
 
 struct str upstream_header(const struct upstream_conn *conn, struct str name)
 {
 	return http_message_field(&conn->message, name);
 }
 
-bool upstream_is_other(const struct upstream_conn *conn)
+bool upstream_is_other_answer(const struct upstream_conn *conn)
 {
 	struct str id =
 		upstream_header(conn, conn->upstream->names->request_id);
@@ -37,7 +37,7 @@
 	int64_t limit = 0;
 
 	if (!at)
-		return IDLE_MOST;
+		return IDLE_MAX;
 	for (at += sizeof(key) - 1; at < value.data + value.len && *at >= '0' &&
 				    *at <= '9' && limit < 3600;
 	     at++)
@@ -45,10 +45,10 @@
 	limit = limit * USEC_PER_SEC - IDLE_MARGIN;
 	if (limit < 0)
 		return 0;
-	return limit < IDLE_MOST ? limit : IDLE_MOST;
+	return limit < IDLE_MAX ? limit : IDLE_MAX;
 }
 
-static void take_load(struct upstream_conn *conn)
+static void read_load(struct upstream_conn *conn)
 {
 	struct upstream *upstream = conn->upstream;
 	struct str text = upstream_header(conn, upstream->names->load);
@@ -61,14 +61,14 @@
 		conn->server->load.at = clock_now(upstream->clock);
 		return;
 	}
-	if (upstream->bad_loads++ < BAD_LOADS_LOGGED)
+	if (upstream->bad_loads++ < BAD_LOADS_LOGGED_MAX)
 		LOG_WARN("server_load_refused",
 			 LOG_TEXT("server", conn->server->entry.id),
 			 LOG_TEXT("error", error_name(ret)),
 			 LOG_U64("bytes", text.len));
 }
 
-static void take_cold(struct upstream_conn *conn)
+static void read_cold(struct upstream_conn *conn)
 {
 	struct upstream *upstream = conn->upstream;
 	uint64_t ms;
@@ -79,17 +79,18 @@
 				  clock_now(upstream->clock));
 }
 
-void upstream_judge(struct upstream_conn *conn, struct exchange_result *result)
+void upstream_read_answer(struct upstream_conn *conn,
+			  struct exchange_result *result)
 {
-	const struct upstream_names *names = conn->upstream->names;
+	const struct upstream_header_names *names = conn->upstream->names;
 	int status = conn->message.parser.status_code;
 
 	result->message = &conn->message;
 	result->stamp = upstream_header(conn, names->stamp);
 	/* Another server's word says nothing of this one. */
 	if (status != STATUS_MISDIRECTED) {
-		take_load(conn);
-		take_cold(conn);
+		read_load(conn);
+		read_cold(conn);
 	}
 	if (status == STATUS_MISDIRECTED) {
 		result->code = ERR_FOREIGN;
--- a/upstream_limits.c
+++ b/upstream_limits.c
@@ -9,19 +9,19 @@
 #include "mem.h"
 
 /* However many instances share what a server accepts, so many are allowed. */
-#define CONNS_NEAR_LEAST 2
+#define LOCAL_CONNS_MIN 2
 /* A request that must not be repeated uses none that was idle for longer. */
-#define IDLE_FRESH MSEC(100)
+#define RECENT_IDLE_MAX MSEC(100)
 /* An answer that later ones overtake by so many times the usual is lost. */
-#define OVERTAKEN_TIMES 3
+#define OVERTAKEN_FACTOR 3
 
 /*
  * Only instances of its own data centre agree on who sends to a cold server.
  *
  * Return: whether one more request may go to it.
  */
-static bool count_cold(const struct upstream *upstream,
-		       struct registry_server *server)
+static bool take_cold_send(const struct upstream *upstream,
+			   struct registry_server *server)
 {
 	if (server->remote)
 		return false;
@@ -38,14 +38,14 @@
 		return ERR_DRAINING;
 	if (upstream->limits.warmup &&
 	    registry_is_cold(server, clock_now(upstream->clock)) &&
-	    !count_cold(upstream, server))
+	    !take_cold_send(upstream, server))
 		return ERR_COLD;
 	return 0;
 }
 
 struct upstream_conn *upstream_find_idle(const struct upstream *upstream,
 					 const struct registry_server *server,
-					 bool fresh)
+					 bool recent_only)
 {
 	int64_t now = clock_now(upstream->clock);
 	struct upstream_conn *best = NULL;
@@ -56,7 +56,7 @@
 
 		if (conn->state != CONN_IDLE || idle >= conn->idle_for)
 			continue;
-		if (fresh && idle > IDLE_FRESH)
+		if (recent_only && idle > RECENT_IDLE_MAX)
 			continue;
 		if (!best || conn->idle_since > best->idle_since)
 			best = conn;
@@ -73,11 +73,11 @@
 
 	/* Rounded up: with one connection, one slow answer blocks a server. */
 	if (server->remote)
-		most = ceil((double)connections_max * limits->share_far);
+		most = ceil((double)connections_max * limits->share_remote);
 	else
-		most = floor((double)connections_max * limits->share_near);
-	if (!server->remote && most < CONNS_NEAR_LEAST)
-		most = CONNS_NEAR_LEAST;
+		most = floor((double)connections_max * limits->share_local);
+	if (!server->remote && most < LOCAL_CONNS_MIN)
+		most = LOCAL_CONNS_MIN;
 	return registry_conns(server) < most;
 }
 
@@ -88,10 +88,10 @@
 {
 	return exchange->abandoned && exchange->written &&
 	       (double)(score->waiting_since - exchange->sent_at) >
-		       score->latency * OVERTAKEN_TIMES;
+		       score->latency * OVERTAKEN_FACTOR;
 }
 
-int upstream_under_way(const struct registry_server *server)
+int upstream_in_flight(const struct registry_server *server)
 {
 	const struct upstream_conn *conn;
 	int n = 0;
