--- a/answer.c
+++ b/answer.c
@@ -15,8 +15,8 @@
 #define MISSING_SHARDS_LISTED_MAX 64
 
 /*
- * Codes that say by themselves that nothing ran. All others leave it open,
- * unless no byte can have reached a backend server.
+ * Codes that imply that the request did not run. With any other code it may
+ * have run, unless no byte can have reached a backend server.
  */
 static bool is_bad_request(int code)
 {
@@ -208,7 +208,7 @@
 	struct json_tokener *tokener = json_tokener_new();
 	struct json_object *object =
 		json_tokener_parse_ex(tokener, text.data, (int)text.len);
-	/* A number at the very end might go on. */
+	/* A number at the very end leaves the tokener waiting for more. */
 	bool whole = json_tokener_get_error(tokener) == json_tokener_success &&
 		     tokener->char_offset == (int)text.len;
 
@@ -217,7 +217,7 @@
 	return whole;
 }
 
-/* JSON goes in as it is; else the answer's bytes as a string. */
+/* Embeds the body if it is JSON, otherwise adds it as a string. */
 static void add_result(struct evbuffer *out, struct str body)
 {
 	evbuffer_add_printf(out, ",\"result\":");
@@ -341,8 +341,11 @@
 	evbuffer_add(out, "]", 1);
 }
 
-/* On the platform's list, which lags, but not in the fleet. */
-static void add_unlisted_members(struct evbuffer *out,
+/*
+ * Adds instances that are still on the platform's list, which lags behind, but
+ * no longer in the fleet.
+ */
+static void add_departed_members(struct evbuffer *out,
 				 const struct blackboard *board)
 {
 	struct fleet_member *member;
@@ -417,7 +420,7 @@
 	add_members(out, &board->fleet);
 	evbuffer_add_printf(out, ",\"shares\":");
 	share_status_add(out, board->share);
-	add_unlisted_members(out, board);
+	add_departed_members(out, board);
 	add_servers(out, &board->catalog);
 	evbuffer_add_printf(out, "}\n");
 }
