--- a/answer_due.h
+++ b/answer_due.h
@@ -1,8 +1,8 @@
 /*
- * When a sharded request is answered with the parts that are in. A caller
- * counts its goal from its own first step: the way here, connections that it
- * opened and addresses that it asked for are used up by the time the request
- * arrives, and the way back is still to come. Decides without sockets.
+ * Soft timeout of a sharded request: how long to wait for all parts before a
+ * partial answer is sent. Callers measure the route's goal from their own
+ * start, so that time spent on the network, on connecting and on looking up
+ * addresses is deducted, and so is the way back. Does no I/O.
  */
 #ifndef ANSWER_DUE_H
 #define ANSWER_DUE_H
@@ -10,11 +10,12 @@
 #include <stdint.h>
 
 /**
- * struct answer_due - what is known of a request when it is taken; microseconds
- * @goal: of the route
- * @patience: the longest that callers of the route said lately they will wait
- * @told: what this one says; -1: it does not
- * @round_trip: to the caller and back, as its connection measured; 0: not known
+ * struct answer_due - timing of a request on arrival; microseconds
+ * @goal: latency goal of the route
+ * @longest_timeout: longest remaining time that callers of the route sent
+ *	recently
+ * @caller_timeout: remaining time that this caller sent; -1: none
+ * @round_trip: measured on the caller's connection; 0: not known
  */
 struct answer_due {
 	int64_t goal;
@@ -24,9 +25,9 @@
 };
 
 /**
- * answer_due_timeout() - how long after it was taken a request is answered
+ * answer_due_timeout() - soft timeout of a request
  *
- * Return: microseconds, a quarter of the goal at least.
+ * Return: microseconds from its arrival, at least a quarter of the goal.
  */
 int64_t answer_due_timeout(const struct answer_due *due);
 
--- a/tests/test_answer_due.c
+++ b/tests/test_answer_due.c
@@ -6,36 +6,36 @@
 #define LONGEST_TIMEOUT MSEC(600)
 #define ROUND_TRIP MSEC(6)
 
-static int64_t answer_timeout(int64_t told, int64_t round_trip)
+static int64_t answer_timeout(int64_t caller_timeout, int64_t round_trip)
 {
 	const struct answer_due due = {.goal = GOAL,
 				       .longest_timeout = LONGEST_TIMEOUT,
-				       .caller_timeout = told,
+				       .caller_timeout = caller_timeout,
 				       .round_trip = round_trip};
 
 	return answer_due_timeout(&due);
 }
 
-/* When the caller has it, on its own clock. */
-static int64_t received_after(int64_t used)
+/* Time from the caller's start until it has the answer. */
+static int64_t received_after(int64_t elapsed)
 {
-	return used + ROUND_TRIP +
-	       answer_timeout(LONGEST_TIMEOUT - used, ROUND_TRIP);
+	return elapsed + ROUND_TRIP +
+	       answer_timeout(LONGEST_TIMEOUT - elapsed, ROUND_TRIP);
 }
 
 /*
- * A caller opens a connection, which takes a round trip, and asks for addresses
- * before that. Requests were answered so long before the goal as is right for
- * one that came on an open connection: these callers had their answers late.
+ * Callers that look up addresses and open a connection first have used part of
+ * their goal when the request arrives. Without deducting that time, they
+ * receive their answers after the goal.
  */
 static void test_time_elapsed_at_caller(void)
 {
-	int64_t used;
+	int64_t elapsed;
 
-	for (used = 0; used <= MSEC(25); used += MSEC(1)) {
-		CU_ASSERT(received_after(used) < GOAL);
-		/* Nor sooner than it need be: parts come until then. */
-		CU_ASSERT(received_after(used) >= GOAL - MSEC(6));
+	for (elapsed = 0; elapsed <= MSEC(25); elapsed += MSEC(1)) {
+		CU_ASSERT(received_after(elapsed) < GOAL);
+		/* An earlier answer would lack parts for no reason. */
+		CU_ASSERT(received_after(elapsed) >= GOAL - MSEC(6));
 	}
 }
 
@@ -44,13 +44,13 @@
 	CU_ASSERT(answer_timeout(LONGEST_TIMEOUT, MSEC(1)) -
 			  answer_timeout(LONGEST_TIMEOUT, MSEC(6)) ==
 		  MSEC(5));
-	/* A measure that is absurd does not end all requests at once. */
+	/* An absurd measurement must not cut requests short. */
 	CU_ASSERT(answer_timeout(LONGEST_TIMEOUT, MSEC(100000)) > GOAL / 2);
 }
 
 /*
- * A caller that waits less than the others, for a reason of its own, and
- * one that has used up its goal already: neither gains from fewer parts.
+ * Neither a caller with a shorter timeout than others nor one that has already
+ * exceeded its goal benefits from an answer with fewer parts.
  */
 static void test_other_timeouts(void)
 {
@@ -64,7 +64,7 @@
 		  answer_timeout(LONGEST_TIMEOUT, ROUND_TRIP));
 }
 
-/* On a loopback, or where the system does not say. */
+/* Loopback connections, or systems that do not report a round trip. */
 static void test_round_trip_not_measured(void)
 {
 	CU_ASSERT(answer_timeout(LONGEST_TIMEOUT, 0) > GOAL / 2);
