--- a/hedge.c
+++ b/hedge.c
@@ -1,19 +1,22 @@
 #include "hedge.h"
 
 /*
- * Part of the budget for requests that are merely above the quantile; the
- * rest is for stragglers.
+ * Share of the hedge budget for requests above the quantile; the rest is left
+ * for stragglers.
  */
 #define QUANTILE_BUDGET_SHARE 0.6
-/* A hedge is itself hedged sooner: they are few, and the search is late. */
+/* Hedges are hedged sooner: they are few, and their search is already late. */
 #define REHEDGE_QUANTILE 0.7
+/* Bounds of the quantile that the hedge budget allows. */
 #define QUANTILE_MIN 0.5
 #define QUANTILE_MAX 0.999
-/* Of the deadline, while nothing is known. */
+/* Without samples the delay is the deadline divided by this. */
 #define DEFAULT_DELAY_DIVISOR 4
 #define MEDIAN 0.5
-#define SEARCH_QUANTILE 0.95
+/* Without this many samples, searches wait until their deadline. */
 #define SEARCH_SAMPLES_MIN 16.0
+/* The soft timeout is a multiple of this quantile of search times. */
+#define SEARCH_QUANTILE 0.95
 
 static double hedge_quantile(const struct service *service)
 {
@@ -25,20 +28,20 @@
 }
 
 /*
- * Requests that wait behind a straggler for a slot are late too. When they are
- * more than the quantile leaves out, it rises to the time of the straggler,
- * which is then never hedged and holds its slot to the end. The median stays
- * where it was.
+ * Time after which a request to the server counts as late. Requests that queue
+ * behind a straggler are late as well; if they are more than the quantile
+ * leaves out, it rises to the straggler's own time, which then is never hedged
+ * and keeps its slot. So a multiple of the median, which does not move, bounds
+ * the threshold.
  */
 static int64_t late_threshold(const struct observe *observe,
 			      const struct observe_server *server, double q)
 {
 	double factor = observe->tunables.hedge_median_factor;
-	double most =
-		factor * (double)observe_quantile(observe, server, MEDIAN);
+	double max = factor * (double)observe_quantile(observe, server, MEDIAN);
 	int64_t late = observe_quantile(observe, server, q);
 
-	return (double)late < most ? late : (int64_t)most;
+	return (double)late < max ? late : (int64_t)max;
 }
 
 int64_t hedge_delay(const struct observe *observe,
@@ -71,15 +74,15 @@
 	const struct observe_server *server = target->server;
 	int64_t now = clock_now(observe->clock);
 	uint32_t late = server->late;
-	uint32_t some = server->in_flight;
+	uint32_t capacity = server->in_flight;
 	int i;
 
 	for (i = 0; i < target->n_homes; i++) {
-		if (some < target->homes[i].slots)
-			some = target->homes[i].slots;
+		if (capacity < target->homes[i].slots)
+			capacity = target->homes[i].slots;
 	}
 	late -= target->replaced < late ? target->replaced : late;
-	if (replica_ejected(server) || late * 2 > some)
+	if (replica_ejected(server) || late * 2 > capacity)
 		return false;
 	return now + observe_mean(observe, server) < deadline;
 }
--- a/hedge.h
+++ b/hedge.h
@@ -1,6 +1,6 @@
 /*
- * When a shard is asked of a second replica, and when a search that is late
- * is answered with what there is.
+ * When a shard's request is hedged to a second replica, and the soft timeout
+ * of a search, after which a partial answer is sent.
  */
 #ifndef HEDGE_H
 #define HEDGE_H
@@ -14,13 +14,13 @@
 /**
  * hedge_delay() - how long a request may take before it is hedged
  * @service: row of the table
- * @asked: the replica it went to
- * @others: replicas of the same shards; @asked may be among them
- * @again: it is a hedge itself
+ * @asked: replica it was sent to
+ * @others: the @n replicas of the same shards; may include @asked
+ * @is_hedge: the request is itself a hedge
  *
- * The time that all but a few requests take, at the quicker of the server
- * asked and the replicas that could be asked instead. It follows the
- * service: when every server slows down it grows with them.
+ * A high quantile of the response time, taken from the faster of @asked and
+ * the replicas that could be used instead. If all servers slow down, the delay
+ * grows with them.
  *
  * Return: microseconds from sending.
  */
@@ -30,21 +30,24 @@
 
 /**
  * hedge_useful() - whether a hedge to a replica can still help
- * @target: the replica it would go to
+ * @target: replica it would be sent to
  * @deadline: of the search, microseconds
  *
- * Not when the target is ejected, nor when it is itself late with most of what
- * it was asked (all are slow: more load makes it worse), and not when its
- * answer would come after the deadline.
+ * Not if the target is ejected, if its own late requests exceed half of its
+ * slots or of the requests in flight there (all replicas are slow then, and
+ * more load makes it worse), or if its answer is expected after the deadline.
  */
 bool hedge_useful(const struct observe *observe, const struct replica *target,
 		  int64_t deadline);
 
 /**
- * hedge_soft_timeout() - when a search is late
+ * hedge_soft_timeout() - how long a search waits for all shards
+ * @service: row of the table
+ * @seen: observations of the service
+ * @deadline_us: deadline of the search, from its start
  *
- * A latency-first search that reached min_coverage is answered then. A
- * coverage-first one uses its deadline.
+ * After that a latency-first search is answered once it has min_coverage. A
+ * coverage-first search waits until its deadline.
  *
  * Return: microseconds from the start of the search.
  */
