--- a/latency.c
+++ b/latency.c
@@ -1,10 +1,10 @@
 #include "latency.h"
 
-/* Of the newest answer in what is usual: one request brings many at a time. */
+/* Weight of one answer in the average; low, as each request brings many. */
 #define UNLOADED_WEIGHT 0.005
-/* Of the newest request in the lag. */
+/* Weight of one request in the average forecast error. */
 #define FORECAST_ERROR_WEIGHT 0.05
-/* One late answer moves the estimate by this share. */
+/* Step size of the tail estimate, as share of its value. */
 #define TAIL_STEP 0.05
 
 void latency_init(struct latency *latency, int64_t guess)
--- a/latency.h
+++ b/latency.h
@@ -1,7 +1,7 @@
 /*
- * Running estimates of a latency: of one quantile (stochastic approximation: a
- * number moved up a little by each sample above it and down a little by each
- * one below), and of the mean.
+ * Running estimates of the latency of a kind of request: moving averages, and
+ * a tail quantile by stochastic approximation (each sample above the estimate
+ * raises it a little, each one below lowers it).
  */
 #ifndef LATENCY_H
 #define LATENCY_H
@@ -9,12 +9,12 @@
 #include <stdint.h>
 
 /**
- * struct latency - the latency of one kind of request
- * @unloaded: that an answer takes of a server that is as quick as usual,
- *	microseconds; 0: none came yet
- * @lag: so much later than expected enough parts of a request come lately,
- *	microseconds
- * @late: so many microseconds are exceeded by LATENCY_TAIL_SHARE of the answers
+ * struct latency - latency of one kind of request
+ * @unloaded: average time of an answer from a server of its service's usual
+ *	speed, microseconds; 0: no answer yet
+ * @forecast_error: average delay of sufficient coverage compared with its
+ *	forecast, microseconds
+ * @tail: exceeded by LATENCY_TAIL_SHARE of the answers, microseconds
  */
 struct latency {
 	double unloaded;
@@ -22,29 +22,30 @@
 	double tail;
 };
 
-/* Answers later than this share of all are worth asking another server for. */
+/* Share of answers that take longer than the tail estimate; hedged. */
 #define LATENCY_TAIL_SHARE 0.05
 
 /**
- * latency_init() - before the first answer
- * @guess: microseconds
+ * latency_init() - start without samples
+ * @guess: first estimate of the tail, microseconds
  */
 void latency_init(struct latency *latency, int64_t guess);
 
 /**
- * latency_add_unloaded() - an answer came
- * @usec: that it would have taken of a server that is as quick as usual
+ * latency_add_unloaded() - add a sample to the average
+ * @usec: time of the answer, normalised to a server of usual speed
  */
 void latency_add_unloaded(struct latency *latency, double usec);
 
 /**
- * latency_add_forecast_error() - enough parts of a request came
- * @usec: so much later than was expected
+ * latency_add_forecast_error() - add a sample of the forecast's error
+ * @usec: time from the expected to the actual moment of sufficient coverage
  */
 void latency_add_forecast_error(struct latency *latency, int64_t usec);
 
 /**
- * latency_add() - an answer came
+ * latency_add() - add a sample to the tail estimate
+ * @usec: time of the answer
  */
 void latency_add(struct latency *latency, int64_t usec);
 
