--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -9,9 +9,9 @@
 #include "gateway_settings.h"
 #include "mem.h"
 
-/* Words of a server that are older say nothing of what waits there now. */
+/* Older reports of a server's state say nothing about its present queue. */
 #define REPORT_AGE_MAX MSEC(1000)
-/* A peer may tell any pace. */
+/* Bounds of a server's slowness, as peers may report any pace. */
 #define SLOWNESS_MIN 0.25
 #define SLOWNESS_MAX 50.0
 
@@ -22,7 +22,7 @@
 	return control && control->left_out && dispatch->route->sharded;
 }
 
-/* Before the first answer of its kind nothing is expected of a request. */
+/* Before the first answer of the route there is no latency to expect. */
 static bool can_forecast(const struct dispatch *dispatch)
 {
 	return is_enabled(dispatch) && dispatch->latency->unloaded > 0;
@@ -34,7 +34,7 @@
 			       dispatch->route->coverage_min);
 }
 
-/* How many times its service's usual time a server takes lately. */
+/* Recent response time of a server, relative to its service's usual one. */
 static double slowness(const struct registry_server *server, int64_t now)
 {
 	const struct server_score *score = &server->score;
@@ -63,9 +63,9 @@
 }
 
 /*
- * Of the servers of a service, the one that looks best is often the one that
- * was told of longest ago. All are sent to alike, so that the mean says more of
- * each of them than its own word.
+ * Expected wait in a server's queue, averaged over its service: the server with
+ * the shortest queue is often the one with the oldest report, and as requests
+ * are spread evenly, the mean describes each server better than its own report.
  */
 static int64_t expected_queue_wait(const struct dispatch *dispatch,
 				   const struct registry_server *server,
@@ -102,7 +102,7 @@
 	};
 }
 
-/* Sends of this instance that the servers of a service have not answered. */
+/* Unanswered sends of this instance to the servers of a service. */
 static int n_in_flight(const struct registry_service *service)
 {
 	int n = 0;
@@ -113,7 +113,7 @@
 	return n;
 }
 
-/* Return: parts of other requests that are under way at the same servers. */
+/* Return: parts of other requests in flight to the same services. */
 static int fill_forecast(struct dispatch *dispatch, struct forecast *forecast)
 {
 	int64_t now = clock_now(dispatch->clock);
@@ -181,7 +181,7 @@
 		return true;
 	forecast.parts =
 		mem_zalloc((size_t)dispatch->n_parts * sizeof(*forecast.parts));
-	/* The only one under way shows whether servers recovered. */
+	/* The only request in flight probes whether servers recovered. */
 	forecast.probe = fill_forecast(dispatch, &forecast) < forecast.n;
 	if (forecast.n >= forecast.needed)
 		apply_forecast(dispatch, &forecast);
@@ -192,12 +192,12 @@
 bool dispatch_send_left_out(struct dispatch *dispatch)
 {
 	int64_t now = clock_now(dispatch->clock);
-	int most =
+	int n_possible =
 		dispatch->n_parts - dispatch->n_failed + dispatch->n_left_out;
 	bool sent = false;
 	int i;
 
-	if (!dispatch->n_left_out || most < parts_needed(dispatch))
+	if (!dispatch->n_left_out || n_possible < parts_needed(dispatch))
 		return false;
 	dispatch->n_left_out = 0;
 	for (i = 0; i < dispatch->n_parts; i++) {
@@ -240,9 +240,9 @@
 }
 
 /*
- * Of what this instance sent since the last word, nobody has told it yet: a
- * burst would find every queue as short as its first request did. A server that
- * it sends to itself is told of by its own queue.
+ * Reports do not include what this instance has sent since the last one, so a
+ * burst would find every queue as short as its first request did. Servers with
+ * a queue in this instance need no correction, as that queue reports them.
  */
 void dispatch_forecast_add_sent(const struct dispatch_send *send)
 {
@@ -251,17 +251,17 @@
 	struct server_outlook *outlook = &server->outlook;
 	int64_t now = clock_now(dispatch->clock);
 	int64_t slots = server->entry.slots > 0 ? server->entry.slots : 1;
-	int64_t more;
+	int64_t added_wait;
 	int i;
 
 	if (!can_forecast(dispatch) || server->queue || !outlook->pace_at ||
 	    now - outlook->pace_at > REPORT_AGE_MAX)
 		return;
-	more = forecast_server(dispatch, server, now).run / slots;
+	added_wait = forecast_server(dispatch, server, now).run / slots;
 	for (i = level_of(dispatch); i < OUTLOOK_LEVELS; i++)
 		server_outlook_told(outlook, i,
 				    server_outlook_ahead(outlook, i, now) +
-					    more,
+					    added_wait,
 				    now);
 }
 
--- a/tests/test_dispatch_forecast.c
+++ b/tests/test_dispatch_forecast.c
@@ -3,7 +3,7 @@
 #define USUAL_LATENCY MSEC(10)
 #define LONG_WAIT MSEC(400)
 
-/* All that is said of the servers of shards @first to 3 is said at once. */
+/* Reports an expected wait of @ahead for all servers of shards @first to 3. */
 static void report_wait(struct world *world, int first, int64_t ahead)
 {
 	int64_t now = clock_now(&world->clock);
@@ -19,7 +19,7 @@
 	}
 }
 
-/* Load control is on, and this many requests of others are under way. */
+/* Enables load control, with @n_others requests in flight to each server. */
 static void init(struct world *world, int n_others)
 {
 	struct registry_server *server;
@@ -35,8 +35,7 @@
 	}
 }
 
-/* Guards against a request that burdens all servers and is late all the same.
- */
+/* A request that would be late must not load the servers. */
 static void test_refused(void)
 {
 	struct world world;
@@ -64,7 +63,7 @@
 	world_finish(&world);
 }
 
-/* Guards against refusing on what is not known, or not known any more. */
+/* Missing or outdated reports must not cause refusals. */
 static void test_incomplete_reports(void)
 {
 	struct world world;
@@ -82,14 +81,14 @@
 	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	world_finish(&world);
 
-	/* Of one shard nothing is known; too many others are late. */
+	/* One shard has no reports, but too many others would be late. */
 	init(&world, 1);
 	report_wait(&world, 1, LONG_WAIT);
 	CU_ASSERT(start(&world, "/shards/") == DISPATCH_REFUSED);
 	world_finish(&world);
 }
 
-/* Guards against an instance that never learns that servers recovered. */
+/* Refusing every request would never show that servers have recovered. */
 static void test_probe(void)
 {
 	struct world world;
@@ -101,7 +100,7 @@
 	world_finish(&world);
 }
 
-/* Guards against a caller that keeps to its time and is sent away again. */
+/* A caller that returns at the promised time must not be refused again. */
 static void test_promised(void)
 {
 	struct world world;
@@ -115,7 +114,7 @@
 	world_finish(&world);
 }
 
-/* Guards against one busy shard that holds a caller up until its goal. */
+/* A single busy shard must not delay the answer until the goal. */
 static void test_left_out(void)
 {
 	struct world world;
@@ -133,7 +132,7 @@
 	world_finish(&world);
 }
 
-/* Guards against failing for want of a part that was never asked for. */
+/* A part that was left out must be sent if another one fails. */
 static void test_left_out_part_needed_later(void)
 {
 	struct world world;
@@ -151,7 +150,9 @@
 	world_finish(&world);
 }
 
-/* Guards against second sends that help nobody, beside an answer that stands.
+/*
+ * Hedges and retries whose answers would miss the goal must not be sent once
+ * coverage_min is reached.
  */
 static void test_useless_sends_suppressed(void)
 {
@@ -171,8 +172,7 @@
 	world_finish(&world);
 }
 
-/* Guards against a burst that finds each queue as short as its first request.
- */
+/* A burst must not find each queue as short as its first request did. */
 static void test_own_sends_count(void)
 {
 	const struct server_outlook *outlook;
