--- a/dispatch.c
+++ b/dispatch.c
@@ -8,35 +8,37 @@
 #include "mem.h"
 
 /*
- * Another server is asked once an answer is later than most; the estimate is
- * kept within these bounds. Below the least a hedge would meet answers that
- * are about to come; above the share of the goal it would come too late.
+ * Bounds of the hedge delay. A shorter one would hedge requests that are about
+ * to be answered; with more than this share of the goal a hedge comes too late.
  */
 #define HEDGE_DELAY_MIN MSEC(8)
 #define HEDGE_DELAY_MAX_RATIO 0.35
 /*
- * A hedge helps where one server is late among many that are not. If most parts
- * of a request are late, load is the cause and hedges add to it.
+ * Share of answered parts from which on the others are hedged. While most parts
+ * are late, overload is the cause and hedges would add to it.
  */
 #define HEDGE_ANSWERED_RATIO_MIN 0.5
-/* Sends end at the deadline too: what they say then is that time is up. */
+/*
+ * The request ends this much before its deadline: at the deadline its sends
+ * time out, too, and would report that instead.
+ */
 #define DEADLINE_MARGIN MSEC(2)
 /*
- * A retry without budget left is tried again so much later, and so is a server
- * that had no connection or no slot free.
+ * Delay before a retry without budget is attempted again, and before a server
+ * without a free connection or slot is tried again.
  */
 #define RETRY_DELAY MSEC(5)
-/* A cold server bears another request so much later: it bears some a second. */
+/* The same for a cold server, which accepts only a few requests per second. */
 #define COLD_RETRY_DELAY MSEC(100)
 
 int64_t dispatch_hedge_delay(const struct dispatch *dispatch)
 {
-	int64_t most = (int64_t)((double)MSEC(dispatch->route->goal_ms) *
-				 HEDGE_DELAY_MAX_RATIO);
+	int64_t max = (int64_t)((double)MSEC(dispatch->route->goal_ms) *
+				HEDGE_DELAY_MAX_RATIO);
 	int64_t delay = (int64_t)dispatch->latency->tail;
 
-	if (delay > most)
-		delay = most;
+	if (delay > max)
+		delay = max;
 	return delay < HEDGE_DELAY_MIN ? HEDGE_DELAY_MIN : delay;
 }
 
@@ -135,7 +137,7 @@
 
 static bool has_min_coverage(const struct dispatch *dispatch)
 {
-	/* A rounding error must not ask for one part more. */
+	/* The epsilon keeps rounding errors from requiring another part. */
 	double share = (double)dispatch->n_answered / dispatch->n_parts + 1e-9;
 
 	return dispatch->n_answered && share >= dispatch->route->coverage_min;
@@ -143,10 +145,10 @@
 
 static bool can_reach_min_coverage(const struct dispatch *dispatch)
 {
-	int most = dispatch->n_parts - dispatch->n_failed;
-	double share = (double)most / dispatch->n_parts + 1e-9;
+	int n_possible = dispatch->n_parts - dispatch->n_failed;
+	double share = (double)n_possible / dispatch->n_parts + 1e-9;
 
-	return most && share >= dispatch->route->coverage_min;
+	return n_possible && share >= dispatch->route->coverage_min;
 }
 
 static int first_failure_code(const struct dispatch *dispatch)
@@ -160,7 +162,7 @@
 	return ERR_TOO_LATE;
 }
 
-/* What is still under way may run, though nobody waits for its answer. */
+/* Sends in flight may still run. */
 static bool may_have_run(const struct dispatch *dispatch)
 {
 	int i;
@@ -172,7 +174,7 @@
 	return dispatch->maybe_ran;
 }
 
-/* What has not left this instance does not run any more. */
+/* Queued sends that are abandoned certainly do not run. */
 static void abandon_queued_sends(struct dispatch *dispatch)
 {
 	int i;
@@ -198,7 +200,7 @@
 	end_dispatch(dispatch, ran ? DISPATCH_FAILED : DISPATCH_REFUSED, code);
 }
 
-/* Whether the answer is ready, or cannot come any more. */
+/* Ends the request if its answer is ready or can no longer be reached. */
 static void check_outcome(struct dispatch *dispatch)
 {
 	int64_t now = clock_now(dispatch->clock);
@@ -234,9 +236,9 @@
 }
 
 /*
- * Without budget or a free connection, a part waits for it as long as others
- * are waited for: each request that comes adds to the budget, and each that
- * ends frees a connection.
+ * Without budget or a free connection, a part is retried until the soft
+ * deadline: each new request adds to the budget, and each that ends frees a
+ * connection.
  */
 static void schedule_retry_or_fail(struct dispatch_part *part, int code)
 {
@@ -252,8 +254,8 @@
 }
 
 /*
- * Shards without a live server would hold the request up until its goal, and
- * the extra sends to them be taken from others.
+ * Parts without a reachable server would delay the request until its goal, and
+ * their retries would use up the budget.
  */
 static void fail_unreachable_parts(struct dispatch *dispatch)
 {
@@ -345,9 +347,9 @@
 }
 
 /*
- * No connection or no slot was free: in a moment one may be. A caller of a
- * single server is told at once that its request did not run; a part of a
- * sharded request holds nobody up while others are waited for.
+ * Whether the server had no free connection or slot and may have one soon. When
+ * a server refuses for lack of a slot, only parts of sharded requests wait; a
+ * caller of a single server gets the error at once.
  */
 static bool is_server_busy(const struct dispatch *dispatch,
 			   const struct dispatch_answer *answer)
@@ -356,7 +358,6 @@
 	       (answer->code == ERR_SHED && dispatch->route->sharded);
 }
 
-/* It never reached a server, so that it is no second send to its service. */
 bool dispatch_is_unsent(int code)
 {
 	return code == ERR_CONNECT || code == ERR_BUDGET ||
@@ -408,7 +409,7 @@
 	return dispatch->outcome;
 }
 
-/* Whether it is this part that is late, and not all of them. */
+/* Whether late parts are stragglers, rather than all parts being late. */
 static bool is_straggler(const struct dispatch *dispatch)
 {
 	return dispatch->n_parts == 1 ||
@@ -416,7 +417,7 @@
 		       dispatch->n_parts * HEDGE_ANSWERED_RATIO_MIN;
 }
 
-/* What has not left this instance is moved, and runs once at most. */
+/* A queued send is moved instead, so that it still runs at most once. */
 static bool may_hedge(const struct dispatch_part *part)
 {
 	return part->dispatch->route->repeatable ||
@@ -424,8 +425,8 @@
 }
 
 /*
- * The shard's other servers may be stopped as well, or the budget used up: both
- * change within the time that is left.
+ * If hedging fails it is attempted again later: other servers may recover and
+ * the budget may grow before the deadline.
  */
 static void hedge_part(struct dispatch_part *part, int64_t now)
 {
--- a/dispatch.h
+++ b/dispatch.h
@@ -1,10 +1,11 @@
 /*
- * One request on its way to backend servers: which server of each service is
- * asked, when another one is, and when the answer is ready. A request to one
- * service is a request of one part; a sharded one has a part for each shard.
+ * State machine of one request to backend servers: chooses a server of each
+ * service, hedges and retries, and decides when the answer is complete. A
+ * request to a single service has one part; a sharded request has one part for
+ * each shard.
  *
- * Decides without sockets: actions go out through struct dispatch_ops, results
- * come in by dispatch_result() and time by dispatch_tick().
+ * Does no I/O: actions go through struct dispatch_ops, results are passed to
+ * dispatch_result(), and time passes with dispatch_tick().
  */
 #ifndef DISPATCH_H
 #define DISPATCH_H
@@ -28,7 +29,7 @@
 struct load_control;
 struct load_share;
 
-/* Sends of one part, refused ones included. */
+/* Maximum number of sends of one part, including refused ones. */
 #define DISPATCH_SENDS_MAX 6
 
 enum dispatch_send_state {
@@ -38,12 +39,14 @@
 
 /**
  * struct dispatch_send - one send of a part to a server
- * @handle: of the owner
- * @relayed: of the owner
- * @busy_until: it did not run, for want of a connection or a slot; the server
- *	may be asked again from then on, and this be used anew
- * @why: for logs: "first", "hedge", "retry", "moved"
- * @charged: whether it took a token from the service's budget
+ * @server: holds a reference
+ * @sent_at: microseconds
+ * @handle: private to the owner
+ * @relayed: private to the owner
+ * @busy_until: if not 0, the server had no free connection or slot; from then
+ *	on, microseconds, it may be tried again and this entry be reused
+ * @why: for logs: "first", "hedge", "retry" or "moved"
+ * @charged: it took a token from the service's budget
  */
 struct dispatch_send {
 	struct dispatch_part *part;
@@ -64,14 +67,14 @@
 };
 
 /**
- * struct dispatch_part - one service that is asked
+ * struct dispatch_part - the part of a request for one service
  * @n_maybe_run: servers on which it may have run
- * @n_delivered: sends that reached a server, refused ones included
- * @hedge_at: when to ask another server besides, microseconds
- * @retry_at: when to try again what failed without leave for another send
- * @kept_back: it was not sent again, because its answer would be too late
- * @code: why it failed last
- * @stamp: of the answer that is in, owned
+ * @n_delivered: sends that reached a server, including refused ones
+ * @hedge_at: when to hedge, microseconds; INT64_MAX: not
+ * @retry_at: when to retry after a failure, microseconds; INT64_MAX: not
+ * @suppressed: another send was not made as its answer would be too late
+ * @code: last error
+ * @stamp: server's signature of the accepted answer, owned
  */
 struct dispatch_part {
 	struct dispatch *dispatch;
@@ -90,14 +93,13 @@
 };
 
 /**
- * struct dispatch_answer - what came from a server
+ * struct dispatch_answer - result of a send
  * @code: as in struct exchange_result
- * @success: a 2xx
- * @final: passed on as it is if nothing better comes
- * @not_run: surely
- * @stamp: of the server
- * @body: whole
- * @took: from the send to the server's answer, microseconds
+ * @success: the status is 2xx
+ * @not_run: the server certainly did not run the request
+ * @stamp: server's signature of the answer
+ * @body: complete body
+ * @took: time from the send to the answer, microseconds
  */
 struct dispatch_answer {
 	int code;
@@ -110,26 +112,26 @@
 
 enum dispatch_outcome {
 	DISPATCH_PENDING,
-	DISPATCH_COMPLETE,  /* the server's answer, or all parts */
-	DISPATCH_PARTIAL,   /* enough parts */
-	DISPATCH_FAILED,    /* see code; some server may have run it */
-	DISPATCH_REFUSED,   /* surely not run anywhere */
-	DISPATCH_CANCELLED, /* the caller left */
+	DISPATCH_COMPLETE,  /* all parts were answered */
+	DISPATCH_PARTIAL,   /* the route's coverage_min was reached */
+	DISPATCH_FAILED,    /* see @code; some server may have run it */
+	DISPATCH_REFUSED,   /* see @code; certainly not run anywhere */
+	DISPATCH_CANCELLED, /* the caller disconnected */
 };
 
 /**
- * struct dispatch_ops - what the module wants done
- * @send: send a part to a server. Return: 0 with @send->handle set; or why
- *	nothing was sent
- * @abandon: the answer of a send is not needed any more
- * @waits: a send has not left this instance, and surely has not run; may be
- *	NULL: none waits
- * @decided: a send was decided, for the log; may be NULL
- * @limited: the limit of requests under way fell, for the log; may be NULL
- * @foreseen: a request was refused or parts were left out, for the log; may be
- *	NULL
- * @kept_back: one more send of a part was not made, because its answer would be
- *	too late to count, for the log; may be NULL
+ * struct dispatch_ops - callbacks of the owner
+ * @send: send a part to a server. Return: 0 with @send->handle set; or an
+ *	error, nothing was sent
+ * @abandon: the answer of a send is no longer needed
+ * @is_queued: whether a send is still queued in this instance, so that it
+ *	certainly has not run; NULL: sends are never queued
+ * @sent: a send was made, for the log; may be NULL
+ * @limit_lowered: the load limit was lowered, for the log; may be NULL
+ * @forecast_decided: the forecast refused a request or left out parts, for the
+ *	log; may be NULL
+ * @send_suppressed: another send of a part was not made as its answer would be
+ *	too late, for the log; may be NULL
  */
 struct dispatch_ops {
 	int (*send)(void *arg, struct dispatch_send *send, int64_t deadline);
@@ -143,11 +145,11 @@
 };
 
 /**
- * struct dispatch_limits - shared by all requests of an instance
- * @budget: second sends to a service
- * @outage: services without a live server
- * @control: what is done where servers are short; NULL: nothing
- * @share: what other instances tell of servers that are short, or NULL
+ * struct dispatch_limits - limits shared by all requests of an instance
+ * @budget: of hedges and retries to a service
+ * @outage: services without a reachable server
+ * @control: enabled overload control mechanisms; NULL: none
+ * @share: load limits exchanged with other instances, or NULL
  */
 struct dispatch_limits {
 	struct budget_limit budget;
@@ -158,25 +160,34 @@
 
 /**
  * struct dispatch - one request
- * @start: when it was taken, microseconds
- * @deadline: of the caller and the route
- * @answer_at: sharded: from then on enough parts make the answer
- * @held: see dispatch_begin_batch()
- * @level: of urgency
- * @cost: work that it is for its servers
- * @admitted: it counts in the load of its services
- * @judged: it was told to the load limit whether it is served in time
+ * @latency: of the route's answers, borrowed
+ * @start: arrival, microseconds
+ * @deadline: of the caller and the route, microseconds
+ * @soft_deadline: sharded: from then on a partial answer is sent once it has
+ *	the route's coverage_min, microseconds
+ * @n_answered: parts with an accepted answer
+ * @n_failed: parts that are not sent any more, including the next two
+ * @n_unreachable: parts without a reachable server on arrival
+ * @n_left_out: parts not sent as their answers would be too late
+ * @outage_since: start of the most recent outage among the unreachable parts,
+ *	microseconds
+ * @n_sends: all sends
+ * @n_extra: hedges and retries among them
+ * @maybe_ran: some server may have run it
+ * @batching: between dispatch_begin_batch() and dispatch_end_batch()
+ * @level: priority level, 0 is the highest
+ * @cost: estimated work for its servers
+ * @admitted: it counts towards its service's load limit
+ * @load_reported: its outcome was reported to the load limit
  * @promised: it was refused before and told to come now; set by the owner
  *	between dispatch_init() and dispatch_start()
- * @room_in: with ERR_OVERLOAD: there is room after so long, microseconds; 0:
- *	not known
- * @expected_answer_at: when enough parts were expected to be in, 0: not known
- * @foreseen: refused, since too few parts are expected in time
- * @n_answered: parts that are in
- * @n_unreachable: parts that no server could be sent when it came
- * @n_left_out: parts that were not worth sending
- * @outage_since: when the last of these was lost
- * @code: why it failed
+ * @capacity_delay: with ERR_OVERLOAD: time until there is capacity,
+ *	microseconds; 0: not known
+ * @expected_answer_at: when coverage_min was expected to be reached,
+ *	microseconds; 0: not known
+ * @refused_by_forecast: too few parts were expected in time
+ * @records: merged records of a sharded request
+ * @code: error of the outcome, or 0
  */
 struct dispatch {
 	const struct clock *clock;
@@ -213,12 +224,14 @@
 };
 
 /**
- * dispatch_init() - a request of a route
- * @target: where it goes, for a route that is not sharded
- * @latency: of answers to this route's requests
+ * dispatch_init() - set up a request of a route
+ * @arg: passed to @ops
+ * @target: service, for a route that is not sharded
+ * @latency: of the route's answers; updated, and must outlive @dispatch
  * @deadline: microseconds
- * @answer_after: sharded: enough parts make the answer so long after now,
- *	microseconds
+ * @soft_timeout: sharded: time until a partial answer is accepted, microseconds
+ *
+ * All pointers are borrowed until dispatch_finish().
  */
 void dispatch_init(struct dispatch *dispatch, const struct clock *clock,
 		   const struct dispatch_ops *ops,
@@ -229,87 +242,99 @@
 void dispatch_finish(struct dispatch *dispatch);
 
 /**
- * dispatch_start() - send the first requests
+ * dispatch_start() - send all parts for the first time
  *
- * Parts of which no server can be reached are left out at once. If the others
- * are not enough, or more requests are under way than can be served, nothing is
- * sent and the outcome is DISPATCH_REFUSED. So it is if load control says that
- * parts are left out whose answers would be late, and too few others remain.
+ * Parts without a reachable server fail at once. Nothing is sent and the
+ * outcome is DISPATCH_REFUSED if the others cannot reach coverage_min, or if
+ * the load limit does not admit the request. With load control, the same
+ * applies if too few parts remain after those are left out whose answers would
+ * be late.
  *
- * Return: the outcome, DISPATCH_PENDING while it waits.
+ * Return: the outcome, DISPATCH_PENDING while answers are awaited.
  */
 enum dispatch_outcome dispatch_start(struct dispatch *dispatch);
 
 /**
- * dispatch_result() - a send ended
+ * dispatch_result() - handle the result of a send
+ *
+ * Return: the outcome.
  */
 enum dispatch_outcome dispatch_result(struct dispatch *dispatch,
 				      struct dispatch_send *send,
 				      const struct dispatch_answer *answer);
 
 /**
- * dispatch_begin_batch() - results that belong together follow
+ * dispatch_begin_batch() - begin a group of results
  *
- * Merged records are whole only with all of them, so that the request must not
- * end between them. dispatch_end_batch() is called after the last.
+ * Records merged by a relay are complete only with the results of all its
+ * parts, so the request must not end before dispatch_end_batch().
  */
 void dispatch_begin_batch(struct dispatch *dispatch);
 enum dispatch_outcome dispatch_end_batch(struct dispatch *dispatch);
 
 /**
- * dispatch_tick() - time passed
+ * dispatch_tick() - retry, hedge and time out what is due
+ *
+ * Return: the outcome.
  */
 enum dispatch_outcome dispatch_tick(struct dispatch *dispatch);
 
 /**
- * dispatch_due() - when to call dispatch_tick() at the latest, microseconds
+ * dispatch_due() - latest time of the next dispatch_tick(), microseconds
  */
 int64_t dispatch_due(const struct dispatch *dispatch);
 
 /**
- * dispatch_hedge_delay() - how late an answer is when another server is asked
+ * dispatch_hedge_delay() - time to wait for an answer before hedging
  *
  * Return: microseconds.
  */
 int64_t dispatch_hedge_delay(const struct dispatch *dispatch);
 
 /**
- * dispatch_cancel() - the caller left
+ * dispatch_cancel() - end a request whose caller disconnected
  */
 void dispatch_cancel(struct dispatch *dispatch);
 
 /**
  * dispatch_is_unsent() - whether a result means that no server was reached
  * @code: error code of the send's result
+ *
+ * Another send to the same service then takes no token from its budget.
  */
 bool dispatch_is_unsent(int code);
 
 /**
- * dispatch_load_limit() - the requests under way that this one counts among
+ * dispatch_load_limit() - the load limit that applies to a request
+ *
+ * Return: borrowed from the registry.
  */
 const struct load_limit *dispatch_load_limit(const struct dispatch *dispatch);
 
 /**
- * dispatch_refused_for_load() - it was refused because servers are short
+ * dispatch_refused_for_load() - whether a request was refused for overload
  */
 bool dispatch_refused_for_load(const struct dispatch *dispatch);
 
 /**
- * dispatch_capacity() - work that all instances serve where it goes
+ * dispatch_capacity() - throughput of the request's service at its priority,
+ * over all instances
  *
- * Return: a second; 0 if it is not known.
+ * Return: work per second; 0 if it is not known.
  */
 double dispatch_capacity(const struct dispatch *dispatch);
 
 /**
- * dispatch_capacity_delay() - there is none before
+ * dispatch_capacity_delay() - time until the service has spare capacity
  *
- * Return: microseconds from now; 0 if nothing is known.
+ * Return: microseconds from now; 0 if it is not known.
  */
 int64_t dispatch_capacity_delay(const struct dispatch *dispatch);
 
 /**
- * dispatch_retry_after() - when a caller that was refused may come back, ms
+ * dispatch_retry_after() - when the caller of a refused request may retry
+ *
+ * Return: milliseconds from now.
  */
 int64_t dispatch_retry_after(const struct dispatch *dispatch);
 
--- a/dispatch_load.c
+++ b/dispatch_load.c
@@ -1,4 +1,4 @@
-/* Whether servers have room for a request, and what its end says of that. */
+/* Admission of requests by load limit, and feedback of their outcomes to it. */
 #include "dispatch_private.h"
 
 #include "error.h"
@@ -6,22 +6,22 @@
 #include "load_share.h"
 
 /*
- * With fewer of the live parts in at the goal, load is what kept them out: one
- * in six shards that are slow at a time must not count as load.
+ * With a lower share of the reachable parts answered at the goal, servers are
+ * overloaded. A sixth of the shards being slow must not count as overload.
  */
 #define OVERLOAD_RATIO 0.65
 /*
- * Where parts wait for their turn and are left out by what is expected of them,
- * the limit is the last guard.
+ * The same with parts queued here and left out by forecast, where the limit is
+ * only the last resort.
  */
 #define OVERLOAD_RATIO_WITH_FORECAST 0.4
 /*
- * So many requests more for each limit's worth that is served. With priorities
- * what is too much are the less urgent ones, and it may rise faster.
+ * Increase of the limit, in requests, each time as much work as it allows was
+ * served. With priorities any excess is of low priority, so it may rise faster.
  */
 #define LIMIT_INCREASE 1.0
 #define LIMIT_INCREASE_WITH_PRIORITIES 2.0
-/* A caller that was refused for load finds a slot after about so long. */
+/* Time until a caller refused for overload can expect a free slot. */
 #define RETRY_AFTER_MS 100
 
 static struct load_limit *load_limit_of(const struct dispatch *dispatch)
@@ -44,16 +44,16 @@
 }
 
 /*
- * Without measures, requests are counted, and only those to many shards: a
- * server that gets too much refuses by itself, and a request to one server ends
- * there, but one to many shards has burdened the others by then.
+ * Without work costs, only sharded requests are limited, by their number. An
+ * overloaded server refuses requests itself, which is enough for a request to
+ * one server, but a sharded one has loaded the other servers by then.
  */
 static bool uses_load_limit(const struct dispatch *dispatch)
 {
 	return dispatch->route->sharded || uses_work_cost(dispatch);
 }
 
-/* Before the first answer only a guess is known. */
+/* Before the first answer only the initial tail estimate is known. */
 static double work_per_part(const struct latency *latency)
 {
 	return latency->unloaded ? latency->unloaded : latency->tail;
@@ -99,8 +99,8 @@
 }
 
 /*
- * What was promised is let in. So is the most urgent level of a service of
- * single servers, which refuse by themselves.
+ * Admits callers that were told to come now. Single servers refuse requests
+ * themselves, so that the highest priority level needs no limit there.
  */
 static bool bypasses_limit(const struct dispatch *dispatch, int64_t now)
 {
@@ -132,14 +132,13 @@
 	const struct load_control *control = dispatch->limits->control;
 	int live = dispatch->n_parts - dispatch->n_unreachable -
 		   dispatch->n_left_out;
-	double least = control && control->left_out
-			       ? OVERLOAD_RATIO_WITH_FORECAST
-			       : OVERLOAD_RATIO;
+	double min = control && control->left_out ? OVERLOAD_RATIO_WITH_FORECAST
+						  : OVERLOAD_RATIO;
 
-	return dispatch->n_answered < live * least;
+	return dispatch->n_answered < live * min;
 }
 
-/* Half the goal later, those that are sent now are over. */
+/* After half the goal, requests admitted before the limit fell have ended. */
 static bool lower_limit(struct dispatch *dispatch, int64_t now)
 {
 	int64_t period = MSEC(dispatch->route->goal_ms) / 2;
@@ -160,9 +159,9 @@
 }
 
 /*
- * Without a live server of a shard a request fails early, with few parts in
- * as well: that says nothing about the load of the others. Broken connections
- * do: servers reset them while their queues are long.
+ * A shard without a reachable server makes a request fail early, with few parts
+ * answered, which is no sign of overload. Broken connections are: servers reset
+ * them while their queues are long.
  */
 static bool is_overload(const struct dispatch *dispatch, int code)
 {
@@ -189,9 +188,9 @@
 
 static bool was_answered(const struct dispatch *dispatch)
 {
-	double least = dispatch->route->coverage_min * dispatch->n_parts;
+	double min = dispatch->route->coverage_min * dispatch->n_parts;
 
-	return dispatch->n_answered && dispatch->n_answered >= least;
+	return dispatch->n_answered && dispatch->n_answered >= min;
 }
 
 void dispatch_load_release(struct dispatch *dispatch)
--- a/dispatch_private.h
+++ b/dispatch_private.h
@@ -1,39 +1,41 @@
-/* Shared by the files that decide about a request. */
+/* Shared by the files of the dispatch module. */
 #ifndef DISPATCH_PRIVATE_H
 #define DISPATCH_PRIVATE_H
 
 #include "dispatch.h"
 
 /**
- * dispatch_part_in_flight() - a send of the part has no result yet
+ * dispatch_part_in_flight() - whether a send of the part has no result yet
  */
 bool dispatch_part_in_flight(const struct dispatch_part *part);
 
 /**
- * dispatch_part_fail() - nothing more is done for it
+ * dispatch_part_fail() - mark a pending part as failed
  */
 void dispatch_part_fail(struct dispatch_part *part);
 
 /**
- * dispatch_part_pick() - the server that it would be sent to, or NULL
- * @preferred_only: not one that is better avoided
+ * dispatch_part_pick() - choose the server that a part would be sent to
+ * @preferred_only: skip servers that should rather be avoided
+ *
+ * Return: borrowed; NULL if there is none.
  */
 struct registry_server *dispatch_part_pick(const struct dispatch_part *part,
 					   bool preferred_only);
 
 /**
- * dispatch_is_temporary() - a server may take the part in a moment
- * @code: why it does not now: no connection is free, it is cold, or more
- *	urgent ones wait for it than it can serve in time
+ * dispatch_is_temporary() - whether to wait until a server accepts the part
+ * @code: why it does not now: no connection is free, it is cold, or it cannot
+ *	serve the part in time behind more urgent ones
  *
- * A part of a sharded request holds nobody up while others are waited for. The
- * caller of a single server that is cold or overloaded is told at once.
+ * A part of a sharded request delays nobody as long as other parts are pending.
+ * A caller of a single server that is cold or overloaded gets the error at
+ * once.
  */
 bool dispatch_is_temporary(const struct dispatch *dispatch, int code);
 
 /**
- * dispatch_part_queued_send() - a send of the part that has not left this
- * instance
+ * dispatch_part_queued_send() - find a send that is still queued here
  *
  * Return: NULL if there is none.
  */
@@ -41,54 +43,60 @@
 dispatch_part_queued_send(const struct dispatch_part *part);
 
 /**
- * dispatch_part_move() - send what waits here to another server instead
+ * dispatch_part_move() - send a queued part to another server instead
  *
- * Return: 0; or as dispatch_part_send_again(), and it waits on.
+ * Return: 0 with @waiting abandoned; or an error of dispatch_part_send_again(),
+ * @waiting stays queued.
  */
 int dispatch_part_move(struct dispatch_part *part,
 		       struct dispatch_send *waiting);
 
 /**
- * dispatch_part_send() - send it to the best server that takes it
+ * dispatch_part_send() - send a part to the best server that accepts it
  * @why: for logs
- * @preferred_only: not to one that is better avoided
+ * @preferred_only: skip servers that should rather be avoided
  *
- * Return: 0; ERR_NO_REPLICA if there is none that was not tried; ERR_BUDGET if
- * those that are left have no connection free, or are cold.
+ * Return: 0; ERR_NO_REPLICA if all servers were tried; ERR_BUDGET if one may
+ * accept it later, see dispatch_is_temporary().
  */
 int dispatch_part_send(struct dispatch_part *part, const char *why,
 		       bool preferred_only);
 
 /**
- * dispatch_part_send_again() - send it once more
+ * dispatch_part_send_again() - hedge or retry a part
+ * @why: for logs
+ * @hedge: it is a hedge, limited to half of the budget and to preferred servers
  *
- * Return: 0; ERR_NO_REPLICA if no server or no attempt is left; ERR_BUDGET if
- * the budget of all requests does not allow it now, or no connection is free.
+ * Return: 0; ERR_NO_REPLICA if no server or attempt is left, or the answer
+ * would be too late; ERR_BUDGET if the service's budget does not allow it now,
+ * or no server accepts it now.
  */
 int dispatch_part_send_again(struct dispatch_part *part, const char *why,
 			     bool hedge);
 
 /**
- * dispatch_load_add_demand() - a request came that has servers
+ * dispatch_load_add_demand() - set a request's cost and priority level, and
+ * count it as demand on its service
  */
 void dispatch_load_add_demand(struct dispatch *dispatch);
 
 /**
- * dispatch_load_admit() - a request is about to be sent
+ * dispatch_load_admit() - check a request against its service's load limit
  *
- * Return: whether its servers have room for it.
+ * Return: whether it may be sent.
  */
 bool dispatch_load_admit(struct dispatch *dispatch);
 
 /**
- * dispatch_load_report() - once a request: was it served within its goal, or
- * did the load prevent it?
- * @code: 0, or why it was not
+ * dispatch_load_report() - raise or lower the load limit by a request's outcome
+ * @code: 0, or its error
+ *
+ * Only the first call for a request has an effect.
  */
 void dispatch_load_report(struct dispatch *dispatch, int code);
 
 /**
- * dispatch_load_release() - it is over
+ * dispatch_load_release() - end a request's share of the load limit
  */
 void dispatch_load_release(struct dispatch *dispatch);
 
--- a/dispatch_send.c
+++ b/dispatch_send.c
@@ -35,7 +35,7 @@
 	return NULL;
 }
 
-/* Servers that a part is not sent to (any more). */
+/* Servers that a part is not sent to again. */
 struct tried {
 	struct registry_server *servers[DISPATCH_SENDS_MAX];
 	int n;
@@ -58,7 +58,7 @@
 	}
 }
 
-/* Servers that had no connection or slot free; later they may have one. */
+/* Whether a tried server may have a free connection or slot later. */
 static bool has_busy_server(const struct dispatch_part *part)
 {
 	int i;
@@ -71,8 +71,8 @@
 }
 
 /*
- * Room for one more send, or NULL. Where servers have no connection free for
- * long, those that were not sent must not use up the room.
+ * Returns an entry for another send, or NULL. Entries of busy servers are
+ * reused, so that a long shortage of connections does not use up all of them.
  */
 static struct dispatch_send *unused_send(struct dispatch_part *part)
 {
@@ -114,7 +114,7 @@
 	return pick_untried(part, &tried, preferred_only);
 }
 
-/* Return: 0 if it was sent to the server; or why not. */
+/* Return: 0 if the part was sent to the server; or an error. */
 static int send_to(struct dispatch_part *part, struct registry_server *server,
 		   const char *why)
 {
@@ -185,8 +185,8 @@
 }
 
 /*
- * What never reached a server is no second send to its service. Hedges leave
- * half of the budget: they only win time, and without a retry a part is lost.
+ * A part that never reached a server needs no token. Hedges leave half of the
+ * budget to retries: they only save time, while without a retry a part is lost.
  */
 static bool take_budget_token(struct dispatch_part *part, bool hedge)
 {
@@ -208,7 +208,7 @@
 			     bool hedge)
 {
 	struct dispatch *dispatch = part->dispatch;
-	bool arrived = part->n_delivered;
+	bool was_delivered = part->n_delivered;
 	struct tried tried;
 	int ret;
 
@@ -225,8 +225,8 @@
 	ret = dispatch_part_send(part, why, hedge);
 	if (!ret) {
 		dispatch->n_extra++;
-		part->service->budget.uncharged += !arrived;
-	} else if (arrived) {
+		part->service->budget.uncharged += !was_delivered;
+	} else if (was_delivered) {
 		budget_refund(&part->service->budget);
 	}
 	return ret;
@@ -236,13 +236,13 @@
 		       struct dispatch_send *waiting)
 {
 	struct dispatch *dispatch = part->dispatch;
-	bool arrived;
+	bool was_delivered;
 	int ret;
 
-	/* It has not run: the other send is in place of it. */
+	/* It has not run, so the new send replaces it. */
 	part->n_maybe_run--;
 	part->n_delivered--;
-	arrived = part->n_delivered;
+	was_delivered = part->n_delivered;
 	ret = dispatch_part_send_again(part, "moved", true);
 	if (ret) {
 		part->n_maybe_run++;
@@ -250,7 +250,7 @@
 		return ret;
 	}
 	dispatch->n_extra--;
-	if (!arrived)
+	if (!was_delivered)
 		part->service->budget.uncharged--;
 	waiting->state = SEND_ENDED;
 	dispatch->ops->abandon(dispatch->arg, waiting);
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -16,9 +16,8 @@
 }
 
 /*
- * A server stops while a shard's answer is due. The caller would wait for it
- * until the goal is missed; the shard's other server is asked once the answer
- * is later than most, and the first of the two counts.
+ * A server hangs before it answers. Without a hedge to the shard's other server
+ * the request misses its goal. The first of the two answers is accepted.
  */
 static void test_hedge(void)
 {
@@ -41,9 +40,9 @@
 }
 
 /*
- * Both servers of a shard stop, one after the other. When a hedge is due the
- * other one does not answer either; a moment later it does, and must be asked
- * then, for the first one may stay away for longer than the goal.
+ * Both servers of a shard hang in turn. When the hedge is due, the other server
+ * does not respond either. It must be hedged to as soon as it recovers, as the
+ * first one may hang for longer than the goal.
  */
 static void test_hedge_when_other_recovers(void)
 {
@@ -69,10 +68,9 @@
 }
 
 /*
- * Callers come at twice the usual rate for half a second. All shards' answers
- * are late, since all servers have queues; with a hedge for each part the
- * queues would double, and all callers' answers be late. Hedges go out once
- * half of the parts are in, for then the others are what is late.
+ * During a burst, twice the usual rate for half a second, all servers have
+ * queues and all parts are late. Hedging each part would double the load and
+ * make all answers late. Hedges start once half of the parts are answered.
  */
 static void test_no_hedges_while_all_are_late(void)
 {
@@ -94,9 +92,9 @@
 }
 
 /*
- * Both servers of a shard have no slot free at the moment and say so at once.
- * The caller waits for other shards anyway; a moment later one has a slot, and
- * the answer is whole.
+ * Both servers of a shard refuse a part for lack of a free slot. It must be
+ * retried while the other parts are pending, or the answer would be partial
+ * although a slot is free a moment later.
  */
 static void test_shard_without_a_free_slot(void)
 {
@@ -121,8 +119,8 @@
 }
 
 /*
- * A shard is lost. With enough of the others, the answer goes out shortly
- * before the goal; waiting longer would make it late for all.
+ * A shard does not answer. Once the others reach coverage_min, the partial
+ * answer must be sent shortly before the goal rather than miss it.
  */
 static void test_partial_at_goal(void)
 {
@@ -155,9 +153,8 @@
 }
 
 /*
- * Two of four shards are lost for good, so that three quarters cannot be
- * reached. The caller is told at once; it would otherwise wait for its timeout
- * to learn the same.
+ * Two of four shards fail, so that a coverage of three quarters cannot be
+ * reached. The request must fail at once, not at the caller's timeout.
  */
 static void test_unreachable_coverage_fails_at_once(void)
 {
@@ -176,7 +173,7 @@
 	world_finish(&world);
 }
 
-/* Connections to a service's servers were refused, several times in a row. */
+/* Has connections to all servers of a service fail several times in a row. */
 static void make_unreachable(struct world *world, const char *name)
 {
 	struct registry_service *service =
@@ -196,8 +193,8 @@
 
 /*
  * All servers of two of four shards crashed 300 ms ago, and the route needs
- * three. A request that is sent to the others would burden them and fail all
- * the same: the caller is told at once that nothing ran, and when to come back.
+ * three. Sending the other parts would only load their servers, so the request
+ * must be refused at once, with a time to retry.
  */
 static void test_lost_shards_refuse_at_once(void)
 {
@@ -215,8 +212,8 @@
 }
 
 /*
- * A shard is lost, as before, and callers come in a burst. Who is refused for
- * the load is told to come back when there may be room, not by the outage.
+ * A shard is unreachable during a burst. The retry time of a request refused
+ * for overload must not depend on the outage.
  */
 static void test_refused_for_load(void)
 {
@@ -239,8 +236,8 @@
 }
 
 /*
- * One of four shards is lost, and the route can miss one. The answer goes out
- * once the others are in; the caller does not wait for what cannot come.
+ * One of four shards is unreachable, and the route needs three. The partial
+ * answer must be sent as soon as the others have answered.
  */
 static void test_lost_shard_does_not_delay(void)
 {
@@ -258,8 +255,8 @@
 }
 
 /*
- * Two shards were lost and one is back: a check finds a server that listens.
- * The next request must be sent to it, not refused by what was known before.
+ * Two shards were unreachable, and a check reaches a server of one of them. The
+ * next request must be sent, not refused for the earlier outage.
  */
 static void test_shard_recovers(void)
 {
@@ -279,9 +276,8 @@
 }
 
 /*
- * A request that must not be repeated was sent, and its connection broke. It
- * may have run: no other server may get it, and nobody may be told that it did
- * not run.
+ * The connection of a non-idempotent request breaks. As it may have run, it
+ * must neither be sent to another server nor be reported as not run.
  */
 static void test_once_is_not_repeated(void)
 {
@@ -308,7 +304,7 @@
 	world_finish(&world);
 }
 
-/* Still under way when time is up: it may run, so that "not run" is untrue. */
+/* A request in flight at its deadline may run: it must not be "not run". */
 static void test_timeout_under_way(void)
 {
 	struct world world;
@@ -335,9 +331,9 @@
 }
 
 /*
- * Many servers crash, and their connections are refused. What never arrived is
- * no extra load, and must not use up what retries and hedges are allowed:
- * else requests fail although a server of each shard lives.
+ * Many servers crash and refuse connections. Sends that reached no server must
+ * not use up the budget of hedges and retries, or requests would fail although
+ * each shard has a live server.
  */
 static void test_refused_connections_cost_nothing(void)
 {
@@ -360,9 +356,9 @@
 }
 
 /*
- * Servers refuse much. The budget of second sends is used up, and the next
- * request's part is refused too. It waits while other parts are waited for:
- * requests that come meanwhile add to the budget.
+ * Refusals have used up the budget of hedges and retries when another part is
+ * refused. It must be retried before the soft deadline, as new requests add to
+ * the budget.
  */
 static void test_retry_waits_for_budget(void)
 {
@@ -385,9 +381,9 @@
 }
 
 /*
- * All connections that this instance may have to a shard's servers are in use.
- * One is free again in a moment; the request must not fail before it would have
- * been answered for its other parts.
+ * All connections that this instance may have to a service's servers are in
+ * use. One is free again soon, so the request must not fail before its soft
+ * deadline.
  */
 static void test_waits_for_connection(void)
 {
@@ -404,7 +400,7 @@
 	world_finish(&world);
 }
 
-/* The same, told by a relay: the server may be asked again. */
+/* The same, reported by a relay: the server may be tried again. */
 static void test_relay_has_no_connection(void)
 {
 	struct world world;
@@ -424,9 +420,9 @@
 }
 
 /*
- * All servers of a service have no connection free for a while, and the relay
- * says so at once, again and again. The request must live until one has, and
- * not send more than one message to each in 5 ms.
+ * For a while no server of a service has a free connection, as a relay reports
+ * again and again. The request must wait for one, without sending more than one
+ * message to each server in 5 ms.
  */
 static void test_long_busy_servers(void)
 {
@@ -479,7 +475,7 @@
 	world_finish(&world);
 }
 
-/* A stamp that is in already would make the whole answer wrong. */
+/* Merging the same answer twice would make the result wrong. */
 static void test_duplicate_stamp(void)
 {
 	struct world world;
@@ -506,9 +502,9 @@
 }
 
 /*
- * A relay holds back a part for a server that is cold or gets nothing any more.
- * It comes back unsent and goes to the shard's other server at once, and takes
- * neither one of the part's two attempts nor the budget of second sends.
+ * A relay returns a part unsent, as its server is cold or draining. The part
+ * must go to the shard's other server at once, and use up neither one of its
+ * two attempts nor the budget.
  */
 static void test_unsent(int code)
 {
@@ -538,9 +534,9 @@
 }
 
 /*
- * All servers of a service are cold. A part is left out at once if no server
- * takes it before the answer is due, and holds nobody up; a caller of a single
- * server is told at once that its request did not run.
+ * All servers of a service are cold. A part that none accepts before the soft
+ * deadline must not delay the answer, and a caller of a single server must get
+ * the error at once.
  */
 static void test_all_cold(void)
 {
@@ -562,7 +558,7 @@
 	world_finish(&world);
 }
 
-/* A part waits here for its turn: when a hedge is due it is moved, for free. */
+/* A queued part is moved when a hedge is due, without using up the budget. */
 static void test_queued_part_is_moved(void)
 {
 	struct budget *budget;
@@ -584,7 +580,7 @@
 	world_finish(&world);
 }
 
-/* What must not be repeated is moved while it surely has not run, not after. */
+/* A non-idempotent request is moved only while it certainly has not run. */
 static void test_once_moves_only_while_queued(void)
 {
 	struct world world;
@@ -602,7 +598,7 @@
 	world_finish(&world);
 }
 
-/* An error that is told at the deadline comes too late: the caller has left. */
+/* An error sent at the deadline is too late: the caller has disconnected. */
 static void test_error_before_deadline(void)
 {
 	struct world world;
@@ -624,7 +620,7 @@
 	world_finish(&world);
 }
 
-/* A deadline passes while all waits here: the caller is told it has not run. */
+/* A request that is still queued at its deadline is reported as not run. */
 static void test_queued_until_deadline_has_not_run(void)
 {
 	struct world world;
@@ -638,8 +634,7 @@
 	world_finish(&world);
 }
 
-/* A part that did not fit comes back unsent: no attempt and no budget is gone.
- */
+/* A part returned for overload uses up neither an attempt nor the budget. */
 static void test_overloaded_part_goes_elsewhere(void)
 {
 	struct dispatch_part *part;
@@ -656,7 +651,7 @@
 	CU_ASSERT(world.sent[4]->part == part);
 	CU_ASSERT(result(&world, 4, ERR_OVERLOAD, true, "") ==
 		  DISPATCH_PENDING);
-	/* Both servers are asked again in a moment. */
+	/* Both servers are tried again after the retry delay. */
 	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 6);
 	CU_ASSERT(part->n_maybe_run == 1);
