--- a/upstream.c
+++ b/upstream.c
@@ -16,14 +16,15 @@
 #include "server_pace.h"
 
 #define CONNECT_TIMEOUT MSEC(250)
-/* Whoever waits gives up at the deadline; the connection just after it. */
+/* Callers give up at the deadline; the exchange times out this much later. */
 #define ANSWER_TIMEOUT_MARGIN MSEC(10)
 /*
- * A server that crashes resets all its connections, and may be back, cold,
- * before any instance tried to reach it. Its entry says so once it has written
- * there, within 1.2 s, and the view is told within as much.
+ * A crashing server resets all its connections and may be back, cold, before
+ * any instance has failed to connect. It is presumed cold until its new entry
+ * is known here: written within 1.2 s and distributed within as much again.
  */
 #define SUSPECTED_RESTART_COLD_TIME MSEC(2500)
+/* Maximum size of an answer, bytes. */
 #define ANSWER_HEAD_MAX 65536
 #define ANSWER_BODY_MAX (8 * 1024 * 1024)
 
@@ -82,7 +83,7 @@
 			   result->took, now);
 }
 
-/* The exchange is over; the connection decides for itself what follows. */
+/* Ends the exchange but not the connection. */
 static void end_exchange(struct upstream_conn *conn,
 			 struct exchange_result *result)
 {
@@ -98,7 +99,7 @@
 	free_exchange(exchange);
 }
 
-/* @server: held for this */
+/* Consumes a reference to @server. */
 static void notify_released(struct upstream *upstream,
 			    struct registry_server *server)
 {
@@ -129,9 +130,9 @@
 	bool keep = conn->message.keep_alive && !conn->message.until_close;
 
 	/*
-	 * Bytes behind the answer belong to no request. Bytes of the request
-	 * that are still to be written would be read as the next one, for the
-	 * server answered without them.
+	 * Bytes after the answer belong to no request. If the server answered
+	 * before it received the whole request, it would read the rest as the
+	 * next request.
 	 */
 	if (!keep || conn->foreign || evbuffer_get_length(in) ||
 	    evbuffer_get_length(out) || !registry_is_open(conn->server)) {
@@ -148,7 +149,7 @@
 		set_timer(conn, conn->idle_for);
 }
 
-/* What came is not the answer; it is still to come on this connection. */
+/* Skips a message that is not the answer, which is still to come. */
 static void expect_next_message(struct upstream_conn *conn)
 {
 	http_message_reset(&conn->message);
@@ -156,8 +157,8 @@
 }
 
 /*
- * A server may answer an earlier request a second time, where the answer to
- * ours is due. The id tells them apart; ours still comes.
+ * Drops a repeated answer to an earlier request, as told by its id. The answer
+ * to the current request is still to come.
  */
 static int drop_other_answer(struct upstream_conn *conn)
 {
@@ -175,10 +176,10 @@
 }
 
 /*
- * A whole message was read.
+ * Handles a complete message.
  *
- * Return: 0 if the answer is still to come; 1 if the request is over, and the
- * connection may be gone; or why it failed.
+ * Return: 0 if the answer is still to come; 1 if the exchange has ended, and
+ * the connection may be freed; or an error.
  */
 static int handle_message(struct upstream_conn *conn)
 {
@@ -209,7 +210,7 @@
 	struct evbuffer *in = bufferevent_get_input(bev);
 	int ret = 0;
 
-	/* Nothing was asked: such bytes belong to no request. */
+	/* Bytes on an idle connection belong to no request. */
 	if (!conn->exchange) {
 		free_conn(conn);
 		return;
@@ -247,7 +248,7 @@
 	set_timer(conn, left + ANSWER_TIMEOUT_MARGIN);
 }
 
-/* Return: whether the connection was made for a check. */
+/* Return: whether the connection was opened by upstream_check(). */
 static bool end_check(struct upstream_conn *conn, bool listens)
 {
 	upstream_check_cb check = conn->check;
@@ -259,7 +260,7 @@
 	return true;
 }
 
-/* While the connection was made, the server may have come to be left alone. */
+/* The server may have started to drain, or become cold, while connecting. */
 static int check_may_write(const struct upstream_conn *conn)
 {
 	const struct exchange *exchange = conn->exchange;
@@ -271,7 +272,7 @@
 	return upstream_may_send(conn->upstream, conn->server);
 }
 
-/* A server that is taken for cold, though its entry does not say so yet. */
+/* Treats a server as cold before its entry says so. */
 static void presume_cold(struct registry_server *server, int64_t cold_for,
 			 int64_t now, const char *why)
 {
@@ -300,7 +301,7 @@
 		write_request(conn);
 		return;
 	}
-	/* Nothing is sent, the connection stays. */
+	/* Nothing is sent, and the connection is kept. */
 	server = registry_server_ref(conn->server);
 	end_exchange(conn, &result);
 	end_check(conn, true);
@@ -328,12 +329,12 @@
 		return;
 	}
 	if (!conn->exchange) {
-		/* Refused while open_conn() still runs, which frees it. */
+		/* Refused inside open_conn(), which frees the connection. */
 		if (conn->state != CONN_CONNECTING)
 			free_conn(conn);
 		return;
 	}
-	/* Without a length, only an orderly close shows the end. */
+	/* Without a length, only an orderly close marks the end. */
 	if (what & BEV_EVENT_EOF && http_message_eof(&conn->message) == 1) {
 		if (!handle_message(conn))
 			fail_conn(conn, ERR_LOST);
@@ -454,7 +455,7 @@
 	struct upstream_conn *conn = exchange->conn;
 
 	exchange->abandoned = true;
-	/* A connection that is being made has its own time-out. */
+	/* While connecting, the connect time-out applies. */
 	if (exchange->written)
 		set_timer(conn, linger);
 }
@@ -484,10 +485,10 @@
 	return 0;
 }
 
-void exchange_set_timeout(struct exchange *exchange, int64_t linger)
+void exchange_set_timeout(struct exchange *exchange, int64_t timeout)
 {
 	if (exchange->written)
-		set_timer(exchange->conn, linger);
+		set_timer(exchange->conn, timeout);
 }
 
 void upstream_close_idle(struct registry_server *server)
--- a/upstream.h
+++ b/upstream.h
@@ -1,6 +1,7 @@
 /*
- * Connections to backend servers, and one request and answer over one of them.
- * Says of each request whether it surely did not run.
+ * HTTP client connections to backend servers, each with one exchange of request
+ * and answer at a time. The result of each exchange tells whether the request
+ * certainly did not run.
  */
 #ifndef UPSTREAM_H
 #define UPSTREAM_H
@@ -21,14 +22,14 @@
 struct upstream_conn;
 
 /**
- * struct upstream_header_names - headers that backend servers understand
- * @request_id: of the caller's request; they echo it
- * @deadline: milliseconds that are left
- * @server_id: which server is meant; any other refuses
+ * struct upstream_header_names - headers exchanged with backend servers
+ * @request_id: id of the caller's request, echoed in the answer
+ * @deadline: remaining time, milliseconds
+ * @server_id: id of the intended server; any other refuses the request
  * @stamp: the server's signature of an answer
- * @not_run: the server surely did not run the request
+ * @not_run: the server certainly did not run the request
  * @load: see struct server_load
- * @cold: for how long the server is cold yet, milliseconds
+ * @cold: remaining time that the server is cold, milliseconds
  */
 struct upstream_header_names {
 	struct str request_id;
@@ -41,13 +42,15 @@
 };
 
 /**
- * struct upstream_request - what is sent, the same to each server
- * @head: request line and headers as bytes, each line with its CRLF, without
- *	the empty line, the deadline and the server's id
- * @id: of the request
+ * struct upstream_request - a request as sent to any server, borrowed
+ * @head: request line and header lines with their CRLFs, without the deadline,
+ *	the server id and the empty line at the end
+ * @body: complete body
+ * @id: request id
+ * @fingerprint: identifies requests that crash servers
  * @is_head: the method is HEAD, so that the answer has no body
- * @fresh: do not use a connection that may just be closed by the server
- * @fingerprint: for requests that crash servers
+ * @needs_recent_conn: reuse only connections that were idle so briefly that
+ *	the server is not closing them
  */
 struct upstream_request {
 	struct str head;
@@ -59,16 +62,16 @@
 };
 
 /**
- * struct exchange_result - how it ended
- * @code: 0: a whole answer to this request; ERR_SHED: the server says that it
- *	did not run it; ERR_FOREIGN: another server is at the address, not run;
- *	ERR_CONNECT, ERR_BUDGET, ERR_DRAINING, ERR_COLD: not sent; ERR_LOST,
- *	ERR_PROTOCOL, ERR_SILENT: it may have run
- * @not_run: it surely did not run
+ * struct exchange_result - result of an exchange
+ * @code: 0: a complete answer to this request; ERR_SHED: the server reports
+ *	that it did not run it; ERR_FOREIGN: another server is at the address,
+ *	not run; ERR_CONNECT, ERR_BUDGET, ERR_DRAINING, ERR_COLD, ERR_TOO_LATE:
+ *	not sent; ERR_LOST, ERR_PROTOCOL, ERR_SILENT: it may have run
+ * @not_run: the server certainly did not run the request
  * @message: with code 0 and ERR_SHED: the answer, borrowed for the call
- * @stamp: of the answer, empty if there is none
- * @took: microseconds since it was sent
- * @waited: microseconds that it waited here before that, for its turn
+ * @stamp: signature of the answer, empty if there is none
+ * @took: time since it was sent, microseconds
+ * @waited: time in this instance's queue before that, microseconds
  */
 struct exchange_result {
 	int code;
@@ -82,12 +85,12 @@
 typedef void (*exchange_cb)(void *arg, const struct exchange_result *result);
 
 /**
- * struct upstream_limits - how connections are used
- * @share_local: of the connections a server of the own data centre accepts,
- *those of this instance; 0 to 1
- * @share_remote: the same for servers elsewhere
+ * struct upstream_limits - limits of connections
+ * @share_local: share of the connections of a server in the own data centre
+ *	that this instance may open; 0 to 1
+ * @share_remote: the same for servers in other data centres
  * @connect_timeout: microseconds
- * @warmup: bounds sends to servers that are cold; NULL: nothing does
+ * @warmup: limits sends to cold servers; NULL: no limit
  */
 struct upstream_limits {
 	double share_local;
@@ -98,12 +101,14 @@
 
 /**
  * struct upstream - all connections to backend servers
+ * @limits: set by the owner after upstream_init()
  * @conns: open connections
- * @freed: a request to a server ended, and its connection can be used or is
- *	closed; may be NULL, set by the owner
- * @opened: connections opened
- * @foreign: answers to other requests that were dropped
- * @bad_loads: what servers said of their load and could not be read
+ * @on_released: a connection to a server became idle or was closed; may be
+ *	NULL, set by the owner
+ * @opened: number of connections opened
+ * @foreign: number of dropped answers to other requests
+ * @silent: number of time-outs while connecting or waiting for an answer
+ * @bad_loads: number of malformed load headers
  */
 struct upstream {
 	struct event_base *base;
@@ -125,21 +130,22 @@
 		   const struct upstream_header_names *names);
 
 /**
- * upstream_finish() - close all connections; callbacks of requests are not
- * called
+ * upstream_finish() - close all connections, without calling the callbacks of
+ * requests
  */
 void upstream_finish(struct upstream *upstream);
 
 /**
  * upstream_send() - send a request
- * @deadline: the server is told what is left until then, microseconds
- * @connections_max: of the server's service
- * @cb: called once, never before this function returns, unless abandoned
- * @out: valid until @cb is called or it is abandoned
+ * @deadline: microseconds; the server receives the remaining time
+ * @connections_max: limit of the server's service
+ * @cb: called once, after this function has returned, unless abandoned
+ * @out: set to the exchange, valid until @cb is called or it is abandoned
  *
- * Return: 0; ERR_BUDGET if all connections to the server are in use;
- * ERR_DRAINING if it gets no new requests; ERR_COLD if it is cold and this one
- * is too many.
+ * Return: 0; ERR_TOO_LATE if the deadline has passed; ERR_BUDGET if all
+ * connections to the server are in use; ERR_DRAINING if it accepts no new
+ * requests; ERR_COLD if it is cold and may not get another request now;
+ * ERR_CONNECT if the connection was refused at once.
  */
 int upstream_send(struct upstream *upstream, struct registry_server *server,
 		  const struct upstream_request *request, int64_t deadline,
@@ -147,35 +153,36 @@
 		  struct exchange **out);
 
 /**
- * exchange_abandon() - the answer is not needed any more
- * @linger: how long it may still come before the connection is closed,
- *	microseconds
+ * exchange_abandon() - drop the callback of an exchange
+ * @linger: time until the connection is closed without an answer, microseconds
  *
- * Closing the connection is the only way to cancel and costs the next request
- * a new one, so a request that will soon be over is left to end.
+ * Only closing the connection cancels the request, and the next one then needs
+ * a new connection, so a request that ends soon is left to complete.
  */
 void exchange_abandon(struct exchange *exchange, int64_t linger);
 
 /**
- * exchange_set_timeout() - as exchange_abandon(), but its end is still reported
+ * exchange_set_timeout() - end an exchange early if no answer comes
+ * @timeout: as @linger of exchange_abandon(), microseconds
+ *
+ * Unlike with exchange_abandon(), the callback is still called.
  */
-void exchange_set_timeout(struct exchange *exchange, int64_t linger);
+void exchange_set_timeout(struct exchange *exchange, int64_t timeout);
 
 /**
- * upstream_in_flight() - requests that a server was sent and has not ended
+ * upstream_in_flight() - number of exchanges with a server in flight
  *
- * One that nobody waits for counts while it may run: not once the server has
- * answered much later ones.
+ * Includes abandoned ones, until the server has answered much later requests.
  */
 int upstream_in_flight(const struct registry_server *server);
 
 typedef void (*upstream_check_cb)(void *arg, bool listens);
 
 /**
- * upstream_check() - whether anybody listens at a server's address
- * @cb: called once, never before this function returns
+ * upstream_check() - check whether a server accepts connections
+ * @cb: called once, after this function has returned
  *
- * If so, the connection is kept for the next request.
+ * If it does, the connection is kept for the next request.
  *
  * Return: 0; or ERR_CONNECT if the connection was refused at once, with @cb
  * not called.
--- a/upstream_answer.c
+++ b/upstream_answer.c
@@ -1,4 +1,4 @@
-/* What a backend server's answer says, of the request and of the server. */
+/* Interpretation of backend servers' answers. */
 #define LOG_MODULE "upstream"
 #include "upstream_private.h"
 
@@ -8,11 +8,11 @@
 #include "log.h"
 
 #define STATUS_MISDIRECTED 421
-/* Without a Keep-Alive header a connection is not kept idle for longer. */
+/* Maximum idle time, also used without a Keep-Alive header. */
 #define IDLE_MAX MSEC(4000)
-/* The server counts from its side: this much before its time-out we stop. */
+/* Connections are closed this long before the server's own idle time-out. */
 #define IDLE_MARGIN MSEC(300)
-/* Of loads that cannot be read, the first are logged and all are counted. */
+/* Only so many malformed load headers are logged; all are counted. */
 #define BAD_LOADS_LOGGED_MAX 20
 
 struct str upstream_header(const struct upstream_conn *conn, struct str name)
@@ -87,7 +87,7 @@
 
 	result->message = &conn->message;
 	result->stamp = upstream_header(conn, names->stamp);
-	/* Another server's word says nothing of this one. */
+	/* Another server's headers say nothing about this one. */
 	if (status != STATUS_MISDIRECTED) {
 		read_load(conn);
 		read_cold(conn);
--- a/upstream_limits.c
+++ b/upstream_limits.c
@@ -1,4 +1,4 @@
-/* Whether a server may get one more request, and on which connection. */
+/* Limits of requests and connections to a server, and reuse of connections. */
 #include "upstream_private.h"
 
 #include <math.h>
@@ -8,17 +8,20 @@
 #include "error.h"
 #include "mem.h"
 
-/* However many instances share what a server accepts, so many are allowed. */
+/*
+ * Connections that an instance may always open to a server of its data centre,
+ * however many instances share the server.
+ */
 #define LOCAL_CONNS_MIN 2
-/* A request that must not be repeated uses none that was idle for longer. */
+/* Non-idempotent requests use no connection that was idle for longer. */
 #define RECENT_IDLE_MAX MSEC(100)
-/* An answer that later ones overtake by so many times the usual is lost. */
+/* An abandoned exchange is presumed lost after this multiple of the latency. */
 #define OVERTAKEN_FACTOR 3
 
 /*
- * Only instances of its own data centre agree on who sends to a cold server.
+ * Instances agree on who sends to a cold server only within its data centre.
  *
- * Return: whether one more request may go to it.
+ * Return: whether it may get another request.
  */
 static bool take_cold_send(const struct upstream *upstream,
 			   struct registry_server *server)
@@ -68,20 +71,22 @@
 		       struct registry_server *server, int64_t connections_max)
 {
 	const struct upstream_limits *limits = &upstream->limits;
-	/* A peer may tell any number. */
-	double most;
+	/* Peers may report any number, which could overflow an integer. */
+	double max;
 
-	/* Rounded up: with one connection, one slow answer blocks a server. */
+	/* Rounded up: with one connection, a slow answer blocks the server. */
 	if (server->remote)
-		most = ceil((double)connections_max * limits->share_remote);
+		max = ceil((double)connections_max * limits->share_remote);
 	else
-		most = floor((double)connections_max * limits->share_local);
-	if (!server->remote && most < LOCAL_CONNS_MIN)
-		most = LOCAL_CONNS_MIN;
-	return registry_conns(server) < most;
+		max = floor((double)connections_max * limits->share_local);
+	if (!server->remote && max < LOCAL_CONNS_MIN)
+		max = LOCAL_CONNS_MIN;
+	return registry_conns(server) < max;
 }
 
-/* Its answer is lost: the server has answered since for longer than it takes.
+/*
+ * Whether the answer of an abandoned exchange is presumed lost, as the server
+ * has since answered others for longer than it takes.
  */
 static bool is_overtaken(const struct exchange *exchange,
 			 const struct server_score *score)
--- a/upstream_private.h
+++ b/upstream_private.h
@@ -1,4 +1,4 @@
-/* Shared by the files that handle connections to backend servers. */
+/* Shared by the files of the upstream module. */
 #ifndef UPSTREAM_PRIVATE_H
 #define UPSTREAM_PRIVATE_H
 
@@ -12,6 +12,17 @@
 	CONN_IDLE,
 };
 
+/**
+ * struct upstream_conn - a connection to a server
+ * @server: holds a reference
+ * @timer: of the connection attempt, the exchange or the idle time
+ * @message: answer being read
+ * @exchange: in progress, owned, or NULL
+ * @check: callback of upstream_check(), or NULL
+ * @idle_since: when it became idle, microseconds
+ * @idle_for: how long it may stay idle, microseconds
+ * @foreign: it received an answer to another request, so it is not reused
+ */
 struct upstream_conn {
 	struct upstream *upstream;
 	struct registry_server *server;
@@ -25,21 +36,26 @@
 	int64_t idle_since;
 	int64_t idle_for;
 	bool foreign;
-	struct upstream_conn *prev; /* of the server */
+	struct upstream_conn *prev; /* in registry_server.conns */
 	struct upstream_conn *next;
-	struct upstream_conn *prev_open; /* of all */
+	struct upstream_conn *prev_open; /* in upstream.conns */
 	struct upstream_conn *next_open;
 };
 
 /**
  * struct exchange - one request on one connection
- * @written: bytes were handed to the socket
- * @abandoned: nobody waits for the answer
- * @counted: among the sends to a cold server
+ * @out: head and body, until they are written
+ * @id: request id, owned
+ * @is_head: the method is HEAD, so that the answer has no body
+ * @written: bytes were passed to the socket
+ * @abandoned: @cb is not called
+ * @counted_cold: it was counted as a send to a cold server
+ * @sent_at: time of upstream_send(), microseconds
+ * @deadline: microseconds
  */
 struct exchange {
 	struct upstream_conn *conn;
-	struct evbuffer *out; /* head and body, until they are written */
+	struct evbuffer *out;
 	size_t head_len;
 	char *id;
 	size_t id_len;
@@ -54,24 +70,27 @@
 };
 
 /**
- * upstream_may_send() - whether a server may get one more request now
+ * upstream_may_send() - whether a server may get another request now
+ *
+ * A send to a cold server is counted against its limit.
  *
- * Return: 0; or ERR_DRAINING, ERR_COLD: it gets none.
+ * Return: 0; or ERR_DRAINING or ERR_COLD if not.
  */
 int upstream_may_send(const struct upstream *upstream,
 		      struct registry_server *server);
 
 /**
- * upstream_may_open() - whether it may have one more connection
- * @connections_max: of the server's service
+ * upstream_may_open() - whether another connection to a server may be opened
+ * @connections_max: limit of the server's service
  */
 bool upstream_may_open(const struct upstream *upstream,
 		       struct registry_server *server, int64_t connections_max);
 
 /**
- * upstream_find_idle() - the connection used last, so that those not needed run
- * into their time-out
- * @fresh: not one that the server may just be closing
+ * upstream_find_idle() - find a server's most recently used idle connection
+ * @recent_only: only one idle so briefly that the server is not closing it
+ *
+ * Connections that are not needed are left to reach their idle time-out.
  *
  * Return: NULL if there is none.
  */
@@ -80,29 +99,31 @@
 					 bool recent_only);
 
 /**
- * upstream_header() - a header of the message that was read
+ * upstream_header() - value of a header in the message that was read
  *
- * Return: empty if there is none.
+ * Return: borrowed from the message; empty if there is none.
  */
 struct str upstream_header(const struct upstream_conn *conn, struct str name);
 
 /**
- * upstream_is_other_answer() - the message answers another request than the one
- * that waits
+ * upstream_is_other_answer() - whether the message answers another request than
+ * the connection's current one
  */
 bool upstream_is_other_answer(const struct upstream_conn *conn);
 
 /**
- * upstream_idle_limit() - how long the connection may be idle, as the server
- * says ("timeout=5, max=100": seconds)
+ * upstream_idle_limit() - how long the connection may stay idle
+ *
+ * Follows the server's Keep-Alive header, such as "timeout=5, max=100" with the
+ * time in seconds.
  *
  * Return: microseconds.
  */
 int64_t upstream_idle_limit(const struct upstream_conn *conn);
 
 /**
- * upstream_read_answer() - fill in what a whole answer says of the request, and
- * take over what it says of the server
+ * upstream_read_answer() - fill in the result from a complete answer, and
+ * update the server's load and cold state
  */
 void upstream_read_answer(struct upstream_conn *conn,
 			  struct exchange_result *result);
