--- a/answer.c
+++ b/answer.c
@@ -262,7 +262,7 @@
 }
 
 static void add_addresses(struct evbuffer *out, const struct fleet *fleet,
-			  struct str data_centre, bool own, int *n)
+			  struct str data_centre, bool local, int *n)
 {
 	struct fleet_member *member;
 	struct fleet_member *next;
@@ -270,7 +270,7 @@
 	HASH_ITER (hh, fleet->members, member, next) {
 		bool same = str_eq_text(data_centre, member->data_centre);
 
-		if (member->status == FLEET_ALIVE && same == own)
+		if (member->status == FLEET_ALIVE && same == local)
 			add_address(out, member, n);
 	}
 }
--- a/dispatch.c
+++ b/dispatch.c
@@ -430,18 +430,18 @@
  */
 static void hedge_part(struct dispatch_part *part, int64_t now)
 {
-	struct dispatch_send *waiting;
+	struct dispatch_send *queued;
 	int ret;
 
 	if (part->state != PART_PENDING || now < part->hedge_at)
 		return;
 	part->hedge_at = INT64_MAX;
-	waiting = dispatch_part_queued_send(part);
-	if (!waiting && part->n_maybe_run >= part->dispatch->route->servers_max)
+	queued = dispatch_part_queued_send(part);
+	if (!queued && part->n_maybe_run >= part->dispatch->route->servers_max)
 		return;
 	ret = ERR_BUDGET;
-	if (waiting)
-		ret = dispatch_part_move(part, waiting);
+	if (queued)
+		ret = dispatch_part_move(part, queued);
 	else if (is_straggler(part->dispatch))
 		ret = dispatch_part_send_again(part, "hedge", true);
 	if (ret)
--- a/dispatch.h
+++ b/dispatch.h
@@ -163,8 +163,9 @@
  * @latency: of the route's answers, borrowed
  * @start: arrival, microseconds
  * @deadline: of the caller and the route, microseconds
- * @soft_deadline: sharded: from then on a partial answer is sent once it has
- *	the route's coverage_min, microseconds
+ * @soft_deadline: from then on a partial answer is sent once it has the route's
+ *	coverage_min, failed parts are not retried later, and an answer counts
+ *	as late for the load limit; microseconds
  * @n_answered: parts with an accepted answer
  * @n_failed: parts that are not sent any more, including the next two
  * @n_unreachable: parts without a reachable server on arrival
@@ -229,7 +230,7 @@
  * @target: service, for a route that is not sharded
  * @latency: of the route's answers; updated, and must outlive @dispatch
  * @deadline: microseconds
- * @soft_timeout: sharded: time until a partial answer is accepted, microseconds
+ * @soft_timeout: time until the soft deadline, microseconds
  *
  * All pointers are borrowed until dispatch_finish().
  */
--- a/dispatch_load.c
+++ b/dispatch_load.c
@@ -130,12 +130,12 @@
 static bool lacks_answers(const struct dispatch *dispatch)
 {
 	const struct load_control *control = dispatch->limits->control;
-	int live = dispatch->n_parts - dispatch->n_unreachable -
-		   dispatch->n_left_out;
+	int n_reachable = dispatch->n_parts - dispatch->n_unreachable -
+			  dispatch->n_left_out;
 	double min = control && control->left_out ? OVERLOAD_RATIO_WITH_FORECAST
 						  : OVERLOAD_RATIO;
 
-	return dispatch->n_answered < live * min;
+	return dispatch->n_answered < n_reachable * min;
 }
 
 /* After half the goal, requests admitted before the limit fell have ended. */
--- a/dispatch_private.h
+++ b/dispatch_private.h
@@ -45,11 +45,11 @@
 /**
  * dispatch_part_move() - send a queued part to another server instead
  *
- * Return: 0 with @waiting abandoned; or an error of dispatch_part_send_again(),
- * @waiting stays queued.
+ * Return: 0 with @queued abandoned; or an error of dispatch_part_send_again(),
+ * the send stays queued.
  */
 int dispatch_part_move(struct dispatch_part *part,
-		       struct dispatch_send *waiting);
+		       struct dispatch_send *queued);
 
 /**
  * dispatch_part_send() - send a part to the best server that accepts it
--- a/dispatch_send.c
+++ b/dispatch_send.c
@@ -36,7 +36,7 @@
 }
 
 /* Servers that a part is not sent to again. */
-struct tried {
+struct tried_servers {
 	struct registry_server *servers[DISPATCH_SENDS_MAX];
 	int n;
 };
@@ -46,7 +46,8 @@
 	return send->busy_until && now >= send->busy_until;
 }
 
-static void collect_tried(const struct dispatch_part *part, struct tried *tried)
+static void collect_tried(const struct dispatch_part *part,
+			  struct tried_servers *tried)
 {
 	int64_t now = clock_now(part->dispatch->clock);
 	int i;
@@ -87,7 +88,7 @@
 }
 
 static struct registry_server *pick_untried(const struct dispatch_part *part,
-					    const struct tried *tried,
+					    const struct tried_servers *tried,
 					    bool preferred_only)
 {
 	const struct dispatch *dispatch = part->dispatch;
@@ -108,7 +109,7 @@
 struct registry_server *dispatch_part_pick(const struct dispatch_part *part,
 					   bool preferred_only)
 {
-	struct tried tried;
+	struct tried_servers tried;
 
 	collect_tried(part, &tried);
 	return pick_untried(part, &tried, preferred_only);
@@ -164,7 +165,7 @@
 {
 	struct registry_server *server;
 	int ret = ERR_NO_REPLICA;
-	struct tried tried;
+	struct tried_servers tried;
 
 	if (!unused_send(part))
 		return ERR_NO_REPLICA;
@@ -209,7 +210,7 @@
 {
 	struct dispatch *dispatch = part->dispatch;
 	bool was_delivered = part->n_delivered;
-	struct tried tried;
+	struct tried_servers tried;
 	int ret;
 
 	collect_tried(part, &tried);
@@ -232,8 +233,7 @@
 	return ret;
 }
 
-int dispatch_part_move(struct dispatch_part *part,
-		       struct dispatch_send *waiting)
+int dispatch_part_move(struct dispatch_part *part, struct dispatch_send *queued)
 {
 	struct dispatch *dispatch = part->dispatch;
 	bool was_delivered;
@@ -252,7 +252,7 @@
 	dispatch->n_extra--;
 	if (!was_delivered)
 		part->service->budget.uncharged--;
-	waiting->state = SEND_ENDED;
-	dispatch->ops->abandon(dispatch->arg, waiting);
+	queued->state = SEND_ENDED;
+	dispatch->ops->abandon(dispatch->arg, queued);
 	return 0;
 }
