--- a/answer.c
+++ b/answer.c
@@ -12,11 +12,11 @@
 #include "share_status.h"
 #include "table_status.h"
 
-#define MISSING_MAX 64
+#define MISSING_SHARDS_LISTED_MAX 64
 
 /*
- * Codes that say by themselves that nothing ran. All others leave it open,
- * unless no byte can have reached a backend server.
+ * Codes that imply that the request did not run. With any other code it may
+ * have run, unless no byte can have reached a backend server.
  */
 static bool is_bad_request(int code)
 {
@@ -68,9 +68,9 @@
 	json_text_add(out, value);
 }
 
-void answer_refusal(struct evbuffer *out, struct str request_id, int code,
-		    bool maybe_ran, int64_t retry_after_ms,
-		    const struct error *err)
+void answer_error(struct evbuffer *out, struct str request_id, int code,
+		  bool maybe_ran, int64_t retry_after_ms,
+		  const struct error *err)
 {
 	evbuffer_add_printf(out, "{\"request_id\":");
 	json_text_add(out, request_id);
@@ -102,7 +102,8 @@
 	evbuffer_add(out, "]", 1);
 }
 
-static void add_missing(struct evbuffer *out, const struct search *search)
+static void add_missing_shards(struct evbuffer *out,
+			       const struct search *search)
 {
 	int listed = 0;
 	int missing = 0;
@@ -112,7 +113,7 @@
 	for (i = 0; i < search->map->n_shards; i++) {
 		if (search->shards[i].state == SEARCH_SHARD_ANSWERED)
 			continue;
-		if (++missing > MISSING_MAX)
+		if (++missing > MISSING_SHARDS_LISTED_MAX)
 			continue;
 		evbuffer_add_printf(out,
 				    "%s{\"lo\":%d,\"hi\":%d,\"reason\":\"%s\"}",
@@ -134,7 +135,7 @@
 			    ",\"ratio\":%.6f,\"sufficient\":%s",
 			    search->covered, search_total(search), ratio,
 			    ratio >= search->min_coverage ? "true" : "false");
-	add_missing(out, search);
+	add_missing_shards(out, search);
 	evbuffer_add(out, "}", 1);
 }
 
@@ -144,9 +145,9 @@
 	int64_t now = clock_now(board->clock);
 
 	if (search->code) {
-		answer_refusal(out, str_from(search->request.request_id),
-			       search->code, search->maybe_ran,
-			       search->retry_after_ms, &search->error);
+		answer_error(out, str_from(search->request.request_id),
+			     search->code, search->maybe_ran,
+			     search->retry_after_ms, &search->error);
 		return;
 	}
 	evbuffer_add_printf(out, "{\"request_id\":");
@@ -207,7 +208,7 @@
 	struct json_tokener *tokener = json_tokener_new();
 	struct json_object *object =
 		json_tokener_parse_ex(tokener, text.data, (int)text.len);
-	/* A number at the very end might go on. */
+	/* A number at the very end leaves the tokener waiting for more. */
 	bool whole = json_tokener_get_error(tokener) == json_tokener_success &&
 		     tokener->char_offset == (int)text.len;
 
@@ -216,7 +217,7 @@
 	return whole;
 }
 
-/* JSON goes in as it is; else the answer's bytes as a string. */
+/* Embeds the body if it is JSON, otherwise adds it as a string. */
 static void add_result(struct evbuffer *out, struct str body)
 {
 	evbuffer_add_printf(out, ",\"result\":");
@@ -261,7 +262,7 @@
 }
 
 static void add_addresses(struct evbuffer *out, const struct fleet *fleet,
-			  struct str data_centre, bool own, int *n)
+			  struct str data_centre, bool local, int *n)
 {
 	struct fleet_member *member;
 	struct fleet_member *next;
@@ -269,7 +270,7 @@
 	HASH_ITER (hh, fleet->members, member, next) {
 		bool same = str_eq_text(data_centre, member->data_centre);
 
-		if (member->status == FLEET_ALIVE && same == own)
+		if (member->status == FLEET_ALIVE && same == local)
 			add_address(out, member, n);
 	}
 }
@@ -340,8 +341,12 @@
 	evbuffer_add(out, "]", 1);
 }
 
-/* On the platform's list, which lags, but not in the fleet. */
-static void add_gone(struct evbuffer *out, const struct blackboard *board)
+/*
+ * Adds instances that are still on the platform's list, which lags behind, but
+ * no longer in the fleet.
+ */
+static void add_departed_members(struct evbuffer *out,
+				 const struct blackboard *board)
 {
 	struct fleet_member *member;
 	struct fleet_member *next;
@@ -415,7 +420,7 @@
 	add_members(out, &board->fleet);
 	evbuffer_add_printf(out, ",\"shares\":");
 	share_status_add(out, board->share);
-	add_gone(out, board);
+	add_departed_members(out, board);
 	add_servers(out, &board->catalog);
 	evbuffer_add_printf(out, "}\n");
 }
--- a/upstream_limits.c
+++ b/upstream_limits.c
@@ -1,4 +1,4 @@
-/* Whether a server may get one more request, and on which connection. */
+/* Limits of requests and connections to a server, and reuse of connections. */
 #include "upstream_private.h"
 
 #include <math.h>
@@ -8,20 +8,23 @@
 #include "error.h"
 #include "mem.h"
 
-/* However many instances share what a server accepts, so many are allowed. */
-#define CONNS_NEAR_LEAST 2
-/* A request that must not be repeated uses none that was idle for longer. */
-#define IDLE_FRESH MSEC(100)
-/* An answer that later ones overtake by so many times the usual is lost. */
-#define OVERTAKEN_TIMES 3
+/*
+ * Connections that an instance may always open to a server of its data centre,
+ * however many instances share the server.
+ */
+#define LOCAL_CONNS_MIN 2
+/* Non-idempotent requests use no connection that was idle for longer. */
+#define RECENT_IDLE_MAX MSEC(100)
+/* An abandoned exchange is presumed lost after this multiple of the latency. */
+#define OVERTAKEN_FACTOR 3
 
 /*
- * Only instances of its own data centre agree on who sends to a cold server.
+ * Instances agree on who sends to a cold server only within its data centre.
  *
- * Return: whether one more request may go to it.
+ * Return: whether it may get another request.
  */
-static bool count_cold(const struct upstream *upstream,
-		       struct registry_server *server)
+static bool take_cold_send(const struct upstream *upstream,
+			   struct registry_server *server)
 {
 	if (server->remote)
 		return false;
@@ -38,14 +41,14 @@
 		return ERR_DRAINING;
 	if (upstream->limits.warmup &&
 	    registry_is_cold(server, clock_now(upstream->clock)) &&
-	    !count_cold(upstream, server))
+	    !take_cold_send(upstream, server))
 		return ERR_COLD;
 	return 0;
 }
 
 struct upstream_conn *upstream_find_idle(const struct upstream *upstream,
 					 const struct registry_server *server,
-					 bool fresh)
+					 bool recent_only)
 {
 	int64_t now = clock_now(upstream->clock);
 	struct upstream_conn *best = NULL;
@@ -56,7 +59,7 @@
 
 		if (conn->state != CONN_IDLE || idle >= conn->idle_for)
 			continue;
-		if (fresh && idle > IDLE_FRESH)
+		if (recent_only && idle > RECENT_IDLE_MAX)
 			continue;
 		if (!best || conn->idle_since > best->idle_since)
 			best = conn;
@@ -68,30 +71,32 @@
 		       struct registry_server *server, int64_t connections_max)
 {
 	const struct upstream_limits *limits = &upstream->limits;
-	/* A peer may tell any number. */
-	double most;
+	/* Peers may report any number, which could overflow an integer. */
+	double max;
 
-	/* Rounded up: with one connection, one slow answer blocks a server. */
+	/* Rounded up: with one connection, a slow answer blocks the server. */
 	if (server->remote)
-		most = ceil((double)connections_max * limits->share_far);
+		max = ceil((double)connections_max * limits->share_remote);
 	else
-		most = floor((double)connections_max * limits->share_near);
-	if (!server->remote && most < CONNS_NEAR_LEAST)
-		most = CONNS_NEAR_LEAST;
-	return registry_conns(server) < most;
+		max = floor((double)connections_max * limits->share_local);
+	if (!server->remote && max < LOCAL_CONNS_MIN)
+		max = LOCAL_CONNS_MIN;
+	return registry_conns(server) < max;
 }
 
-/* Its answer is lost: the server has answered since for longer than it takes.
+/*
+ * Whether the answer of an abandoned exchange is presumed lost, as the server
+ * has since answered others for longer than it takes.
  */
 static bool is_overtaken(const struct exchange *exchange,
 			 const struct server_score *score)
 {
 	return exchange->abandoned && exchange->written &&
 	       (double)(score->waiting_since - exchange->sent_at) >
-		       score->latency * OVERTAKEN_TIMES;
+		       score->latency * OVERTAKEN_FACTOR;
 }
 
-int upstream_under_way(const struct registry_server *server)
+int upstream_in_flight(const struct registry_server *server)
 {
 	const struct upstream_conn *conn;
 	int n = 0;
