--- a/caller.h
+++ b/caller.h
@@ -2,7 +2,7 @@
 #ifndef CALLER_H
 #define CALLER_H
 
-#include "accept_guard.h"
+#include "accept_backoff.h"
 #include "blackboard.h"
 #include "caller_conn.h"
 #include "entry_net.h"
@@ -17,7 +17,7 @@
 	struct evhtp *http;
 	uint64_t next_id;
 	struct caller_conns conns;
-	struct accept_guard guard;
+	struct accept_backoff guard;
 	struct blackboard_watch table_watch;
 };
 
--- a/fleet.h
+++ b/fleet.h
@@ -1,4 +1,4 @@
-/* The instances of the fleet as this one sees them. */
+/* The instances of the fleet as this instance sees them. */
 #ifndef FLEET_H
 #define FLEET_H
 
@@ -21,8 +21,11 @@
 /**
  * struct fleet_member - one instance
  * @instance: its name
- * @incarnation: 0 while not known
- * @capacity: processor time it has, thousandths of a core; 0: not known
+ * @peer_address: for other instances
+ * @caller_address: for callers
+ * @incarnation: identifies the process; 0 while unknown
+ * @capacity: CPU capacity, thousandths of a core; 0 if unknown
+ * @seen: mark used while a list of instances is applied
  */
 struct fleet_member {
 	char instance[FLEET_NAME_SIZE];
@@ -32,10 +35,14 @@
 	uint64_t incarnation;
 	uint32_t capacity;
 	enum fleet_status status;
-	bool seen; /* mark while a list is applied */
+	bool seen;
 	UT_hash_handle hh;
 };
 
+/**
+ * struct fleet - all known instances
+ * @members: owned, by name
+ */
 struct fleet {
 	struct fleet_member *members;
 };
@@ -44,14 +51,23 @@
 void fleet_finish(struct fleet *fleet);
 
 /**
- * fleet_find() - member by name, or NULL
+ * fleet_find() - look up a member by name
+ *
+ * Return: the member, owned by @fleet, or NULL.
  */
 struct fleet_member *fleet_find(const struct fleet *fleet, struct str instance);
 
 /**
- * fleet_put() - member by name, added if missing
+ * fleet_find_or_add() - look up a member by name, adding it if missing
+ *
+ * Return: the member, owned by @fleet; a new one is zero but for its name.
+ */
+struct fleet_member *fleet_find_or_add(struct fleet *fleet,
+				       struct str instance);
+
+/**
+ * fleet_remove() - remove and free a member
  */
-struct fleet_member *fleet_put(struct fleet *fleet, struct str instance);
 void fleet_remove(struct fleet *fleet, struct fleet_member *member);
 
 #endif
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -160,18 +160,18 @@
 static bool is_near_hub(const struct gateway_fleet *fleet,
 			const struct hub_member *member)
 {
-	return member->hub &&
+	return member->is_hub &&
 	       !strcmp(member->data_centre, fleet->settings.data_centre);
 }
 
 static void set_cold_senders(struct gateway_fleet *fleet)
 {
 	const struct view_share *views = &fleet->views;
-	char instances[HUBS_MOST][FLEET_NAME_SIZE];
+	char instances[HUBS_PER_DC_MAX][FLEET_NAME_SIZE];
 	int n = 0;
 	int i;
 
-	for (i = 0; i < views->n_members && n < HUBS_MOST; i++) {
+	for (i = 0; i < views->n_members && n < HUBS_PER_DC_MAX; i++) {
 		if (is_near_hub(fleet, &views->members[i]))
 			memcpy(instances[n++], views->members[i].instance,
 			       FLEET_NAME_SIZE);
@@ -182,7 +182,7 @@
 static bool is_sender(const struct view_share *views,
 		      const struct hub_member *member)
 {
-	return member->hub ||
+	return member->is_hub ||
 	       directory_is_large(member->capacity, views->members[0].capacity);
 }
 
@@ -207,7 +207,7 @@
 		const struct hub_member *member = &views->members[i];
 		uint64_t score;
 
-		if (!member->hub ||
+		if (!member->is_hub ||
 		    strcmp(member->data_centre, server->entry.data_centre))
 			continue;
 		score = warmup_score(id, member->instance);
--- a/hubs.c
+++ b/hubs.c
@@ -6,10 +6,10 @@
 #include "directory.h"
 #include "mem.h"
 
-/* A data centre while members are counted. */
+/* A data centre while its members are ranked. */
 struct centre {
 	const char *name;
-	uint32_t most;
+	uint32_t max_capacity;
 	int n;
 };
 
@@ -23,8 +23,8 @@
 	return x->score < y->score ? 1 : x->score > y->score ? -1 : 0;
 }
 
-static struct centre *centre_of(struct centre *centres, int *n,
-				const struct hub_member *member)
+static struct centre *find_or_add_centre(struct centre *centres, int *n,
+					 const struct hub_member *member)
 {
 	int i;
 
@@ -33,7 +33,7 @@
 			return &centres[i];
 	}
 	centres[i].name = member->data_centre;
-	centres[i].most = member->capacity;
+	centres[i].max_capacity = member->capacity;
 	centres[i].n = 0;
 	(*n)++;
 	return &centres[i];
@@ -48,12 +48,13 @@
 	qsort(members, (size_t)n, sizeof(*members), by_rank);
 	for (i = 0; i < n; i++) {
 		struct hub_member *member = &members[i];
-		struct centre *centre = centre_of(centres, &n_centres, member);
+		struct centre *centre =
+			find_or_add_centre(centres, &n_centres, member);
 
-		member->place = centre->n++;
-		member->hub =
-			member->place < HUBS_MOST &&
-			directory_is_large(member->capacity, centre->most);
+		member->dc_rank = centre->n++;
+		member->is_hub = member->dc_rank < HUBS_PER_DC_MAX &&
+				 directory_is_large(member->capacity,
+						    centre->max_capacity);
 	}
 	free(centres);
 }
@@ -82,24 +83,27 @@
 void hub_links_plan(struct hub_links *links, const struct hub_member *members,
 		    int n, int self)
 {
-	const struct hub_member *me = &members[self];
-	bool far = me->hub ||
-		   directory_is_large(me->capacity, members[0].capacity);
+	const struct hub_member *own = &members[self];
+	bool link_remote =
+		own->is_hub ||
+		directory_is_large(own->capacity, members[0].capacity);
 	int i;
 
 	hub_links_clear(links);
 	for (i = 0; i < n; i++) {
 		const struct hub_member *member = &members[i];
-		bool near = !strcmp(member->data_centre, me->data_centre);
+		bool is_local = !strcmp(member->data_centre, own->data_centre);
 
-		if (i == self || !member->hub)
+		if (i == self || !member->is_hub)
 			continue;
-		if (near ? me->hub || member->place < HUBS_NEAR : far)
+		if (is_local ? own->is_hub ||
+				       member->dc_rank < LOCAL_HUBS_PER_MEMBER
+			     : link_remote)
 			hub_links_add(links, member->instance);
 	}
 }
 
-bool hub_links_wants(const struct hub_links *links, const char *instance)
+bool hub_links_contain(const struct hub_links *links, const char *instance)
 {
 	int i;
 
--- a/hubs.h
+++ b/hubs.h
@@ -1,9 +1,10 @@
 /*
- * Which instances of a data centre speak for it: they are connected to all its
- * instances and to the hubs of the other data centres, relay to its backend
- * servers, and pass on what one instance read for all. Every instance connects
- * to a few hubs only, so that connections grow with the fleet and not with its
- * square. Decides without sockets.
+ * Chooses the hubs of each data centre. Hubs are connected to all instances of
+ * their data centre and to the hubs of the other data centres, relay requests
+ * to the backend servers there, and distribute what one instance has read for
+ * all. The other instances connect to a few hubs only, so that the number of
+ * connections grows linearly with the fleet instead of quadratically. Contains
+ * no I/O.
  */
 #ifndef HUBS_H
 #define HUBS_H
@@ -14,38 +15,41 @@
 #include "fleet.h"
 
 /*
- * Hubs of a data centre at most. Each keeps connections to the data centre's
- * backend servers, which accept few and take some milliseconds for a new one;
- * eight share a server of 25 connections.
+ * Maximum number of hubs in a data centre. Each hub keeps connections open to
+ * the data centre's backend servers, because a new connection takes some
+ * milliseconds, and the servers accept few: eight hubs fit a server that
+ * accepts 25 connections.
  */
-#define HUBS_MOST 8
-/* Hubs that each instance of the data centre connects to: two may be lost. */
-#define HUBS_NEAR 3
+#define HUBS_PER_DC_MAX 8
+/* Hubs that each other instance there connects to: two of them may fail. */
+#define LOCAL_HUBS_PER_MEMBER 3
 
 /**
  * struct hub_member - an instance that is alive
- * @score: a hash of its name, the same everywhere
- * @place: among those of its data centre, from 0
- * @hub: it is one
+ * @capacity: CPU capacity, thousandths of a core
+ * @score: hash of its name, equal on all instances; breaks ties
+ * @dc_rank: rank within its data centre, from 0
+ * @is_hub: it is a hub of its data centre
  */
 struct hub_member {
 	char instance[FLEET_NAME_SIZE];
 	char data_centre[FLEET_NAME_SIZE];
 	uint32_t capacity;
 	uint64_t score;
-	int place;
-	bool hub;
+	int dc_rank;
+	bool is_hub;
 };
 
 /**
- * hubs_choose() - set @place and @hub of all, and sort them by rank
+ * hubs_choose() - sort @members by rank and set their dc_rank and is_hub
  *
- * The largest come first: who speaks for others should have the means to.
+ * Instances with the most capacity come first, because hubs work for others.
  */
 void hubs_choose(struct hub_member *members, int n);
 
 /**
- * struct hub_links - instances that this one connects to
+ * struct hub_links - the instances that this one connects to
+ * @names: owned
  */
 struct hub_links {
 	char (*names)[FLEET_NAME_SIZE];
@@ -60,15 +64,20 @@
 void hub_links_add(struct hub_links *links, const char *instance);
 
 /**
- * hub_links_plan() - choose them
- * @members: after hubs_choose()
- * @self: index of this instance
+ * hub_links_plan() - choose the instances to connect to
+ * @members: sorted by hubs_choose()
+ * @self: index of this instance in @members
  *
- * Hubs of the own data centre; for hubs and for those that take callers, who
- * ask relays, the hubs of the others too.
+ * These are hubs of its own data centre. Hubs, and the instances large enough
+ * to accept callers, also connect to the hubs of the other data centres, which
+ * relay their requests.
  */
 void hub_links_plan(struct hub_links *links, const struct hub_member *members,
 		    int n, int self);
-bool hub_links_wants(const struct hub_links *links, const char *instance);
+
+/**
+ * hub_links_contain() - whether this instance connects to @instance
+ */
+bool hub_links_contain(const struct hub_links *links, const char *instance);
 
 #endif
--- a/inbound.h
+++ b/inbound.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "accept_guard.h"
+#include "accept_backoff.h"
 #include "address.h"
 #include "clock.h"
 #include "http_message.h"
@@ -45,7 +45,7 @@
 	const struct inbound_ops *ops;
 	void *arg;
 	struct evconnlistener *listener;
-	struct accept_guard guard;
+	struct accept_backoff guard;
 	struct http_limits limits;
 	int64_t header_timeout;
 	int64_t idle_timeout;
--- a/instances.c
+++ b/instances.c
@@ -16,7 +16,7 @@
 	return str_from(json_object_get_string(value));
 }
 
-static void take_instance(struct fleet *fleet, struct json_object *item)
+static void apply_instance(struct fleet *fleet, struct json_object *item)
 {
 	struct str name = member_text(item, "instance");
 	struct str dc = member_text(item, "data_centre");
@@ -31,7 +31,7 @@
 		LOG_WARN("instance_bad", LOG_STR("name", name));
 		return;
 	}
-	member = fleet_put(fleet, name);
+	member = fleet_find_or_add(fleet, name);
 	str_copy(member->data_centre, sizeof(member->data_centre), dc);
 	member->peer_address = peer;
 	member->caller_address = caller;
@@ -41,7 +41,7 @@
 	member->seen = true;
 }
 
-int instances_take(struct fleet *fleet, struct str text)
+int instances_apply(struct fleet *fleet, struct str text)
 {
 	struct json_tokener *tok = json_tokener_new();
 	struct json_object *list;
@@ -58,7 +58,7 @@
 	HASH_ITER (hh, fleet->members, member, next)
 		member->seen = false;
 	for (i = 0; i < json_object_array_length(list); i++)
-		take_instance(fleet, json_object_array_get_idx(list, i));
+		apply_instance(fleet, json_object_array_get_idx(list, i));
 	HASH_ITER (hh, fleet->members, member, next) {
 		if (!member->seen)
 			fleet_remove(fleet, member);
--- a/instances.h
+++ b/instances.h
@@ -1,17 +1,19 @@
-/* The platform's list of instances, taken over into the fleet. */
+/* Applies the platform's list of instances to the fleet. */
 #ifndef INSTANCES_H
 #define INSTANCES_H
 
 #include "fleet.h"
 
 /**
- * instances_take() - make the fleet what the list says
- * @text: the value of the key "instances"; rows that are malformed are logged
- *        and left out
+ * instances_apply() - make the fleet match the list
+ * @text: JSON value of the key "instances"; malformed rows are logged and
+ *	skipped
  *
- * Return: 0, or ERR_SYNTAX for a text that is no list, with the fleet
+ * Members that the list doesn't have are removed and freed.
+ *
+ * Return: 0, or ERR_SYNTAX if @text isn't a JSON array; the fleet is then
  * unchanged.
  */
-int instances_take(struct fleet *fleet, struct str text);
+int instances_apply(struct fleet *fleet, struct str text);
 
 #endif
--- a/member_net.c
+++ b/member_net.c
@@ -244,7 +244,7 @@
 		      enum fleet_status status)
 {
 	struct fleet_member *entry =
-		fleet_put(fleet, str_from(member->instance));
+		fleet_find_or_add(fleet, str_from(member->instance));
 
 	str_copy(entry->data_centre, sizeof(entry->data_centre),
 		 str_from(member->data_centre));
--- a/tests/test_hubs.c
+++ b/tests/test_hubs.c
@@ -1,4 +1,4 @@
-/* Whom instances connect to, at the sizes of fleets. */
+/* Which instances connect to which, for fleets of several sizes. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,9 +11,8 @@
 #define LARGE 500
 #define SMALL 120
 
-/* @n instances in @centres data centres; the first @n_large of each are large.
- */
-static struct hub_member *make(int n, int centres, int n_large)
+/* @n instances in @centres data centres, @n_large large ones in each. */
+static struct hub_member *make_members(int n, int centres, int n_large)
 {
 	struct hub_member *members = mem_zalloc((size_t)n * sizeof(*members));
 	int i;
@@ -31,84 +30,85 @@
 	return members;
 }
 
-/* Links of the one that holds most, those that others open to it included. */
-static int most_links(const struct hub_member *members, int n)
+/* Maximum number of links of an instance, both outgoing and incoming. */
+static int max_links(const struct hub_member *members, int n)
 {
-	int *held = mem_zalloc((size_t)n * sizeof(*held));
+	int *n_links = mem_zalloc((size_t)n * sizeof(*n_links));
 	struct hub_links links;
-	int most = 0;
+	int max = 0;
 	int i;
 	int k;
 
 	hub_links_init(&links);
 	for (i = 0; i < n; i++) {
 		hub_links_plan(&links, members, n, i);
-		held[i] += links.n;
+		n_links[i] += links.n;
 		for (k = 0; k < n; k++)
-			held[k] += hub_links_wants(&links, members[k].instance);
+			n_links[k] +=
+				hub_links_contain(&links, members[k].instance);
 	}
 	for (i = 0; i < n; i++)
-		most = held[i] > most ? held[i] : most;
+		max = n_links[i] > max ? n_links[i] : max;
 	hub_links_finish(&links);
-	free(held);
-	return most;
+	free(n_links);
+	return max;
 }
 
-static int most_links_of(int n, int centres, int n_large)
+static int max_links_of(int n, int centres, int n_large)
 {
-	struct hub_member *members = make(n, centres, n_large);
-	int most = most_links(members, n);
+	struct hub_member *members = make_members(n, centres, n_large);
+	int max = max_links(members, n);
 
 	free(members);
-	return most;
+	return max;
 }
 
 /*
- * At a start of hundreds each dialled all others, on a tenth of a core: 590
- * connections an instance at 295. What one holds must follow the size of its
- * data centre, not that of the fleet.
+ * When 295 instances with a tenth of a core each started together and each
+ * connected to all others, an instance held 590 connections. The number must
+ * grow with the size of the data centre and not with that of the fleet.
  */
-static void test_links_follow_the_data_centre(void)
+static void test_links_grow_with_data_centre(void)
 {
-	/* Both ways of each pair of hubs, and its own data centre. */
-	CU_ASSERT(most_links_of(8, 4, 2) <= 14);
-	CU_ASSERT(most_links_of(76, 4, 3) <= 2 * 11 + 19);
-	CU_ASSERT(most_links_of(295, 6, 3) <= 2 * 17 + 50);
-	/* All alike and all taking callers: hubs are asked by each of them. */
-	CU_ASSERT(most_links_of(295, 6, 0) <= 6 * HUBS_MOST + 295);
+	/* Two links per pair of hubs, and those within the data centre. */
+	CU_ASSERT(max_links_of(8, 4, 2) <= 14);
+	CU_ASSERT(max_links_of(76, 4, 3) <= 2 * 11 + 19);
+	CU_ASSERT(max_links_of(295, 6, 3) <= 2 * 17 + 50);
+	/* Equal instances all accept callers, so each connects to all hubs. */
+	CU_ASSERT(max_links_of(295, 6, 0) <= 6 * HUBS_PER_DC_MAX + 295);
 }
 
-static void test_small_fleets_are_linked_as_before(void)
+static void test_small_fleet_is_fully_connected(void)
 {
-	struct hub_member *members = make(8, 4, 2);
+	struct hub_member *members = make_members(8, 4, 2);
 	struct hub_links links;
 	int i;
 
 	hub_links_init(&links);
 	for (i = 0; i < 8; i++) {
-		CU_ASSERT(members[i].hub);
+		CU_ASSERT(members[i].is_hub);
 		hub_links_plan(&links, members, 8, i);
 		CU_ASSERT(links.n == 7);
-		CU_ASSERT(!hub_links_wants(&links, members[i].instance));
+		CU_ASSERT(!hub_links_contain(&links, members[i].instance));
 	}
 	hub_links_finish(&links);
 	free(members);
 }
 
-/* A small instance that takes no callers speaks through three of its own. */
+/* A small instance without callers connects to three hubs of its own centre. */
 static void test_small_instance(void)
 {
-	struct hub_member *members = make(295, 6, 3);
+	struct hub_member *members = make_members(295, 6, 3);
 	struct hub_links links;
 	int i;
 
 	hub_links_init(&links);
 	hub_links_plan(&links, members, 295, 294);
 	CU_ASSERT(members[294].capacity == SMALL);
-	CU_ASSERT(links.n == HUBS_NEAR);
+	CU_ASSERT(links.n == LOCAL_HUBS_PER_MEMBER);
 	for (i = 0; i < 295; i++) {
-		if (hub_links_wants(&links, members[i].instance))
-			CU_ASSERT(members[i].hub &&
+		if (hub_links_contain(&links, members[i].instance))
+			CU_ASSERT(members[i].is_hub &&
 				  !strcmp(members[i].data_centre,
 					  members[294].data_centre));
 	}
@@ -117,12 +117,12 @@
 }
 
 /*
- * All large instances of a data centre lose power. Those that are left there
- * must become hubs at once, bounded in number, and be linked to the others.
+ * If all large instances of a data centre fail, small ones must become hubs at
+ * once, no more than the maximum, and be connected to the other data centres.
  */
-static void test_large_ones_lost(void)
+static void test_large_instances_lost(void)
 {
-	struct hub_member *members = make(295, 6, 3);
+	struct hub_member *members = make_members(295, 6, 3);
 	struct hub_links links;
 	int n = 0;
 	int hubs = 0;
@@ -135,22 +135,22 @@
 	}
 	hubs_choose(members, n);
 	for (i = 0; i < n; i++)
-		hubs += members[i].hub &&
+		hubs += members[i].is_hub &&
 			!strcmp(members[i].data_centre, "dc0");
-	CU_ASSERT(hubs == HUBS_MOST);
+	CU_ASSERT(hubs == HUBS_PER_DC_MAX);
 	hub_links_init(&links);
 	hub_links_plan(&links, members, n, 0);
 	CU_ASSERT(strcmp(members[0].data_centre, "dc0"));
-	CU_ASSERT(links.n == 4 * 3 + 2 + HUBS_MOST);
+	CU_ASSERT(links.n == 4 * 3 + 2 + HUBS_PER_DC_MAX);
 	hub_links_finish(&links);
 	free(members);
 }
 
 static const struct unit_test tests[] = {
-	{"links follow the data centre", test_links_follow_the_data_centre},
-	{"small fleets as before", test_small_fleets_are_linked_as_before},
-	{"a small instance", test_small_instance},
-	{"large ones lost", test_large_ones_lost},
+	{"links grow with the data centre", test_links_grow_with_data_centre},
+	{"small fleet is fully connected", test_small_fleet_is_fully_connected},
+	{"small instance", test_small_instance},
+	{"large instances lost", test_large_instances_lost},
 };
 
 UNIT_MAIN("hubs", tests)
--- a/tests/test_view_share.c
+++ b/tests/test_view_share.c
@@ -391,7 +391,7 @@
 	world_pass(&world, 5000);
 	for (i = 0; i < n; i++) {
 		struct view_share *share = &world.nodes[i].share;
-		bool lead = !share->members[share->rank].place;
+		bool lead = !share->members[share->rank].dc_rank;
 
 		if (!share->rank ||
 		    (lead && !strcmp(share->data_centre, "dc1")))
--- a/view_share.c
+++ b/view_share.c
@@ -374,7 +374,8 @@
 			&share->members[share->asked_next++ %
 					(unsigned int)share->n_members];
 
-		if (member->hub && strcmp(member->instance, share->instance) &&
+		if (member->is_hub &&
+		    strcmp(member->instance, share->instance) &&
 		    ask(share, member->instance, whole))
 			return;
 	}
--- a/view_tell.c
+++ b/view_tell.c
@@ -38,7 +38,8 @@
 	for (i = 0; i < share->n_members; i++) {
 		const struct hub_member *member = &share->members[i];
 
-		if (member->hub && strcmp(member->instance, share->instance) &&
+		if (member->is_hub &&
+		    strcmp(member->instance, share->instance) &&
 		    !strcmp(member->data_centre, data_centre) &&
 		    view_tell(share, member->instance, update))
 			return;
@@ -54,7 +55,7 @@
 	for (i = 0; i < share->n_members; i++) {
 		const struct hub_member *member = &share->members[i];
 
-		if (!member->place &&
+		if (!member->dc_rank &&
 		    strcmp(member->data_centre, share->data_centre))
 			tell_hub(share, update, member->data_centre);
 	}
@@ -62,7 +63,7 @@
 
 static bool is_hub(const struct view_share *share)
 {
-	return !share->n_members || share->members[share->rank].hub;
+	return !share->n_members || share->members[share->rank].is_hub;
 }
 
 void view_tell_all(struct view_share *share, struct view_update *update)
