--- a/crash_watch.c
+++ b/crash_watch.c
@@ -12,8 +12,8 @@
 				    uint64_t fingerprint)
 {
 	struct crash_watch *watch = mem_zalloc(sizeof(*watch));
-	char room[REGISTRY_LIFE_SIZE];
-	struct str name = registry_life(server, room);
+	char life[REGISTRY_LIFE_SIZE];
+	struct str name = registry_life(server, life);
 
 	if (poison_begin(poison, &watch->run, fingerprint, name, name, false)) {
 		free(watch);
@@ -32,13 +32,13 @@
 	free(watch);
 }
 
-static void on_checked(void *arg, bool listens)
+static void on_server_checked(void *arg, bool listens)
 {
 	struct crash_watch *watch = arg;
-	char room[REGISTRY_LIFE_SIZE];
-	struct str name = registry_life(watch->server, room);
+	char life[REGISTRY_LIFE_SIZE];
+	struct str name = registry_life(watch->server, life);
 
-	/* Another send may have found out first. */
+	/* Another watch may have reported this crash already. */
 	if (!listens && watch->run.server) {
 		LOG_WARN("server_crashed", LOG_STR("server", name),
 			 LOG_U64("fingerprint", watch->run.hash));
@@ -53,6 +53,7 @@
 		free_watch(watch);
 		return;
 	}
-	if (upstream_check(watch->upstream, watch->server, on_checked, watch))
-		on_checked(watch, false);
+	if (upstream_check(watch->upstream, watch->server, on_server_checked,
+			   watch))
+		on_server_checked(watch, false);
 }
--- a/crash_watch.h
+++ b/crash_watch.h
@@ -1,7 +1,7 @@
 /*
- * Watches the sends of a gateway for requests that crash the servers that run
- * them. A connection that breaks while a request runs proves little; a server
- * at which nobody listens right after it has crashed.
+ * Detects requests of a gateway that crash the backend servers running them. A
+ * connection that breaks while a request runs isn't enough evidence; a server
+ * whose port refuses connections right afterwards has crashed.
  */
 #ifndef CRASH_WATCH_H
 #define CRASH_WATCH_H
@@ -11,7 +11,14 @@
 #include "upstream.h"
 
 /**
- * struct crash_watch - one send; lives on until its server's state is known
+ * struct crash_watch - one attempt to run a request on a backend server
+ * @poison: borrowed; counts crashes by fingerprint
+ * @upstream: borrowed
+ * @server: holds a reference
+ * @run: the attempt as @poison knows it
+ *
+ * If the connection breaks, the watch stays allocated until the check of the
+ * server has ended.
  */
 struct crash_watch {
 	struct poison *poison;
@@ -21,10 +28,14 @@
 };
 
 /**
- * crash_watch_new() - a request is sent to a server
- * @fingerprint: of the request
+ * crash_watch_new() - start watching a request that is sent to a server
+ * @poison: outlives the watch
+ * @upstream: outlives the watch
+ * @server: the watch takes its own reference
+ * @fingerprint: hash that identifies the request
  *
- * Return: the watch; or NULL if the request is banned by now.
+ * Return: the watch, to be ended with crash_watch_end(); NULL if the request
+ * has been banned in the meantime.
  */
 struct crash_watch *crash_watch_new(struct poison *poison,
 				    struct upstream *upstream,
@@ -32,7 +43,8 @@
 				    uint64_t fingerprint);
 
 /**
- * crash_watch_end() - the send ended; frees the watch, now or later
+ * crash_watch_end() - the attempt ended
+ * @watch: freed, at once or when the check of the server has ended
  * @broke: the connection broke while the request ran
  */
 void crash_watch_end(struct crash_watch *watch, bool broke);
--- a/lifecycle.c
+++ b/lifecycle.c
@@ -8,7 +8,7 @@
 
 #include "log.h"
 
-#define CHECK_MS 20
+#define STOP_CHECK_MS 20
 
 bool lifecycle_may_stop(const struct blackboard *board, bool home_idle)
 {
@@ -19,7 +19,7 @@
 		return false;
 	if (elapsed >= MSEC(tunables->stop_max_ms))
 		return true;
-	/* Others name this instance to callers until the word reaches them. */
+	/* Others give its address to callers until they learn of the stop. */
 	return elapsed >= MSEC(tunables->address_lifetime_ms +
 			       tunables->leave_spread_ms) &&
 	       home_idle && !board->counters.searches_open.value &&
@@ -40,7 +40,7 @@
 
 static void on_signal(evutil_socket_t fd, short what, void *arg)
 {
-	static const struct timeval period = {0, CHECK_MS * 1000};
+	static const struct timeval period = {0, STOP_CHECK_MS * 1000};
 	struct lifecycle_control *control = arg;
 	struct blackboard *board = control->board;
 
--- a/lifecycle.h
+++ b/lifecycle.h
@@ -1,10 +1,11 @@
 /*
  * Start and graceful stop of an instance.
  *
- * Told to stop, an instance leaves the callers' answers at once, serves until
- * the lifetime of the answers that name it is over (others give such answers
- * for leave_spread_ms more) and nothing is in flight, and ends; at the latest
- * after stop_max_ms.
+ * When told to stop, an instance at once leaves the address lists that it gives
+ * to callers. It keeps serving until the address lists that contain it have
+ * expired and nothing is in flight, and then exits; after stop_max_ms it exits
+ * in any case. Other instances may hand out its address for up to
+ * leave_spread_ms more, until they have learned of the stop.
  */
 #ifndef LIFECYCLE_H
 #define LIFECYCLE_H
@@ -14,6 +15,14 @@
 
 struct event;
 
+/**
+ * struct lifecycle_control - signal handlers and the stop check
+ * @board: borrowed
+ * @home: borrowed
+ * @term: SIGTERM
+ * @interrupt: SIGINT
+ * @timer: periodic check once the instance is leaving
+ */
 struct lifecycle_control {
 	struct blackboard *board;
 	const struct home *home;
@@ -22,12 +31,17 @@
 	struct event *timer;
 };
 
+/**
+ * lifecycle_init() - stop gracefully on SIGTERM and SIGINT
+ * @board: outlives @control
+ * @home: outlives @control
+ */
 void lifecycle_init(struct lifecycle_control *control, struct blackboard *board,
 		    const struct home *home);
 void lifecycle_finish(struct lifecycle_control *control);
 
 /**
- * lifecycle_may_stop() - whether a leaving instance may end now
+ * lifecycle_may_stop() - whether a leaving instance may exit now
  * @home_idle: no query of an entry is open at this home
  */
 bool lifecycle_may_stop(const struct blackboard *board, bool home_idle);
--- a/loop_lag.c
+++ b/loop_lag.c
@@ -16,15 +16,15 @@
 		lag = 0;
 	board->beat_at = now;
 	metric_histogram_add(&board->counters.loop_lag.histogram, lag);
-	loop->beat(loop->arg, lag);
+	loop->on_tick(loop->arg, lag);
 	evtimer_add(loop->timer, &period);
 }
 
 void loop_lag_init(struct loop_lag *loop, struct blackboard *board,
-		   void (*beat)(void *arg, int64_t lag), void *arg)
+		   void (*on_tick)(void *arg, int64_t lag), void *arg)
 {
 	loop->board = board;
-	loop->beat = beat;
+	loop->on_tick = on_tick;
 	loop->arg = arg;
 	loop->timer = evtimer_new(board->base, on_timer, loop);
 	on_timer(-1, 0, loop);
--- a/loop_lag.h
+++ b/loop_lag.h
@@ -1,6 +1,6 @@
 /*
- * Watches the event loop itself: how late it comes to its timer, and when it
- * last did.
+ * Measures the lag of the event loop: a periodic timer records how late it
+ * fires and when it last fired.
  */
 #ifndef LOOP_LAG_H
 #define LOOP_LAG_H
@@ -11,23 +11,29 @@
 
 struct event;
 
-#define LOOP_LAG_PERIOD MSEC(20)
-/* So many periods without a beat: the process was stopped or is stuck. */
-#define LOOP_LAG_BEATS_MISSED 3
+#define LOOP_LAG_PERIOD MSEC(20) /* microseconds */
+/* Periods without a tick after which the process was stopped or is stuck. */
+#define LOOP_LAG_STALL_PERIODS 3
 
 /**
- * struct loop_lag - one timer
- * @beat: called every LOOP_LAG_PERIOD or so with how late it is, microseconds
+ * struct loop_lag - the periodic timer of one event loop
+ * @board: borrowed; its beat_at is the time of the last tick
+ * @on_tick: called about every LOOP_LAG_PERIOD with the lag, microseconds
+ * @arg: passed to @on_tick
  */
 struct loop_lag {
 	struct blackboard *board;
 	struct event *timer;
-	void (*beat)(void *arg, int64_t lag);
+	void (*on_tick)(void *arg, int64_t lag);
 	void *arg;
 };
 
+/**
+ * loop_lag_init() - start the timer
+ * @on_tick: called for the first time before this function returns
+ */
 void loop_lag_init(struct loop_lag *loop, struct blackboard *board,
-		   void (*beat)(void *arg, int64_t lag), void *arg);
+		   void (*on_tick)(void *arg, int64_t lag), void *arg);
 void loop_lag_finish(struct loop_lag *loop);
 
 #endif
--- a/tests/test_lifecycle.c
+++ b/tests/test_lifecycle.c
@@ -2,7 +2,7 @@
 #include "path_board.h"
 #include "unit.h"
 
-/* Lifetime of addresses and spread of the word, by the table's defaults. */
+/* Defaults of address_lifetime_ms and leave_spread_ms. */
 #define WAIT_MS (5000 + 2000)
 #define STOP_MAX_MS 30000
 
@@ -25,12 +25,12 @@
 }
 
 /*
- * A caller asks another instance, which has not heard of the stop yet, for
- * addresses, and is given the leaving one. It uses it for the whole lifetime of
- * that answer. The leaving instance ended when the lifetime of its own answers
- * was over, and the caller's request was cut off.
+ * Another instance that hasn't learned of the stop yet may still give a caller
+ * the address of the leaving one, and the caller uses it for the lifetime of
+ * that address list. If the leaving instance only waits until its own lists
+ * have expired, it exits too early and cuts off the caller's request.
  */
-static void test_waits_for_answers_of_others(void)
+static void test_waits_for_address_lists(void)
 {
 	struct path_board path;
 
@@ -42,8 +42,7 @@
 	path_board_finish(&path);
 }
 
-/* Work in flight is finished first, but a stuck one does not hold it for ever.
- */
+/* Work in flight is finished first, but stop_max_ms limits the wait. */
 static void test_waits_for_work(void)
 {
 	struct path_board path;
@@ -63,7 +62,7 @@
 
 static const struct unit_test tests[] = {
 	{"serving does not stop", test_serving_does_not_stop},
-	{"waits for answers of others", test_waits_for_answers_of_others},
+	{"waits for address lists of others", test_waits_for_address_lists},
 	{"waits for work", test_waits_for_work},
 };
 
--- a/tests/test_wake_timer.c
+++ b/tests/test_wake_timer.c
@@ -13,24 +13,24 @@
 	struct clock clock;
 	struct wake_timer timer;
 	int n_calls;
-	int64_t again_at;
+	int64_t rearm_at;
 };
 
 static void on_wake(void *arg)
 {
 	struct fixture *f = arg;
-	int64_t again_at = f->again_at;
+	int64_t rearm_at = f->rearm_at;
 
 	f->n_calls++;
-	f->again_at = INT64_MAX;
-	wake_timer_arm(&f->timer, again_at);
+	f->rearm_at = INT64_MAX;
+	wake_timer_arm(&f->timer, rearm_at);
 }
 
 static void setup(struct fixture *f)
 {
 	memset(f, 0, sizeof(*f));
 	f->base = event_base_new();
-	f->again_at = INT64_MAX;
+	f->rearm_at = INT64_MAX;
 	clock_init_paused(&f->clock, START);
 	wake_timer_init(&f->timer, f->base, &f->clock, on_wake, f);
 }
@@ -46,7 +46,7 @@
 	return event_pending(f->timer.event, EV_TIMEOUT, NULL);
 }
 
-static void test_never(void)
+static void test_infinite_deadline(void)
 {
 	struct fixture f;
 
@@ -56,7 +56,7 @@
 	finish(&f);
 }
 
-static void test_past(void)
+static void test_past_deadline(void)
 {
 	struct fixture f;
 
@@ -68,7 +68,7 @@
 	finish(&f);
 }
 
-static void test_earliest_remains(void)
+static void test_earliest_is_kept(void)
 {
 	struct fixture f;
 
@@ -82,19 +82,19 @@
 	finish(&f);
 }
 
-static void test_armed_by_its_call(void)
+static void test_rearmed_by_callback(void)
 {
 	struct fixture f;
 
 	setup(&f);
-	f.again_at = START;
+	f.rearm_at = START;
 	wake_timer_arm(&f.timer, START);
 	event_base_dispatch(f.base);
 	CU_ASSERT_EQUAL(f.n_calls, 2);
 	finish(&f);
 }
 
-static void test_move(void)
+static void test_deadline_replaced(void)
 {
 	struct fixture f;
 
@@ -109,11 +109,11 @@
 }
 
 static const struct unit_test tests[] = {
-	{"never", test_never},
-	{"past", test_past},
-	{"earliest remains", test_earliest_remains},
-	{"armed by its call", test_armed_by_its_call},
-	{"move", test_move},
+	{"infinite deadline", test_infinite_deadline},
+	{"past deadline", test_past_deadline},
+	{"earliest is kept", test_earliest_is_kept},
+	{"rearmed by its callback", test_rearmed_by_callback},
+	{"deadline replaced", test_deadline_replaced},
 };
 
 UNIT_MAIN("wake_timer", tests)
--- a/wake_timer.h
+++ b/wake_timer.h
@@ -1,5 +1,6 @@
 /*
- * Has a decision module called at the latest when it asked for it.
+ * A one-shot timer with a deadline that can be brought forward. It calls a
+ * decision module, one without I/O, no later than the time it asked for.
  */
 #ifndef WAKE_TIMER_H
 #define WAKE_TIMER_H
@@ -12,8 +13,8 @@
 struct event_base;
 
 /**
- * struct wake_timer - one call to come
- * @at: when, microseconds; INT64_MAX: none
+ * struct wake_timer - one pending call
+ * @at: time of the call, microseconds; INT64_MAX if none is pending
  */
 struct wake_timer {
 	struct event *event;
@@ -24,8 +25,10 @@
 };
 
 /**
- * wake_timer_init() - a timer that is not armed
- * @wake: called once each time it is armed; may arm it again
+ * wake_timer_init() - create a timer that isn't armed
+ * @clock: borrowed; outlives the timer
+ * @wake: called once for each time the timer is armed; may arm it again
+ * @arg: passed to @wake
  */
 void wake_timer_init(struct wake_timer *timer, struct event_base *base,
 		     const struct clock *clock, void (*wake)(void *arg),
@@ -33,16 +36,16 @@
 void wake_timer_finish(struct wake_timer *timer);
 
 /**
- * wake_timer_arm() - call at the latest at a time
+ * wake_timer_arm() - request a call no later than @at
  * @at: microseconds; INT64_MAX changes nothing
  *
- * An earlier call that was asked for remains.
+ * A pending call at an earlier time is kept.
  */
 void wake_timer_arm(struct wake_timer *timer, int64_t at);
 
 /**
- * wake_timer_move() - as wake_timer_arm(), in place of what was asked before
- * @at: microseconds; INT64_MAX: a call asked for before may still come
+ * wake_timer_move() - as wake_timer_arm(), but replace the pending call
+ * @at: microseconds; with INT64_MAX a pending call may still be made
  */
 void wake_timer_move(struct wake_timer *timer, int64_t at);
 
