--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -90,7 +90,7 @@
 {
 	struct gateway_fleet *fleet = arg;
 
-	member_table_greet(&fleet->members.members, link->instance);
+	member_table_probe_now(&fleet->members.members, link->instance);
 	view_share_met(&fleet->views, link->instance);
 }
 
@@ -247,7 +247,8 @@
 		entries[i].caller_address = entries[i].peer_address;
 		entries[i].address_only = true;
 	}
-	member_table_seeds(&fleet->members.members, entries, settings->n_seeds);
+	member_table_apply_seeds(&fleet->members.members, entries,
+				 settings->n_seeds);
 }
 
 static void on_beat(void *arg, int64_t lag)
@@ -388,8 +389,8 @@
 	/* From now on it can be asked for its view, and take requests. */
 	for (link = fleet->peers.links; first && link; link = link->next) {
 		if (link->up)
-			member_table_greet(&fleet->members.members,
-					   link->instance);
+			member_table_probe_now(&fleet->members.members,
+					       link->instance);
 	}
 }
 
--- a/member.c
+++ b/member.c
@@ -9,12 +9,13 @@
 #include "member_private.h"
 #include "pack.h"
 
-/* Silence is taken for a stop after this many probe periods. */
-#define SUSPECT_PERIODS 6
+/* Probe periods of silence after which a delisted member is gone. */
+#define DELISTED_SILENCE_PERIODS 6
+/* The same without a list that dropped the member, microseconds. */
 #define UNLISTED_SILENCE MSEC(60000)
-#define LEAVE_BURST 8
-/* Bytes of a list of members: 10,000 take 1 MB. */
-#define MEMBERS_SIZE_MOST (8 * 1024 * 1024)
+#define LEAVE_PINGS 8 /* sent at once to announce a stop */
+/* Maximum size of all members, bytes; 10,000 of them take 1 MB. */
+#define MEMBERS_SIZE_MAX (8 * 1024 * 1024)
 
 void member_table_init(struct member_table *table, const struct clock *clock,
 		       const struct member_ops *ops, void *arg,
@@ -40,7 +41,7 @@
 {
 	member_set_status(table, member, MEMBER_NAMED, 0);
 	HASH_DEL(table->members, member);
-	member_forget_hot(table, member);
+	member_dequeue_update(table, member);
 	member_probe_forget(table, member);
 	member_free(member);
 }
@@ -62,22 +63,22 @@
 	}
 	free(table->self.instance);
 	free(table->self.data_centre);
-	free(table->list.packed);
-	free(table->order);
-	free(table->hot);
+	free(table->snapshot.packed);
+	free(table->probe_order);
+	free(table->queued);
 }
 
 void member_table_set_periods(struct member_table *table, int64_t probe_period,
 			      int64_t lease)
 {
 	table->probe_period = probe_period;
-	/* Others may still work under a longer one. */
+	/* Others may still rely on the longer one. */
 	if (lease > table->lease)
 		table->lease = lease;
 }
 
-static void list_entry(struct member_table *table,
-		       const struct member_entry *entry)
+static void apply_entry(struct member_table *table,
+			const struct member_entry *entry)
 {
 	struct member *member;
 
@@ -92,12 +93,16 @@
 				    &entry->peer_address,
 				    &entry->caller_address);
 	if (!address_eq(&entry->peer_address, &member->peer_address)) {
-		/* Moved: the process at the old address needs its own end. */
+		/*
+		 * The address has changed, but the process at the old one may
+		 * still run: it has to be proven to have ended first.
+		 */
 		if (member_present(member) ||
 		    (member->status == MEMBER_GONE && !member->proven))
 			return;
-		member_move(member, entry->data_centre, &entry->peer_address,
-			    &entry->caller_address);
+		member_set_location(member, entry->data_centre,
+				    &entry->peer_address,
+				    &entry->caller_address);
 		member_set_status(table, member, MEMBER_NAMED, 0);
 	}
 	member->listed = true;
@@ -105,8 +110,8 @@
 	member->address_only = entry->address_only;
 }
 
-void member_table_list(struct member_table *table,
-		       const struct member_entry *entries, int n)
+void member_table_apply_list(struct member_table *table,
+			     const struct member_entry *entries, int n)
 {
 	struct member *member;
 	struct member *next;
@@ -120,20 +125,20 @@
 	table->list_seen = true;
 	table->list_names_self = false;
 	for (i = 0; i < n; i++)
-		list_entry(table, &entries[i]);
+		apply_entry(table, &entries[i]);
 	table->complete |= table->list_names_self;
 	HASH_ITER (hh, table->members, member, next) {
 		if (member->listed)
-			member->dropped = false;
+			member->delisted = false;
 		else if (member->was_listed && table->list_names_self)
-			member->dropped = true;
+			member->delisted = true;
 		if (member->status == MEMBER_NAMED && !member->listed)
 			remove_member(table, member);
 	}
 }
 
-static bool has_address(const struct member_table *table,
-			const struct address *address)
+static bool is_known_address(const struct member_table *table,
+			     const struct address *address)
 {
 	const struct member *member;
 
@@ -147,20 +152,20 @@
 	return false;
 }
 
-static void drop_named_seeds(struct member_table *table)
+static void remove_resolved_seeds(struct member_table *table)
 {
 	struct member *member;
 	struct member *next;
 
 	HASH_ITER (hh, table->members, member, next) {
 		if (member->address_only &&
-		    has_address(table, &member->peer_address))
+		    is_known_address(table, &member->peer_address))
 			remove_member(table, member);
 	}
 }
 
-void member_table_seeds(struct member_table *table,
-			const struct member_entry *entries, int n)
+void member_table_apply_seeds(struct member_table *table,
+			      const struct member_entry *entries, int n)
 {
 	struct member *member;
 	struct member *next;
@@ -170,8 +175,8 @@
 	for (member = table->members; member; member = member->hh.next)
 		member->listed = false;
 	for (i = 0; i < n; i++) {
-		if (!has_address(table, &entries[i].peer_address))
-			list_entry(table, &entries[i]);
+		if (!is_known_address(table, &entries[i].peer_address))
+			apply_entry(table, &entries[i]);
 	}
 	HASH_ITER (hh, table->members, member, next) {
 		if (!member->address_only)
@@ -188,10 +193,10 @@
 {
 	size_t i;
 
-	table->quiet = true;
+	table->suppress_updates = true;
 	for (i = 0; i < message->n_members; i++)
 		member_merge(table, message->members[i]);
-	table->quiet = false;
+	table->suppress_updates = false;
 }
 
 static void merge_packed(struct member_table *table,
@@ -200,7 +205,7 @@
 	Peer__Members *body = NULL;
 	uint8_t *raw = NULL;
 
-	if (message->packed_size <= MEMBERS_SIZE_MOST)
+	if (message->packed_size <= MEMBERS_SIZE_MAX)
 		raw = unpack_bytes(message->packed.data, message->packed.len,
 				   message->packed_size);
 	if (raw)
@@ -216,15 +221,15 @@
 	peer__members__free_unpacked(body, NULL);
 }
 
-void member_table_members(struct member_table *table,
-			  const Peer__Members *message)
+void member_table_receive_members(struct member_table *table,
+				  const Peer__Members *message)
 {
 	struct address from;
 
 	merge_members(table, message);
 	if (message->packed.len)
 		merge_packed(table, message);
-	/* Who asks tells of itself alone. */
+	/* A request for all members only has the record of its sender. */
 	table->complete |=
 		message->complete || (table->seeded && !message->reply);
 	if (message->reply &&
@@ -232,7 +237,7 @@
 		member_send_members(table, &from, false);
 }
 
-void member_table_greet(struct member_table *table, const char *instance)
+void member_table_probe_now(struct member_table *table, const char *instance)
 {
 	struct member *member = member_table_find(table, instance);
 
@@ -240,19 +245,19 @@
 		member_probe_now(table, member);
 }
 
-void member_table_refused(struct member_table *table, const char *instance,
-			  uint64_t incarnation)
+void member_table_connection_refused(struct member_table *table,
+				     const char *instance, uint64_t incarnation)
 {
 	struct member *member = member_table_find(table, instance);
 
 	if (!member || member->incarnation != incarnation)
 		return;
-	member->refused = true;
+	member->connection_refused = true;
 	if (member_present(member))
-		member_gone(table, member, true);
+		member_mark_gone(table, member, true);
 }
 
-void member_table_lost(struct member_table *table, const char *instance)
+void member_table_link_lost(struct member_table *table, const char *instance)
 {
 	struct member *member = member_table_find(table, instance);
 
@@ -265,8 +270,8 @@
 	table->self.status = status;
 	table->self.counter++;
 	table->version++;
-	member_spread(table, &table->self);
-	member_probe_burst(table, LEAVE_BURST);
+	member_queue_update(table, &table->self);
+	member_probe_burst(table, LEAVE_PINGS);
 }
 
 void member_table_leave(struct member_table *table)
@@ -285,16 +290,17 @@
 }
 
 /*
- * The list alone may lag or be wrong, silence alone may be a pause or a cut:
- * only both together, and the lease run out, end a member that is not proven
- * to have ended. A list that does not name ourselves proves nothing. One that
- * did not name the member while it was heard is wrong or older than the
- * member: then only a long silence counts.
+ * Whether a member that isn't proven to have ended has to be considered gone.
+ * The list alone may be outdated or wrong, and silence alone may be a suspended
+ * process or a network partition, so both are required, as well as an expired
+ * lease. A list that doesn't have this instance is not trusted. A list that
+ * lacked the member while it was still heard is wrong or older than the member;
+ * then only a longer silence counts.
  */
-static bool silent_and_unlisted(const struct member_table *table,
-				const struct member *member, int64_t now)
+static bool is_silent_and_unlisted(const struct member_table *table,
+				   const struct member *member, int64_t now)
 {
-	int64_t patience = SUSPECT_PERIODS * table->probe_period;
+	int64_t min_silence = DELISTED_SILENCE_PERIODS * table->probe_period;
 
 	if (!member_present(member) || !member->silent_since)
 		return false;
@@ -302,27 +308,27 @@
 		return now - member->silent_since >= UNLISTED_SILENCE;
 	if (!table->list_names_self || member->listed)
 		return false;
-	if (!member->dropped && patience < UNLISTED_SILENCE)
-		patience = UNLISTED_SILENCE;
-	return now - member->silent_since >= patience &&
+	if (!member->delisted && min_silence < UNLISTED_SILENCE)
+		min_silence = UNLISTED_SILENCE;
+	return now - member->silent_since >= min_silence &&
 	       now - member->last_heard >= table->lease;
 }
 
-static void review_members(struct member_table *table, int64_t now)
+static void expire_members(struct member_table *table, int64_t now)
 {
 	struct member *member;
 	struct member *next;
 
 	HASH_ITER (hh, table->members, member, next) {
-		if (silent_and_unlisted(table, member, now))
-			member_gone(table, member, false);
+		if (is_silent_and_unlisted(table, member, now))
+			member_mark_gone(table, member, false);
 		if (member->status == MEMBER_GONE && !member->listed &&
-		    now - member->since > MEMBER_GONE_KEEP)
+		    now - member->since > MEMBER_GONE_RETENTION)
 			remove_member(table, member);
 	}
 }
 
-static void review_tombstones(struct member_table *table, int64_t now)
+static void expire_tombstones(struct member_table *table, int64_t now)
 {
 	struct member_tombstone *tombstone;
 	struct member_tombstone *next;
@@ -336,15 +342,16 @@
 }
 
 /*
- * A process that was stopped finds all its pings unanswered and all others
- * silent, and would accuse them: what it observed before says nothing.
+ * After a process was suspended, its own pings have timed out and all others
+ * seem silent. Discards what it observed before, so that it doesn't suspect
+ * them.
  */
-static void forget_observations(struct member_table *table, int64_t now)
+static void discard_observations(struct member_table *table, int64_t now)
 {
 	struct member *member;
 
 	LOG_WARN("woke_late", LOG_I64("late_us", now - table->last_tick));
-	member_probe_void(table);
+	member_probe_discard_all(table);
 	for (member = table->members; member; member = member->hh.next) {
 		member->silent_since = 0;
 		member->last_heard = now;
@@ -358,13 +365,13 @@
 	if (table->self.status == MEMBER_GONE)
 		return;
 	if (table->last_tick &&
-	    now - table->last_tick > MEMBER_TICKS_LATE * table->probe_period)
-		forget_observations(table, now);
+	    now - table->last_tick > MEMBER_LATE_PERIODS * table->probe_period)
+		discard_observations(table, now);
 	table->last_tick = now;
 	if (now >= table->next_probe) {
-		drop_named_seeds(table);
-		review_members(table, now);
-		review_tombstones(table, now);
+		remove_resolved_seeds(table);
+		expire_members(table, now);
+		expire_tombstones(table, now);
 	}
 	member_probe_tick(table);
 }
--- a/member.h
+++ b/member.h
@@ -1,7 +1,7 @@
 /*
- * Membership of the fleet: who is there, by the platform's list and by
- * heartbeats between peers. Decides without sockets. See
- * docs/design/membership.md.
+ * Membership of the fleet: a SWIM-like failure detector with heartbeats between
+ * peers, combined with the platform's list of instances. Does no I/O itself.
+ * See docs/design/membership.md.
  */
 #ifndef MEMBER_H
 #define MEMBER_H
@@ -17,45 +17,56 @@
 struct clock;
 struct Peer__Members;
 
-#define MEMBER_DATAGRAM_MAX 1200
-#define MEMBER_PROBES 32
+#define MEMBER_DATAGRAM_MAX 1200 /* bytes */
+#define MEMBER_PROBES 32	 /* unanswered pings that are remembered */
 #define MEMBER_HEALTH_MAX 8
 
 enum member_status {
 	MEMBER_ALIVE,
-	MEMBER_SUSPECT, /* silent; keeps its shares, gets no new work */
-	MEMBER_LEAVING, /* announced its stop */
-	MEMBER_GONE,	/* on evidence, see struct member */
-	MEMBER_NAMED,	/* by the platform's list; never heard */
+	MEMBER_SUSPECT, /* unresponsive; keeps its shares, gets no new work */
+	MEMBER_LEAVING, /* announced that it is stopping */
+	MEMBER_GONE,	/* on evidence, see @proven of struct member */
+	MEMBER_NAMED,	/* known by the list or a seed only; never heard */
 };
 
 /**
- * struct member - what is known of one instance
- * @incarnation: of the process; 0 while MEMBER_NAMED
- * @replaces: the incarnation before, proven to have ended; or 0
+ * struct member - what is known about one instance
+ * @instance: its name, owned
+ * @data_centre: name, owned
+ * @peer_address: for other instances
+ * @caller_address: for callers
+ * @hash: of @instance
+ * @dc_hash: of @data_centre
+ * @incarnation: random number of the process; 0 while MEMBER_NAMED
+ * @replaces: the previous incarnation, proven to have ended; or 0
  * @counter: raised by the member to refute suspicion
- * @proven: MEMBER_GONE because the process ended or gave up its shares; else
- *	because it was silent and the list dropped it
- * @released_at: from then on a MEMBER_GONE surely uses no share, microseconds
- * @listed: the platform's list names it at this address
- * @was_listed: before the last list
- * @listed_leaving: and says that it is leaving
- * @dropped: the list named it and does so no more, and it was not heard since
- * @refused: a connection to its peer address was
+ * @status: changed by member_set_status() only
+ * @proven: it is MEMBER_GONE because its process ended or gave up its shares;
+ *	otherwise because it was unresponsive and no longer in the list
+ * @listed: the platform's list has it, at this address
+ * @was_listed: value of @listed before the latest list
+ * @listed_leaving: the list says that it is leaving
+ * @delisted: the list had it but no longer does, and it wasn't heard since
+ * @connection_refused: its peer address refused a TCP connection
  * @knows_us: it acknowledged our record
- * @capacity: processor time it has, thousandths of a core; 0: not known
- * @address_only: a seed whose name is not known, see struct member_entry
- * @last_heard: last word from itself, microseconds
- * @silent_since: own probes fail since then; 0 if they do not
- * @since: when it came into the table, microseconds
+ * @capacity: CPU capacity, thousandths of a core; 0 if unknown
+ * @address_only: a seed whose name is unknown, see struct member_entry
+ * @released_at: once MEMBER_GONE, it can't use any share after this time,
+ *	microseconds
+ * @last_heard: last message from the member itself, microseconds
+ * @silent_since: our probes have failed since then, microseconds; 0 if the
+ *	latest one didn't
+ * @since: when it was added, took @incarnation or became MEMBER_GONE,
+ *	microseconds
+ * @transmits_left: datagrams that still carry its record; 0 if not queued
  */
 struct member {
 	char *instance;
 	char *data_centre;
 	struct address peer_address;
 	struct address caller_address;
-	uint64_t hash;	  /* of the instance's name */
-	uint64_t dc_hash; /* of the data centre's name */
+	uint64_t hash;
+	uint64_t dc_hash;
 	uint64_t incarnation;
 	uint64_t replaces;
 	uint32_t counter;
@@ -64,8 +75,8 @@
 	bool listed;
 	bool was_listed;
 	bool listed_leaving;
-	bool dropped;
-	bool refused;
+	bool delisted;
+	bool connection_refused;
 	bool knows_us;
 	uint32_t capacity;
 	bool address_only;
@@ -79,8 +90,13 @@
 
 /**
  * struct member_entry - a row of the platform's instance list, or a seed
- * @address_only: a seed: only @peer_address is known, @instance is a
- *	placeholder until the instance there tells its name
+ * @instance: its name, borrowed
+ * @data_centre: name, borrowed
+ * @peer_address: for other instances
+ * @caller_address: for callers
+ * @leaving: the list says that it is leaving
+ * @address_only: a seed: only @peer_address is known, and @instance is a
+ *	placeholder until the instance there has sent its name
  */
 struct member_entry {
 	const char *instance;
@@ -92,7 +108,10 @@
 };
 
 /**
- * struct member_beacon - what heartbeats carry of the table in force
+ * struct member_beacon - the version of its table that a heartbeat carries
+ * @table_revision: of the table in force, or of a gateway's routes; 0 if none
+ * @table_digest: of the table in force
+ * @table_age_ms: time since the table was last confirmed, milliseconds
  */
 struct member_beacon {
 	uint64_t table_revision;
@@ -101,16 +120,17 @@
 };
 
 /**
- * struct member_ops - what the membership wants done
- * @send_datagram: by UDP, of at most MEMBER_DATAGRAM_MAX bytes
- * @send_members: by TCP; the message is borrowed during the call. Return:
+ * struct member_ops - callbacks for I/O and events
+ * @send_datagram: send at most MEMBER_DATAGRAM_MAX bytes by UDP
+ * @send_members: send a message by TCP; it is borrowed during the call. Return:
  *	whether there is a connection for it
- * @check_address: try a TCP connection to the member's peer address and call
- *	member_table_refused() if it is refused; nothing on other failures
- * @confirmed: a peer acknowledged a ping sent at that time and holds this
- *	incarnation for present
- * @beacon: a peer told its table; may be NULL
- * @random: 64 random bits
+ * @check_address: try a TCP connection to the member's peer address, and call
+ *	member_table_connection_refused() if it is refused; other failures are
+ *	ignored
+ * @confirmed: a peer acknowledged a ping that was sent at that time,
+ *	microseconds, and considers this incarnation present
+ * @beacon: a heartbeat of a peer came; may be NULL
+ * @random: return 64 random bits
  */
 struct member_ops {
 	void (*send_datagram)(void *arg, const struct address *to,
@@ -125,11 +145,16 @@
 };
 
 /**
- * struct member_config - who this instance is and its periods
- * @incarnation: the first one; 0: draw one
- * @capacity: told to the others, see struct member
- * @probe_period: microseconds
- * @lease: microseconds
+ * struct member_config - identity and timing of this instance
+ * @instance: its name
+ * @data_centre: name
+ * @peer_address: for other instances
+ * @caller_address: for callers
+ * @incarnation: the first one; 0 to draw a random one
+ * @capacity: sent to the others, see struct member
+ * @probe_period: time between two pings, microseconds
+ * @lease: time for which an acknowledgement allows the use of shares,
+ *	microseconds
  */
 struct member_config {
 	const char *instance;
@@ -142,22 +167,39 @@
 	int64_t lease;
 };
 
-/* A ping that waits for its acknowledgement. */
+/**
+ * struct member_probe - a ping that awaits its acknowledgement
+ * @sequence: identifies the ping
+ * @incarnation: of this instance when the ping was sent
+ * @member: its target; NULL if the slot is free
+ * @sent_at: microseconds
+ * @check_at: when a missing answer is acted upon, microseconds
+ * @sent_self: it carried the record of this instance
+ * @indirect: other members were asked to ping the target too
+ * @answered: by the target or through another member
+ * @relayed: it was sent on behalf of another instance
+ * @origin: peer address of that instance
+ * @origin_sequence: of its ping
+ */
 struct member_probe {
 	uint64_t sequence;
-	uint64_t incarnation; /* ours, when it was sent */
+	uint64_t incarnation;
 	struct member *member;
 	int64_t sent_at;
-	int64_t judge_at;
-	bool told_self; /* our own record was in it */
-	bool indirect;	/* others were asked to ping */
+	int64_t check_at;
+	bool sent_self;
+	bool indirect;
 	bool answered;
-	bool relayed; /* on behalf of another */
+	bool relayed;
 	struct address origin;
 	uint64_t origin_sequence;
 };
 
-/* An incarnation that must not come back. */
+/**
+ * struct member_tombstone - an incarnation that has ended
+ * @incarnation: not accepted again
+ * @until: when this is forgotten, microseconds
+ */
 struct member_tombstone {
 	uint64_t incarnation;
 	int64_t until;
@@ -165,11 +207,14 @@
 };
 
 /**
- * struct member_list - all members, packed to be told
- * @size: bytes unpacked
- * @version: of the table when it was made
+ * struct member_snapshot - all members, serialised and compressed
+ * @packed: owned
+ * @len: of @packed, bytes
+ * @size: uncompressed, bytes
+ * @version: of the table at @made_at
+ * @made_at: microseconds
  */
-struct member_list {
+struct member_snapshot {
 	uint8_t *packed;
 	size_t len;
 	size_t size;
@@ -178,20 +223,54 @@
 };
 
 /**
- * struct member_table - the membership of the fleet as seen here
- * @self: this instance; not among @members
- * @members: by name of the instance
- * @version: raised whenever a member came, went or changed its status
- * @present: others that are ALIVE, SUSPECT or LEAVING
- * @digest: of those and of @self
- * @list_names_self: the last list did, so that it is no older than our start
- * @complete: nobody who came before us is missing: a list named us once, or a
- *	peer that is complete told us all it knows
- * @seeded: there is no list of instances but seeds; members come by news, and
- *	go by a long silence alone
- * @health: 0 is well, up to MEMBER_HEALTH_MAX: how slow we judge others for
- *	being slow ourselves
+ * struct member_table - the membership of the fleet as this instance sees it
+ * @clock: borrowed
+ * @ops: borrowed
+ * @arg: passed to @ops
+ * @probe_period: microseconds
+ * @lease: microseconds
+ * @self: this instance; not in @members
+ * @members: owned, by name of the instance
+ * @tombstones: owned, by incarnation
  * @beacon: sent with each heartbeat; set by the caller
+ * @snapshot: cached, to answer many requests for all members
+ * @version: raised whenever a member is added, removed or changes its status
+ * @digest: of @self and the members that @present counts
+ * @present: number of other members that are ALIVE, SUSPECT or LEAVING
+ * @health: local health, as in Lifeguard: 0 is good, up to MEMBER_HEALTH_MAX.
+ *	The slower this instance is itself, the longer it waits for others
+ * @list_seen: there was a list
+ * @seeded: there is no list of instances, only seeds: members are learned from
+ *	other members, and removed after a long silence alone
+ * @list_names_self: the latest list has this instance, so that it is no older
+ *	than its start
+ * @complete: no instance that joined earlier is missing: a list had this
+ *	instance once, or a peer that is complete sent all its members
+ * @synced: all members were requested from a peer at least once
+ * @n_local: members alive in this data centre, at the latest round
+ * @suppress_updates: members being merged aren't queued for sending
+ * @leaving: unused
+ * @sequence: of the latest ping
+ * @probes: a ring buffer
+ * @next_probe_slot: index into @probes
+ * @probe_order: members to ping in this round, shuffled
+ * @n_probe_order: length of @probe_order
+ * @cap_probe_order: allocated length of @probe_order
+ * @probe_order_pos: index of the next one
+ * @queued: members whose records the next datagrams carry
+ * @n_queued: length of @queued
+ * @cap_queued: allocated length of @queued
+ * @last_acker: member whose acknowledgement was the latest to confirm the
+ *	lease; or NULL
+ * @last_confirmed: when the ping was sent that last confirmed the lease,
+ *	microseconds
+ * @last_tick: microseconds
+ * @next_probe: microseconds
+ * @next_sync: all members aren't requested before, microseconds
+ * @digest_since: latest change of a member's status or incarnation,
+ *	microseconds
+ * @sent_messages: number, for statistics
+ * @sent_bytes: number, for statistics
  */
 struct member_table {
 	const struct clock *clock;
@@ -203,7 +282,7 @@
 	struct member *members;
 	struct member_tombstone *tombstones;
 	struct member_beacon beacon;
-	struct member_list list;
+	struct member_snapshot snapshot;
 	uint64_t version;
 	uint64_t digest;
 	int present;
@@ -213,19 +292,19 @@
 	bool list_names_self;
 	bool complete;
 	bool synced;
-	int n_near; /* alive in this data centre, at the last round */
-	bool quiet; /* merging what needs no spreading */
+	int n_local;
+	bool suppress_updates;
 	bool leaving;
 	uint64_t sequence;
 	struct member_probe probes[MEMBER_PROBES];
 	int next_probe_slot;
-	struct member **order;
-	int n_order;
-	int cap_order;
-	int at_order;
-	struct member **hot; /* members with news to spread */
-	int n_hot;
-	int cap_hot;
+	struct member **probe_order;
+	int n_probe_order;
+	int cap_probe_order;
+	int probe_order_pos;
+	struct member **queued;
+	int n_queued;
+	int cap_queued;
 	struct member *last_acker;
 	int64_t last_confirmed;
 	int64_t last_tick;
@@ -237,10 +316,10 @@
 };
 
 /**
- * member_table_init() - start with nobody but this instance
+ * member_table_init() - start with this instance as the only member
  * @clock: outlives the table
  * @ops: outlives the table
- * @arg: handed to @ops
+ * @arg: passed to @ops
  * @config: copied
  */
 void member_table_init(struct member_table *table, const struct clock *clock,
@@ -249,67 +328,80 @@
 void member_table_finish(struct member_table *table);
 
 /**
- * member_table_set_periods() - take changed tunables
+ * member_table_set_periods() - apply changed tunables
  * @probe_period: microseconds
- * @lease: microseconds; a shorter one than before is not taken
+ * @lease: microseconds; ignored if shorter than the current one
  */
 void member_table_set_periods(struct member_table *table, int64_t probe_period,
 			      int64_t lease);
 
 /**
- * member_table_list() - the platform's instance list came
+ * member_table_apply_list() - apply the platform's list of instances
+ * @entries: copied
+ *
+ * Members are added, but not removed for being absent, unless they were never
+ * heard.
  */
-void member_table_list(struct member_table *table,
-		       const struct member_entry *entries, int n);
+void member_table_apply_list(struct member_table *table,
+			     const struct member_entry *entries, int n);
 
 /**
- * member_table_seeds() - the only instances that are known from outside
- * @entries: with @address_only; may be stale or name this instance
+ * member_table_apply_seeds() - set the addresses to find other instances at
+ * @entries: copied; with @address_only; may be stale or contain this instance
  *
- * In place of member_table_list(), where there is no list of instances.
+ * Replaces member_table_apply_list() where there is no list of instances.
  */
-void member_table_seeds(struct member_table *table,
-			const struct member_entry *entries, int n);
+void member_table_apply_seeds(struct member_table *table,
+			      const struct member_entry *entries, int n);
 
 /**
- * member_table_datagram() - a datagram came
- * @from: its source
+ * member_table_receive_datagram() - process a datagram
+ * @from: its source address
+ * @data: borrowed during the call
+ * @len: bytes
  *
  * Return: 0, or ERR_FRAME if it is malformed.
  */
-int member_table_datagram(struct member_table *table,
-			  const struct address *from, const void *data,
-			  size_t len);
+int member_table_receive_datagram(struct member_table *table,
+				  const struct address *from, const void *data,
+				  size_t len);
 
 /**
- * member_table_members() - a Members frame came
+ * member_table_receive_members() - process a Members frame
+ * @message: borrowed during the call
  */
-void member_table_members(struct member_table *table,
-			  const struct Peer__Members *message);
+void member_table_receive_members(struct member_table *table,
+				  const struct Peer__Members *message);
 
 /**
- * member_table_hello() - a peer introduced itself on a connection
+ * member_table_hello() - a peer identified itself on a connection
  */
 void member_table_hello(struct member_table *table,
 			const struct member_entry *entry, uint64_t incarnation);
 
 /**
- * member_table_greet() - ask a member for a heartbeat now, not by its turn
+ * member_table_probe_now() - ping a member now instead of in its turn
  */
-void member_table_greet(struct member_table *table, const char *instance);
+void member_table_probe_now(struct member_table *table, const char *instance);
 
 /**
- * member_table_refused() - nobody listens at a member's peer address
+ * member_table_connection_refused() - a member's peer address refused a
+ * connection
  * @instance: as in check_address
- * @incarnation: as it was when the connection was tried
+ * @incarnation: of the member when the connection was tried
+ *
+ * This proves that the process of that incarnation has ended.
  */
-void member_table_refused(struct member_table *table, const char *instance,
-			  uint64_t incarnation);
+void member_table_connection_refused(struct member_table *table,
+				     const char *instance,
+				     uint64_t incarnation);
 
 /**
- * member_table_lost() - a connection to a member broke; look what it means
+ * member_table_link_lost() - a connection to a member broke
+ *
+ * Checks whether the member still listens.
  */
-void member_table_lost(struct member_table *table, const char *instance);
+void member_table_link_lost(struct member_table *table, const char *instance);
 
 /**
  * member_table_leave() - announce that this instance is stopping
@@ -317,22 +409,31 @@
 void member_table_leave(struct member_table *table);
 
 /**
- * member_table_release() - announce that it uses no share any more; the last
- * word of a graceful stop
+ * member_table_release() - announce that this instance uses no shares any more
+ *
+ * The last message of a graceful stop.
  */
 void member_table_release(struct member_table *table);
 
 /**
- * member_table_tick() - time passed; call at least 5 times a probe period
+ * member_table_tick() - run the timers; call at least 5 times a probe period
  */
 void member_table_tick(struct member_table *table);
 
 /**
- * member_table_find() - the member of that name, or NULL
+ * member_table_find() - look up a member by name
+ *
+ * Return: the member, owned by @table, or NULL.
  */
 struct member *member_table_find(const struct member_table *table,
 				 const char *instance);
 
+/**
+ * member_table_next() - iterate over the members
+ * @prev: the previous one; NULL to start
+ *
+ * Return: the next member, or NULL at the end.
+ */
 static inline const struct member *
 member_table_next(const struct member_table *table, const struct member *prev)
 {
@@ -340,7 +441,7 @@
 }
 
 /**
- * member_present() - heard, and not gone: it may hold shares
+ * member_present() - whether it was heard and is not gone: it may hold shares
  */
 static inline bool member_present(const struct member *member)
 {
@@ -348,7 +449,8 @@
 }
 
 /**
- * member_released() - gone, and surely using no share any more
+ * member_released() - whether it is gone and can no longer use any share
+ * @now: microseconds
  */
 static inline bool member_released(const struct member *member, int64_t now)
 {
@@ -356,7 +458,7 @@
 }
 
 /**
- * member_status_name() - for status and logs
+ * member_status_name() - name of a status, for status pages and logs
  */
 const char *member_status_name(enum member_status status);
 
--- a/member_datagram.c
+++ b/member_datagram.c
@@ -1,4 +1,4 @@
-/* Pings and acknowledgements that came in, and what they show. */
+/* Processing of received pings and acknowledgements. */
 #include "member_private.h"
 
 #include <string.h>
@@ -6,19 +6,25 @@
 #include "clock.h"
 #include "error.h"
 
+/* Minimum time between requests because of a digest, microseconds. */
 #define SYNC_PERIOD MSEC(60000)
-#define SYNC_QUIET MSEC(15000)
+/* Members have to be unchanged for so long before that, microseconds. */
+#define SYNC_SETTLE_TIME MSEC(15000)
 
-/* The member itself speaks, in the incarnation that we know. */
-static struct member *speaker(struct member_table *table, const char *instance,
-			      uint64_t incarnation)
+/*
+ * Records that a member was heard, and returns it. Returns NULL unless the
+ * sender has the incarnation that is known here.
+ */
+static struct member *mark_sender_heard(struct member_table *table,
+					const char *instance,
+					uint64_t incarnation)
 {
 	struct member *member = member_table_find(table, instance);
 
 	if (!member || member->incarnation != incarnation ||
 	    !member_present(member))
 		return NULL;
-	member_heard(table, member);
+	member_mark_heard(table, member);
 	return member;
 }
 
@@ -31,8 +37,8 @@
 		member_merge(table, updates[i]);
 }
 
-static void relay(struct member_table *table, const struct address *from,
-		  const Peer__Ping *ping)
+static void relay_ping(struct member_table *table, const struct address *from,
+		       const Peer__Ping *ping)
 {
 	struct member *member = member_table_find(table, ping->target);
 	struct member_probe *probe;
@@ -45,8 +51,8 @@
 	probe->origin_sequence = ping->sequence;
 }
 
-static void take_ping(struct member_table *table, const struct address *from,
-		      const Peer__Ping *ping)
+static void handle_ping(struct member_table *table, const struct address *from,
+			const Peer__Ping *ping)
 {
 	struct member_beacon beacon = {ping->table_revision, ping->table_digest,
 				       ping->table_age_ms};
@@ -54,11 +60,12 @@
 	bool gone = member_is_tombstone(table, ping->incarnation);
 
 	merge_updates(table, ping->updates, ping->n_updates);
-	member = gone ? NULL : speaker(table, ping->from, ping->incarnation);
+	member = gone ? NULL
+		      : mark_sender_heard(table, ping->from, ping->incarnation);
 	if (member && table->ops->beacon)
 		table->ops->beacon(table->arg, member, &beacon);
 	if (*ping->target)
-		relay(table, from, ping);
+		relay_ping(table, from, ping);
 	else
 		member_send_ack(table, from, member, ping, gone);
 }
@@ -77,30 +84,31 @@
 }
 
 /*
- * Only the answer to a fresh sequence number shows who is there now: a ping of
- * a process that has ended may come late.
+ * Updates the member that was pinged by who answered. Only the answer to one
+ * of our sequence numbers shows which process is there now: a ping may arrive
+ * after its sender has ended.
  */
-static void take_fresh_answer(struct member_table *table, struct member *member,
-			      const Peer__Ack *ack)
+static void check_responder(struct member_table *table, struct member *member,
+			    const Peer__Ack *ack)
 {
 	if (member_is_tombstone(table, ack->incarnation))
 		return;
 	if (strcmp(member->instance, ack->from)) {
-		/* Another instance has its address: its process has ended. */
+		/* Its address has another instance now: its process ended. */
 		if (member_present(member))
-			member_gone(table, member, true);
+			member_mark_gone(table, member, true);
 		return;
 	}
 	if (member->incarnation != ack->incarnation)
-		member_adopt(table, member, ack->incarnation, 0);
+		member_adopt_incarnation(table, member, ack->incarnation, 0);
 }
 
-static void take_direct_ack(struct member_table *table,
-			    struct member_probe *probe, const Peer__Ack *ack)
+static void handle_direct_ack(struct member_table *table,
+			      struct member_probe *probe, const Peer__Ack *ack)
 {
 	struct member *member = probe->member;
 
-	if (probe->told_self && probe->incarnation == table->self.incarnation)
+	if (probe->sent_self && probe->incarnation == table->self.incarnation)
 		member->knows_us = true;
 	if (member->incarnation != ack->incarnation ||
 	    probe->incarnation != table->self.incarnation)
@@ -112,20 +120,20 @@
 	table->ops->confirmed(table->arg, probe->sent_at);
 }
 
-static void sync_if_apart(struct member_table *table,
-			  const struct member *member, uint64_t digest)
+static void sync_if_digest_differs(struct member_table *table,
+				   const struct member *member, uint64_t digest)
 {
 	int64_t now = clock_now(table->clock);
 
 	if (digest == table->digest || now < table->next_sync ||
-	    now - table->digest_since < SYNC_QUIET)
+	    now - table->digest_since < SYNC_SETTLE_TIME)
 		return;
 	table->next_sync = now + SYNC_PERIOD;
 	member_send_members(table, &member->peer_address, true);
 }
 
-static void take_ack(struct member_table *table, const struct address *from,
-		     const Peer__Ack *ack)
+static void handle_ack(struct member_table *table, const struct address *from,
+		       const Peer__Ack *ack)
 {
 	struct member_beacon beacon = {ack->table_revision, ack->table_digest,
 				       ack->table_age_ms};
@@ -137,18 +145,18 @@
 	if (!probe)
 		return;
 	if (!address_eq(from, &probe->member->peer_address)) {
-		/* By a helper: it lives, but says nothing of our lease. */
-		if (speaker(table, ack->from, ack->incarnation))
+		/* Relayed: the member is alive, but our lease isn't renewed. */
+		if (mark_sender_heard(table, ack->from, ack->incarnation))
 			probe->answered = true;
 		return;
 	}
 	if (ack->you_are_gone) {
 		if (probe->incarnation == table->self.incarnation)
-			member_renew(table);
+			member_renew_incarnation(table);
 		return;
 	}
-	take_fresh_answer(table, probe->member, ack);
-	member = speaker(table, ack->from, ack->incarnation);
+	check_responder(table, probe->member, ack);
+	member = mark_sender_heard(table, ack->from, ack->incarnation);
 	if (member != probe->member)
 		return;
 	if (probe->relayed)
@@ -156,15 +164,15 @@
 	if (!probe->answered && !probe->indirect && table->health > 0)
 		table->health--;
 	probe->answered = true;
-	take_direct_ack(table, probe, ack);
-	sync_if_apart(table, member, ack->members_digest);
+	handle_direct_ack(table, probe, ack);
+	sync_if_digest_differs(table, member, ack->members_digest);
 	if (table->ops->beacon)
 		table->ops->beacon(table->arg, member, &beacon);
 }
 
-int member_table_datagram(struct member_table *table,
-			  const struct address *from, const void *data,
-			  size_t len)
+int member_table_receive_datagram(struct member_table *table,
+				  const struct address *from, const void *data,
+				  size_t len)
 {
 	const uint8_t *bytes = data;
 	Peer__Ping *ping;
@@ -176,7 +184,7 @@
 		ping = peer__ping__unpack(NULL, len - 1, bytes + 1);
 		if (!ping)
 			return ERR_FRAME;
-		take_ping(table, from, ping);
+		handle_ping(table, from, ping);
 		peer__ping__free_unpacked(ping, NULL);
 		return 0;
 	}
@@ -185,7 +193,7 @@
 	ack = peer__ack__unpack(NULL, len - 1, bytes + 1);
 	if (!ack)
 		return ERR_FRAME;
-	take_ack(table, from, ack);
+	handle_ack(table, from, ack);
 	peer__ack__free_unpacked(ack, NULL);
 	return 0;
 }
--- a/member_merge.c
+++ b/member_merge.c
@@ -1,11 +1,14 @@
-/* What peers say of members, and how it stands to what is known here. */
+/* Merging of member records received from peers. */
 #include "member_private.h"
 
 #include <string.h>
 
 #include "clock.h"
 
-/* Peers say that we are silent, or that somebody with our name is gone. */
+/*
+ * A record with the name of this instance: peers suspect it, consider it gone,
+ * or know another process of the same name.
+ */
 static void merge_self(struct member_table *table, const Peer__Member *update)
 {
 	struct member *self = &table->self;
@@ -15,15 +18,15 @@
 			return;
 		if (member_is_tombstone(table, update->incarnation))
 			return;
-		/* A process before us, at our address: we prove its end. */
+		/* Our predecessor at this address, which must have ended. */
 		member_add_tombstone(table, update->incarnation);
 		self->replaces = update->incarnation;
-		member_spread(table, self);
+		member_queue_update(table, self);
 		return;
 	}
 	if (update->status == PEER__MEMBER_STATUS__GONE) {
 		if (self->status != MEMBER_GONE)
-			member_renew(table);
+			member_renew_incarnation(table);
 		return;
 	}
 	if (update->status != PEER__MEMBER_STATUS__SUSPECT ||
@@ -32,23 +35,23 @@
 	self->counter = update->counter + 1;
 	if (table->health < MEMBER_HEALTH_MAX)
 		table->health++;
-	member_spread(table, self);
+	member_queue_update(table, self);
 }
 
-/* Same incarnation: the higher counter wins, then the graver status. */
+/* For the same incarnation: the higher counter wins, then the higher status. */
 static void merge_status(struct member_table *table, struct member *member,
 			 const Peer__Member *update)
 {
 	enum member_status status = (enum member_status)update->status;
 
-	/* Not known yet of one that was met by its heartbeat. */
+	/* Unknown so far if the member was learned from its heartbeat. */
 	if (update->capacity != member->capacity) {
 		member->capacity = update->capacity;
 		table->version++;
 	}
 
 	if (status == MEMBER_GONE) {
-		member_gone(table, member, update->proven);
+		member_mark_gone(table, member, update->proven);
 		return;
 	}
 	if (member->status == MEMBER_GONE)
@@ -57,20 +60,20 @@
 		return;
 	if (update->counter == member->counter && status <= member->status) {
 		if (status == member->status && status == MEMBER_ALIVE)
-			member_heard_again(table, member);
+			member_update_repeated(table, member);
 		return;
 	}
-	/* A leaving member does not come back in this incarnation. */
+	/* A leaving member can't become alive again in this incarnation. */
 	if (member->status == MEMBER_LEAVING)
 		status = MEMBER_LEAVING;
 	member->counter = update->counter;
 	if (status == MEMBER_ALIVE) {
 		member->silent_since = 0;
-		member->dropped = false;
+		member->delisted = false;
 	}
 	if (status != member->status)
 		member_set_status(table, member, status, member->incarnation);
-	member_spread(table, member);
+	member_queue_update(table, member);
 }
 
 static void adopt_update(struct member_table *table, struct member *member,
@@ -78,8 +81,10 @@
 			 const struct address *peer_address,
 			 const struct address *caller_address)
 {
-	member_move(member, update->data_centre, peer_address, caller_address);
-	member_adopt(table, member, update->incarnation, update->replaces);
+	member_set_location(member, update->data_centre, peer_address,
+			    caller_address);
+	member_adopt_incarnation(table, member, update->incarnation,
+				 update->replaces);
 	member->counter = update->counter;
 	member->capacity = update->capacity;
 	if (update->status != PEER__MEMBER_STATUS__ALIVE)
@@ -88,7 +93,7 @@
 				  update->incarnation);
 }
 
-/* A peer holds a process for gone of which we knew the name at most. */
+/* A peer considers a process gone of which we know at most the name. */
 static void merge_unknown_gone(struct member_table *table,
 			       struct member *member,
 			       const Peer__Member *update,
@@ -99,11 +104,11 @@
 	    !address_eq(&member->peer_address, peer_address))
 		return;
 	member->incarnation = update->incarnation;
-	member_gone(table, member, update->proven);
+	member_mark_gone(table, member, update->proven);
 }
 
-static bool unreleased(const struct member_table *table,
-		       const struct member *member)
+static bool may_hold_shares(const struct member_table *table,
+			    const struct member *member)
 {
 	return member->status == MEMBER_GONE &&
 	       clock_now(table->clock) < member->released_at;
@@ -120,10 +125,10 @@
 			     caller_address);
 		return;
 	}
-	if (member_present(member) || unreleased(table, member)) {
+	if (member_present(member) || may_hold_shares(table, member)) {
 		/*
-		 * Which of the two lives is seen only by asking: the news may
-		 * be older than what we know.
+		 * The record may be older than what we know: only a ping shows
+		 * which of the two processes is running.
 		 */
 		member_probe_now(table, member);
 		return;
--- a/member_net.c
+++ b/member_net.c
@@ -12,13 +12,13 @@
 #include "peer.pb-c.h"
 #include "table_sync.h"
 
-#define DATAGRAMS_AT_ONCE 64
+#define DATAGRAMS_PER_EVENT 64
 #define CHECK_TIMEOUT_S 1
-#define TICKS_A_PERIOD 8
+#define TICKS_PER_PERIOD 8
 #define TICK_MIN_MS 5
 #define TICK_MAX_MS 50
 
-/* Whether anybody listens at a member's peer address. */
+/* A TCP connection attempt, to learn if a member's peer address is refused. */
 struct member_check {
 	struct member_net *net;
 	char instance[FLEET_NAME_SIZE];
@@ -31,14 +31,14 @@
 
 static void publish(struct member_net *net);
 
-/* Everything that comes in ends here: what it changed takes effect at once. */
-static void took_input(struct member_net *net)
+/* Called after all input, so that its changes take effect at once. */
+static void apply_changes(struct member_net *net)
 {
 	share_lease_valid(&net->share);
 	publish(net);
 }
 
-/* Towards the modules' ops. */
+/* Callbacks of the membership and the shares. */
 
 static void send_datagram(void *arg, const struct address *to, const void *data,
 			  size_t len)
@@ -48,12 +48,12 @@
 
 	metric_inc(&net->board->counters.member_datagrams_out);
 	metric_add(&net->board->counters.member_bytes_out, (int64_t)len);
-	/* A lost datagram is a case like any other. */
+	/* A failure is handled like a lost datagram. */
 	sendto(net->fd, data, len, 0, (struct sockaddr *)&sin, sizeof(sin));
 }
 
-static struct peer_link *link_to(const struct member_net *net,
-				 const struct address *address)
+static struct peer_link *find_link(const struct member_net *net,
+				   const struct address *address)
 {
 	struct peer_link *link;
 
@@ -65,7 +65,7 @@
 	return NULL;
 }
 
-static bool is_near(const struct member_net *net, const struct peer_link *link)
+static bool is_local(const struct member_net *net, const struct peer_link *link)
 {
 	const struct fleet_member *member =
 		fleet_find(&net->board->fleet, str_from(link->instance));
@@ -74,8 +74,8 @@
 	       !strcmp(member->data_centre, net->board->settings->data_centre);
 }
 
-/* One at random, of the own data centre if there is any. */
-static struct peer_link *any_link(const struct member_net *net)
+/* A random link, within the own data centre if possible. */
+static struct peer_link *random_link(const struct member_net *net)
 {
 	struct peer_link *chosen[] = {NULL, NULL};
 	uint32_t n[] = {0, 0};
@@ -83,26 +83,26 @@
 	uint32_t draw;
 
 	DL_FOREACH (net->peers->links, link) {
-		bool near = is_near(net, link);
+		bool local = is_local(net, link);
 
 		if (!link->up || link->doomed)
 			continue;
 		evutil_secure_rng_get_bytes(&draw, sizeof(draw));
-		if (draw % ++n[near] == 0)
-			chosen[near] = link;
+		if (draw % ++n[local] == 0)
+			chosen[local] = link;
 	}
 	return chosen[true] ? chosen[true] : chosen[false];
 }
 
-/* Who asks for all members may ask anybody; an answer goes back as it came. */
+/* A request may go to any peer; a reply uses the link of its request. */
 static bool send_members(void *arg, const struct address *to,
 			 const Peer__Members *message)
 {
 	struct member_net *net = arg;
-	struct peer_link *link = link_to(net, to);
+	struct peer_link *link = find_link(net, to);
 
 	if (!link)
-		link = message->reply ? any_link(net) : net->asked_on;
+		link = message->reply ? random_link(net) : net->reply_link;
 	return link && !peer_send(link, FRAME_MEMBERS, &message->base);
 }
 
@@ -112,7 +112,7 @@
 	struct member_net *net = arg;
 	struct peer_link *link;
 
-	/* Without a table there are no servers whose shares to agree on. */
+	/* Without a table there are no servers whose shares to settle. */
 	if (!net->board->table)
 		return;
 	link = peers_find(net->peers, str_from(to->instance));
@@ -138,10 +138,10 @@
 	(void)what;
 	getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &len);
 	if (error == ECONNREFUSED)
-		member_table_refused(&net->members, check->instance,
-				     check->incarnation);
+		member_table_connection_refused(&net->members, check->instance,
+						check->incarnation);
 	end_check(check);
-	took_input(net);
+	apply_changes(net);
 }
 
 static struct member_check *find_check(const struct member_net *net,
@@ -175,7 +175,7 @@
 	check->incarnation = member->incarnation;
 	str_copy(check->instance, sizeof(check->instance),
 		 str_from(member->instance));
-	/* A refusal that is known at once is reported by the event as well. */
+	/* The event reports immediate failures as well. */
 	(void)connect(fd, (struct sockaddr *)&sin, sizeof(sin));
 	check->event =
 		event_new(net->board->base, fd, EV_WRITE, on_check, check);
@@ -190,13 +190,13 @@
 	share_confirmed(&net->share, sent_at);
 }
 
-static void take_beacon(void *arg, const struct member *member,
-			const struct member_beacon *beacon)
+static void receive_beacon(void *arg, const struct member *member,
+			   const struct member_beacon *beacon)
 {
 	struct member_net *net = arg;
 
 	if (beacon->table_revision)
-		net->heard(net->arg, member->instance, beacon);
+		net->on_beacon(net->arg, member->instance, beacon);
 }
 
 static uint64_t random_bits(void *arg)
@@ -213,7 +213,7 @@
 	.send_members = send_members,
 	.check_address = check_address,
 	.confirmed = confirmed,
-	.beacon = take_beacon,
+	.beacon = receive_beacon,
 	.random = random_bits,
 };
 
@@ -221,7 +221,7 @@
 {
 	struct member_net *net = arg;
 
-	if (!net->applying)
+	if (!net->applying_table)
 		blackboard_changed(net->board, BLACKBOARD_SHARES);
 }
 
@@ -238,10 +238,11 @@
 	.report = report_use,
 };
 
-/* Towards the blackboard. */
+/* Exchange with the blackboard. */
 
-static void put_fleet(struct fleet *fleet, const struct member *member,
-		      enum fleet_status status)
+static void update_fleet_member(struct fleet *fleet,
+				const struct member *member,
+				enum fleet_status status)
 {
 	struct fleet_member *entry =
 		fleet_find_or_add(fleet, str_from(member->instance));
@@ -256,7 +257,7 @@
 	entry->seen = true;
 }
 
-/* Whom nobody heard yet is connected to, but named to no caller. */
+/* A member never heard is connected to, but not listed to callers. */
 static enum fleet_status fleet_status(const struct member *member)
 {
 	if (member->status == MEMBER_LEAVING || member->listed_leaving)
@@ -273,16 +274,18 @@
 	struct fleet_member *entry;
 	struct fleet_member *next;
 
-	if (net->published == net->members.version)
+	if (net->published_version == net->members.version)
 		return;
-	net->published = net->members.version;
+	net->published_version = net->members.version;
 	HASH_ITER (hh, fleet->members, entry, next)
 		entry->seen = false;
-	put_fleet(fleet, &net->members.self, fleet_status(&net->members.self));
+	update_fleet_member(fleet, &net->members.self,
+			    fleet_status(&net->members.self));
 	for (member = member_table_next(&net->members, NULL); member;
 	     member = member_table_next(&net->members, member)) {
 		if (member->status != MEMBER_GONE && !member->address_only)
-			put_fleet(fleet, member, fleet_status(member));
+			update_fleet_member(fleet, member,
+					    fleet_status(member));
 	}
 	HASH_ITER (hh, fleet->members, entry, next) {
 		if (!entry->seen)
@@ -309,17 +312,17 @@
 		entries[n].leaving = member->status == FLEET_LEAVING;
 		n++;
 	}
-	member_table_list(&net->members, entries, n);
+	member_table_apply_list(&net->members, entries, n);
 	free(entries);
-	/* Flags of the list do not raise the version. */
-	net->published = 0;
-	took_input(net);
+	/* The flags set by the list don't raise the version. */
+	net->published_version = 0;
+	apply_changes(net);
 }
 
 static void arm_timer(struct member_net *net)
 {
 	int64_t ms = blackboard_tunables(net->board)->probe_period_ms /
-		     TICKS_A_PERIOD;
+		     TICKS_PER_PERIOD;
 	struct timeval tv = {0, 0};
 
 	if (ms < TICK_MIN_MS)
@@ -338,9 +341,9 @@
 	member_table_set_periods(&net->members, MSEC(tunables->probe_period_ms),
 				 MSEC(tunables->lease_ms));
 	share_set_lease(&net->share, MSEC(tunables->lease_ms));
-	net->applying = true;
+	net->applying_table = true;
 	share_table_changed(&net->share, net->board->table);
-	net->applying = false;
+	net->applying_table = false;
 	blackboard_changed(net->board, BLACKBOARD_SHARES);
 }
 
@@ -351,10 +354,10 @@
 	if (net->board->lifecycle < LIFECYCLE_LEAVING)
 		return;
 	member_table_leave(&net->members);
-	took_input(net);
+	apply_changes(net);
 }
 
-/* Events. */
+/* Event handlers. */
 
 static void set_beacon(struct member_net *net)
 {
@@ -393,7 +396,8 @@
 		return errno != EAGAIN && errno != EWOULDBLOCK;
 	inet_ntop(AF_INET, &sin.sin_addr, from.ip, sizeof(from.ip));
 	from.port = ntohs(sin.sin_port);
-	if (member_table_datagram(&net->members, &from, data, (size_t)len))
+	if (member_table_receive_datagram(&net->members, &from, data,
+					  (size_t)len))
 		metric_inc(&net->board->counters.member_datagrams_bad);
 	return true;
 }
@@ -406,24 +410,24 @@
 	(void)fd;
 	(void)what;
 	set_beacon(net);
-	while (n++ < DATAGRAMS_AT_ONCE && read_datagram(net))
+	while (n++ < DATAGRAMS_PER_EVENT && read_datagram(net))
 		;
-	took_input(net);
+	apply_changes(net);
 }
 
 static void on_frame(void *arg, struct peer_link *link, struct frame *frame)
 {
 	struct member_net *net = arg;
 
-	net->asked_on = link;
+	net->reply_link = link;
 	if (frame->type == FRAME_VIEW_STATE)
 		share_view_state(&net->share,
 				 (const Peer__ViewState *)frame->message);
 	else
-		member_table_members(&net->members,
-				     (const Peer__Members *)frame->message);
-	net->asked_on = NULL;
-	took_input(net);
+		member_table_receive_members(
+			&net->members, (const Peer__Members *)frame->message);
+	net->reply_link = NULL;
+	apply_changes(net);
 }
 
 static void on_down(void *arg, struct peer_link *link)
@@ -431,7 +435,7 @@
 	struct member_net *net = arg;
 
 	if (link->outgoing)
-		member_table_lost(&net->members, link->instance);
+		member_table_link_lost(&net->members, link->instance);
 }
 
 static void on_refused(void *arg, struct str instance, uint64_t incarnation)
@@ -440,8 +444,8 @@
 	char name[FLEET_NAME_SIZE];
 
 	str_copy(name, sizeof(name), instance);
-	member_table_refused(&net->members, name, incarnation);
-	took_input(net);
+	member_table_connection_refused(&net->members, name, incarnation);
+	apply_changes(net);
 }
 
 static int open_socket(struct member_net *net)
@@ -505,14 +509,15 @@
 }
 
 int member_net_init(struct member_net *net, struct blackboard *board,
-		    struct peers *peers, member_net_heard_cb heard, void *arg)
+		    struct peers *peers, member_net_beacon_cb on_beacon,
+		    void *arg)
 {
 	int ret;
 
 	memset(net, 0, sizeof(*net));
 	net->board = board;
 	net->peers = peers;
-	net->heard = heard;
+	net->on_beacon = on_beacon;
 	net->arg = arg;
 	ret = open_socket(net);
 	if (ret)
@@ -524,7 +529,7 @@
 	event_add(net->readable, NULL);
 	add_handler(net);
 	watch_board(net);
-	took_input(net);
+	apply_changes(net);
 	arm_timer(net);
 	return 0;
 }
--- a/member_net.h
+++ b/member_net.h
@@ -1,6 +1,7 @@
 /*
- * Membership and shares on the wire: datagrams and frames in and out, the
- * platform's list from the blackboard, the fleet and the shares to it.
+ * Connects membership and shares to the network and the blackboard: sends and
+ * receives datagrams and frames, takes the platform's list from the blackboard,
+ * and writes the fleet and the shares to it.
  */
 #ifndef MEMBER_NET_H
 #define MEMBER_NET_H
@@ -14,44 +15,62 @@
 
 struct event;
 
-/* A peer that tells its table in a heartbeat. */
-typedef void (*member_net_heard_cb)(void *arg, const char *instance,
-				    const struct member_beacon *beacon);
+/* Called when a heartbeat of a peer had the version of its table. */
+typedef void (*member_net_beacon_cb)(void *arg, const char *instance,
+				     const struct member_beacon *beacon);
 
+/**
+ * struct member_net - membership of this instance
+ * @board: borrowed
+ * @peers: borrowed
+ * @on_beacon: see member_net_init()
+ * @arg: passed to @on_beacon
+ * @fd: UDP socket at the peer address
+ * @checks: owned; TCP connection attempts in progress
+ * @handler: registered with @peers
+ * @reply_link: link whose frame is being processed, for a reply; or NULL
+ * @applying_table: while a new table is applied and shares don't match it yet
+ * @published_version: version of @members that is on the blackboard; 0 to
+ *	publish again
+ */
 struct member_net {
 	struct blackboard *board;
 	struct peers *peers;
 	struct member_table members;
 	struct share share;
-	member_net_heard_cb heard;
+	member_net_beacon_cb on_beacon;
 	void *arg;
 	evutil_socket_t fd;
 	struct event *readable;
 	struct event *timer;
-	struct member_check *checks; /* connections being tried */
+	struct member_check *checks;
 	struct peer_handler handler;
 	struct blackboard_watch instances_watch;
 	struct blackboard_watch table_watch;
 	struct blackboard_watch lifecycle_watch;
-	struct peer_link *asked_on; /* while its frame is handled */
-	bool applying;		    /* a table: shares and rows do not fit */
-	uint64_t published;	    /* version of @members on the blackboard */
+	struct peer_link *reply_link;
+	bool applying_table;
+	uint64_t published_version;
 };
 
 /**
  * member_net_init() - join the fleet
- * @heard: called with @arg for each heartbeat of a member
+ * @board: outlives @net
+ * @peers: outlives @net
+ * @on_beacon: called with @arg for each heartbeat of a member with a table
  *
- * To be called after all that watch the table: the shares see a new table
- * first, and the homes ask them then.
+ * Has to be called after everything else that watches the table: this way the
+ * shares are updated for a new table first, before the homes query them.
  *
- * Return: 0, or ERR_ADDRESS if the peer address cannot be bound.
+ * Return: 0, ERR_ADDRESS if the peer address can't be bound, or ERR_SYSTEM if
+ * there is no socket.
  */
 int member_net_init(struct member_net *net, struct blackboard *board,
-		    struct peers *peers, member_net_heard_cb heard, void *arg);
+		    struct peers *peers, member_net_beacon_cb on_beacon,
+		    void *arg);
 
 /**
- * member_net_finish() - say that nothing is used any more, and leave
+ * member_net_finish() - announce the release of all shares and leave the fleet
  */
 void member_net_finish(struct member_net *net);
 
--- a/member_probe.c
+++ b/member_probe.c
@@ -1,4 +1,4 @@
-/* Heartbeats: who is asked when, and what silence means. */
+/* Heartbeats: which member is pinged when, and what a missing answer means. */
 #include "member.h"
 
 #include <string.h>
@@ -7,23 +7,28 @@
 #include "mem.h"
 #include "member_private.h"
 
-#define HELPERS 3 /* asked to ping a member that did not answer us */
-#define RANDOM_TRIES 16
+/* Members that are asked to ping one that didn't answer us. */
+#define INDIRECT_PROBES 3
+#define RANDOM_TRIES 16 /* to find a member that is alive */
 /*
- * Of the members asked in a round, those of other data centres are so many and
- * this share of the neighbours, however many they are. With fewer, a small
- * fleet notices later that a whole data centre is silent.
+ * In each round, REMOTE_PROBES_MIN members of other data centres are pinged,
+ * plus REMOTE_PROBES_RATIO for each member of the own one, however many there
+ * are. With fewer, a small fleet takes longer to notice that a whole data
+ * centre is unreachable.
  */
-#define FAR_LEAST 5
-#define FAR_SHARE 0.25
+#define REMOTE_PROBES_MIN 5
+#define REMOTE_PROBES_RATIO 0.25
 #define SYNC_RETRY_PERIODS 4
-#define SYNC_START MSEC(120000)
-#define SYNC_MISSING_PART 100
+/* Time after the start to request members that are missing, microseconds. */
+#define SYNC_START_WINDOW MSEC(120000)
+/* More than one in so many members have to be missing. */
+#define SYNC_MISSING_DIVISOR 100
 /*
- * Known from seeds, an instance asks for the whole list again while others may
- * still start, each time after twice as long.
+ * With seeds, all members are requested again during this time after the start,
+ * microseconds, because other instances may still be starting; each interval
+ * is twice the previous one.
  */
-#define SYNC_SEEDED MSEC(20000)
+#define SYNC_SEEDED_WINDOW MSEC(20000)
 
 void member_probe_now(struct member_table *table, struct member *member)
 {
@@ -46,15 +51,15 @@
 		if (table->probes[i].member == member)
 			table->probes[i].member = NULL;
 	}
-	for (i = 0; i < table->n_order; i++) {
-		if (table->order[i] == member)
-			table->order[i] = NULL;
+	for (i = 0; i < table->n_probe_order; i++) {
+		if (table->probe_order[i] == member)
+			table->probe_order[i] = NULL;
 	}
 	if (table->last_acker == member)
 		table->last_acker = NULL;
 }
 
-void member_probe_void(struct member_table *table)
+void member_probe_discard_all(struct member_table *table)
 {
 	int i;
 
@@ -71,33 +76,34 @@
 }
 
 /*
- * One that is gone is asked while the list names it: two sides of a cut may
- * hold each other for gone, and nobody else would tell them.
+ * A member that is gone is pinged as long as it is listed: the two sides of a
+ * network partition may consider each other gone, and nothing else would tell
+ * them after it has healed.
  */
-static bool worth_asking(const struct member_table *table,
-			 const struct member *member)
+static bool is_probe_target(const struct member_table *table,
+			    const struct member *member)
 {
 	return member->status != MEMBER_GONE || member->listed || table->seeded;
 }
 
-/* Members that are alive, of this data centre and of others. */
-struct spread_of_members {
-	int near;
-	int far;
+/* Number of members alive, in this data centre and in others. */
+struct alive_counts {
+	int local;
+	int remote;
 };
 
-static struct spread_of_members count_alive(const struct member_table *table)
+static struct alive_counts count_alive(const struct member_table *table)
 {
-	struct spread_of_members n = {0, 0};
+	struct alive_counts n = {0, 0};
 	const struct member *member;
 
 	for (member = table->members; member; member = member->hh.next) {
 		if (member->status != MEMBER_ALIVE)
 			continue;
 		if (member->dc_hash == table->self.dc_hash)
-			n.near++;
+			n.local++;
 		else
-			n.far++;
+			n.remote++;
 	}
 	return n;
 }
@@ -115,52 +121,55 @@
 }
 
 /*
- * Where members come by news alone and no lease hangs on an answer, one of
- * another data centre is asked less often: its own neighbours ask it, and bytes
- * between data centres are dear. Once one is suspected all there are asked, for
- * they may be cut off or lost together.
+ * With seeds, where no lease depends on an acknowledgement, members of other
+ * data centres are pinged less often: their own data centre monitors them, and
+ * traffic between data centres is expensive. Once a member is suspected, all
+ * members of its data centre are pinged, because they may have failed together.
  */
-static bool is_passed_over(const struct member_table *table,
-			   const struct member *member,
-			   const struct spread_of_members *n)
+static bool is_skipped(const struct member_table *table,
+		       const struct member *member,
+		       const struct alive_counts *n)
 {
-	if (!table->seeded || n->near < MEMBER_NEAR_ENOUGH ||
+	if (!table->seeded || n->local < MEMBER_LOCAL_MIN ||
 	    member->status != MEMBER_ALIVE ||
 	    member->dc_hash == table->self.dc_hash)
 		return false;
 	if (has_suspect(table, member->dc_hash))
 		return false;
-	return (double)(table->ops->random(table->arg) % (uint64_t)n->far) >=
-	       FAR_LEAST + FAR_SHARE * n->near;
+	return (double)(table->ops->random(table->arg) % (uint64_t)n->remote) >=
+	       REMOTE_PROBES_MIN + REMOTE_PROBES_RATIO * n->local;
 }
 
-static void shuffle(struct member_table *table)
+static void shuffle_probe_order(struct member_table *table)
 {
-	const struct spread_of_members n = count_alive(table);
+	const struct alive_counts n = count_alive(table);
 	struct member *member;
 	int i;
 
-	table->n_near = n.near;
-	table->n_order = 0;
-	table->at_order = 0;
+	table->n_local = n.local;
+	table->n_probe_order = 0;
+	table->probe_order_pos = 0;
 	for (member = table->members; member; member = member->hh.next) {
-		if (!worth_asking(table, member) ||
-		    is_passed_over(table, member, &n))
+		if (!is_probe_target(table, member) ||
+		    is_skipped(table, member, &n))
 			continue;
-		MEM_GROW(table->order, table->n_order, table->cap_order);
-		table->order[table->n_order++] = member;
+		MEM_GROW(table->probe_order, table->n_probe_order,
+			 table->cap_probe_order);
+		table->probe_order[table->n_probe_order++] = member;
 	}
-	for (i = table->n_order - 1; i > 0; i--)
-		swap(&table->order[i],
-		     &table->order[table->ops->random(table->arg) % (i + 1)]);
+	for (i = table->n_probe_order - 1; i > 0; i--)
+		swap(&table->probe_order[i],
+		     &table->probe_order[table->ops->random(table->arg) %
+					 (i + 1)]);
 }
 
 static struct member *next_in_order(struct member_table *table)
 {
-	while (table->at_order < table->n_order) {
-		struct member *member = table->order[table->at_order++];
+	while (table->probe_order_pos < table->n_probe_order) {
+		struct member *member =
+			table->probe_order[table->probe_order_pos++];
 
-		if (member && worth_asking(table, member))
+		if (member && is_probe_target(table, member))
 			return member;
 	}
 	return NULL;
@@ -172,7 +181,7 @@
 
 	if (member)
 		return member;
-	shuffle(table);
+	shuffle_probe_order(table);
 	return next_in_order(table);
 }
 
@@ -181,11 +190,12 @@
 {
 	int i;
 
-	if (!table->n_order)
-		shuffle(table);
-	for (i = 0; i < RANDOM_TRIES && table->n_order; i++) {
-		uint64_t at = table->ops->random(table->arg) % table->n_order;
-		struct member *member = table->order[at];
+	if (!table->n_probe_order)
+		shuffle_probe_order(table);
+	for (i = 0; i < RANDOM_TRIES && table->n_probe_order; i++) {
+		uint64_t at =
+			table->ops->random(table->arg) % table->n_probe_order;
+		struct member *member = table->probe_order[at];
 
 		if (member && member != except &&
 		    (member->status == MEMBER_ALIVE ||
@@ -199,23 +209,24 @@
 {
 	int i;
 
-	shuffle(table);
-	for (i = 0; i < n && i < table->n_order; i++)
-		member_send_ping(table, table->order[i]);
+	shuffle_probe_order(table);
+	for (i = 0; i < n && i < table->n_probe_order; i++)
+		member_send_ping(table, table->probe_order[i]);
 }
 
-static void ask_helpers(struct member_table *table, struct member_probe *probe)
+static void probe_indirectly(struct member_table *table,
+			     struct member_probe *probe)
 {
 	int i;
 
 	probe->indirect = true;
-	probe->judge_at += table->probe_period * 3 / 5 * (1 + table->health);
+	probe->check_at += table->probe_period * 3 / 5 * (1 + table->health);
 	table->ops->check_address(table->arg, probe->member);
-	for (i = 0; i < HELPERS; i++) {
+	for (i = 0; i < INDIRECT_PROBES; i++) {
 		struct member *helper = random_alive(table, probe->member);
 
 		if (helper)
-			member_send_help(table, helper, probe);
+			member_send_ping_request(table, helper, probe);
 	}
 }
 
@@ -228,16 +239,16 @@
 		return;
 	if (table->health < MEMBER_HEALTH_MAX)
 		table->health++;
-	member_suspect(table, member);
-	/* The order is made anew, with all of that data centre. */
+	member_mark_suspect(table, member);
+	/* Starts a new round, which has all members of that data centre. */
 	if (table->seeded)
-		table->at_order = table->n_order;
+		table->probe_order_pos = table->n_probe_order;
 }
 
-static void judge(struct member_table *table, struct member_probe *probe,
-		  int64_t now)
+static void check_probe(struct member_table *table, struct member_probe *probe,
+			int64_t now)
 {
-	if (!probe->member || probe->answered || now < probe->judge_at)
+	if (!probe->member || probe->answered || now < probe->check_at)
 		return;
 	if (probe->relayed || !member_present(probe->member)) {
 		if (probe->member->status == MEMBER_NAMED && !probe->relayed)
@@ -246,16 +257,16 @@
 		return;
 	}
 	if (!probe->indirect)
-		ask_helpers(table, probe);
+		probe_indirectly(table, probe);
 	else
 		probe_failed(table, probe);
 }
 
 /*
- * With many members silent, the round-robin may find none that answers for
- * longer than the lease: then the one that did last is asked again.
+ * If many members are unresponsive, the round may reach none that answers for
+ * longer than the lease. Then the member that answered last is pinged again.
  */
-static void keep_lease(struct member_table *table, int64_t now)
+static void renew_lease(struct member_table *table, int64_t now)
 {
 	struct member *member = table->last_acker;
 
@@ -268,48 +279,51 @@
 		member_send_ping(table, member);
 }
 
-/* Of the members that the list names, more than a few were never heard. */
-static bool misses_many(const struct member_table *table)
+/* Whether more than a few of the listed members were never heard. */
+static bool are_many_unheard(const struct member_table *table)
 {
 	int known = (int)HASH_COUNT(table->members);
 	const struct member *member;
 	int named = 0;
 
 	for (member = table->members; member; member = member->hh.next)
-		named += member->status == MEMBER_NAMED && !member->refused;
-	return named > known / SYNC_MISSING_PART + 1;
+		named += member->status == MEMBER_NAMED &&
+			 !member->connection_refused;
+	return named > known / SYNC_MISSING_DIVISOR + 1;
 }
 
-static bool wants_sync(const struct member_table *table, int64_t now)
+static bool needs_sync(const struct member_table *table, int64_t now)
 {
 	if (!table->synced || !table->complete)
 		return true;
 	if (table->seeded)
-		return now - table->self.since < SYNC_SEEDED;
-	return now - table->self.since < SYNC_START && misses_many(table);
+		return now - table->self.since < SYNC_SEEDED_WINDOW;
+	return now - table->self.since < SYNC_START_WINDOW &&
+	       are_many_unheard(table);
 }
 
 /*
- * A new member asks one peer for all members, and others until somebody knew
- * them all: two that both just started may know nobody else, and when all
- * start at once nobody knows many.
+ * A new instance requests all members from a peer, and repeats this with other
+ * peers until one had them all: a peer that has just started itself may know no
+ * one else, and when all start at the same time none of them knows many.
  */
-static bool sync(struct member_table *table, const struct member *member)
+static bool request_sync(struct member_table *table,
+			 const struct member *member)
 {
 	if (table->seeded)
-		return member_ask_members(table, &member->peer_address);
+		return member_request_members(table, &member->peer_address);
 	return member_send_members(table, &member->peer_address, true);
 }
 
-static void keep_synced(struct member_table *table, int64_t now)
+static void sync_if_needed(struct member_table *table, int64_t now)
 {
 	int64_t pause = SYNC_RETRY_PERIODS * table->probe_period;
 	struct member *member;
 
-	if (now < table->next_sync || !wants_sync(table, now))
+	if (now < table->next_sync || !needs_sync(table, now))
 		return;
 	member = random_alive(table, NULL);
-	if (!member || !sync(table, member))
+	if (!member || !request_sync(table, member))
 		return;
 	table->synced = true;
 	if (table->seeded && table->complete && now - table->self.since > pause)
@@ -324,8 +338,8 @@
 	int i;
 
 	for (i = 0; i < MEMBER_PROBES; i++)
-		judge(table, &table->probes[i], now);
-	keep_synced(table, now);
+		check_probe(table, &table->probes[i], now);
+	sync_if_needed(table, now);
 	if (now < table->next_probe)
 		return;
 	table->next_probe = now + table->probe_period * 9 / 10 +
@@ -334,5 +348,5 @@
 	member = next_target(table);
 	if (member)
 		member_send_ping(table, member);
-	keep_lease(table, now);
+	renew_lease(table, now);
 }
--- a/member_send.c
+++ b/member_send.c
@@ -1,4 +1,4 @@
-/* Datagrams and messages that go out, with the news that they carry. */
+/* Sent datagrams and messages, with the member records that they carry. */
 #include "member_private.h"
 
 #include <stdlib.h>
@@ -8,20 +8,21 @@
 #include "mem.h"
 #include "pack.h"
 
-#define UPDATES_MAX 24
-/* A packed list of members is told again for so long, though some changed. */
-#define LIST_KEPT MSEC(100)
-#define HEADER_ROOM 128 /* of a datagram, for all but the updates */
+#define UPDATES_MAX 24 /* in one datagram */
+/* Time for which a snapshot is sent although members changed, microseconds. */
+#define SNAPSHOT_MAX_AGE MSEC(100)
+/* Bytes of a datagram that are reserved for everything but the updates. */
+#define HEADER_RESERVE 128
 
-/* News that fits into one datagram. */
+/* Member records for one datagram. */
 struct updates {
 	struct member_wire wires[UPDATES_MAX];
 	Peer__Member *pointers[UPDATES_MAX];
 	int n;
-	size_t room;
+	size_t space_left;
 };
 
-static bool put_update(struct updates *updates, const struct member *member)
+static bool add_update(struct updates *updates, const struct member *member)
 {
 	struct member_wire *wire = &updates->wires[updates->n];
 	size_t size;
@@ -35,10 +36,11 @@
 			return false;
 	}
 	member_to_wire(member, wire);
-	size = peer__member__get_packed_size(&wire->message) + 3;
-	if (size > updates->room)
+	size = peer__member__get_packed_size(&wire->message) +
+	       3; /* tag and length */
+	if (size > updates->space_left)
 		return false;
-	updates->room -= size;
+	updates->space_left -= size;
 	updates->pointers[updates->n++] = &wire->message;
 	return true;
 }
@@ -52,45 +54,48 @@
 }
 
 /*
- * That another instance joined matters in its own data centre; hubs of others
- * are told by itself, and the rest by whole lists. Spread by all to all, joins
- * were most of what passes between data centres while many start.
+ * Whether a record is sent within this data centre only. The others need no
+ * record of an instance that joined: it contacts the hubs there itself, and the
+ * rest get it with the list of all members. Sent by everyone to everyone, joins
+ * were most of the traffic between data centres while many instances started.
  */
-static bool is_for_near(const struct member *member)
+static bool is_local_update(const struct member *member)
 {
 	return member->status == MEMBER_ALIVE && !member->counter;
 }
 
-static bool is_far(const struct member_table *table, const struct member *peer)
+static bool is_remote(const struct member_table *table,
+		      const struct member *peer)
 {
-	return table->seeded && table->n_near >= MEMBER_NEAR_ENOUGH &&
+	return table->seeded && table->n_local >= MEMBER_LOCAL_MIN &&
 	       (!peer || peer->dc_hash != table->self.dc_hash);
 }
 
-/* Newest first; each news goes out a bounded number of times. */
-static void put_news(struct member_table *table, bool far,
-		     struct updates *updates)
+/* Newest first; each record is sent a limited number of times. */
+static void add_queued_updates(struct member_table *table, bool remote,
+			       struct updates *updates)
 {
 	int kept = 0;
 	int i;
 
-	if (!table->n_hot)
+	if (!table->n_queued)
 		return;
-	qsort(table->hot, table->n_hot, sizeof(*table->hot), by_transmits);
-	for (i = 0; i < table->n_hot; i++) {
-		struct member *member = table->hot[i];
+	qsort(table->queued, table->n_queued, sizeof(*table->queued),
+	      by_transmits);
+	for (i = 0; i < table->n_queued; i++) {
+		struct member *member = table->queued[i];
 
-		if (!(far && is_for_near(member)) &&
-		    put_update(updates, member))
+		if (!(remote && is_local_update(member)) &&
+		    add_update(updates, member))
 			member->transmits_left--;
 		if (member->transmits_left > 0)
-			table->hot[kept++] = member;
+			table->queued[kept++] = member;
 	}
-	table->n_hot = kept;
+	table->n_queued = kept;
 }
 
 /*
- * @peer: NULL if unknown
+ * @peer: the receiver; NULL if unknown
  * @with_self: the receiver may not know our record
  */
 static void choose_updates(struct member_table *table,
@@ -98,15 +103,15 @@
 			   struct updates *updates)
 {
 	updates->n = 0;
-	updates->room = MEMBER_DATAGRAM_MAX - HEADER_ROOM -
-			strlen(table->self.instance);
+	updates->space_left = MEMBER_DATAGRAM_MAX - HEADER_RESERVE -
+			      strlen(table->self.instance);
 	if (with_self)
-		put_update(updates, &table->self);
-	/* Whom we suspect shall know, to refute it or to start anew. */
+		add_update(updates, &table->self);
+	/* Lets it refute the suspicion, or take a new incarnation if gone. */
 	if (peer &&
 	    (peer->status == MEMBER_SUSPECT || peer->status == MEMBER_GONE))
-		put_update(updates, peer);
-	put_news(table, is_far(table, peer), updates);
+		add_update(updates, peer);
+	add_queued_updates(table, is_remote(table, peer), updates);
 }
 
 static void send_datagram(struct member_table *table, const struct address *to,
@@ -144,7 +149,7 @@
 	send_datagram(table, to, data, 1 + peer__ping__pack(&ping, data + 1));
 }
 
-/* The oldest slot is taken; a ping so old is judged already. */
+/* Reuses the oldest slot; a ping so old has been checked already. */
 static struct member_probe *new_probe(struct member_table *table,
 				      struct member *member)
 {
@@ -157,8 +162,8 @@
 	probe->sequence = ++table->sequence;
 	probe->member = member;
 	probe->sent_at = now;
-	/* Slow ourselves, we wait longer before we accuse others. */
-	probe->judge_at = now + timeout * (1 + table->health);
+	/* An instance that is slow itself waits longer for others. */
+	probe->check_at = now + timeout * (1 + table->health);
 	probe->incarnation = table->self.incarnation;
 	return probe;
 }
@@ -168,14 +173,15 @@
 {
 	struct member_probe *probe = new_probe(table, member);
 
-	probe->told_self = !member->knows_us;
+	probe->sent_self = !member->knows_us;
 	send_ping_message(table, &member->peer_address, member, probe->sequence,
-			  NULL, probe->told_self);
+			  NULL, probe->sent_self);
 	return probe;
 }
 
-void member_send_help(struct member_table *table, const struct member *helper,
-		      const struct member_probe *probe)
+void member_send_ping_request(struct member_table *table,
+			      const struct member *helper,
+			      const struct member_probe *probe)
 {
 	send_ping_message(table, &helper->peer_address, helper, probe->sequence,
 			  probe->member->instance, !helper->knows_us);
@@ -198,51 +204,52 @@
 	return n;
 }
 
-/* 295 members take 25 KB, and a third of it packed. */
-static void pack_list(struct member_list *list, const Peer__Members *body,
-		      size_t size)
+/* 295 members take 25 KB, and a third of it compressed. */
+static void pack_snapshot(struct member_snapshot *snapshot,
+			  const Peer__Members *body, size_t size)
 {
 	uint8_t *raw = mem_zalloc(size);
 	size_t len;
 
 	peer__members__pack(body, raw);
-	free(list->packed);
-	list->packed = pack_bytes(raw, size, &len);
-	list->len = list->packed ? len : 0;
-	list->size = size;
+	free(snapshot->packed);
+	snapshot->packed = pack_bytes(raw, size, &len);
+	snapshot->len = snapshot->packed ? len : 0;
+	snapshot->size = size;
 	free(raw);
 }
 
 /*
- * At a start of hundreds all ask the seeds, which may have a tenth of a core,
- * for the same list.
+ * Cached, because when hundreds of instances start together they all request
+ * the same members from the seeds, which may have a tenth of a core only.
  */
-static const struct member_list *packed_list(struct member_table *table)
+static const struct member_snapshot *get_snapshot(struct member_table *table)
 {
-	struct member_list *list = &table->list;
+	struct member_snapshot *snapshot = &table->snapshot;
 	int64_t now = clock_now(table->clock);
 	struct member_wire *wires;
 	Peer__Member **pointers;
 	Peer__Members body = PEER__MEMBERS__INIT;
-	size_t most = HASH_COUNT(table->members) + 1;
+	size_t max = HASH_COUNT(table->members) + 1;
 
-	if (list->packed && (list->version == table->version ||
-			     now - list->made_at < LIST_KEPT))
-		return list;
-	wires = mem_zalloc(most * sizeof(*wires));
-	pointers = mem_zalloc(most * sizeof(*pointers));
+	if (snapshot->packed && (snapshot->version == table->version ||
+				 now - snapshot->made_at < SNAPSHOT_MAX_AGE))
+		return snapshot;
+	wires = mem_zalloc(max * sizeof(*wires));
+	pointers = mem_zalloc(max * sizeof(*pointers));
 	body.n_members = (size_t)fill_members(table, wires, pointers);
 	body.members = pointers;
-	pack_list(list, &body, peer__members__get_packed_size(&body));
-	list->version = table->version;
-	list->made_at = now;
+	pack_snapshot(snapshot, &body, peer__members__get_packed_size(&body));
+	snapshot->version = table->version;
+	snapshot->made_at = now;
 	free(pointers);
 	free(wires);
-	return list;
+	return snapshot;
 }
 
-static bool send_list(struct member_table *table, const struct address *to,
-		      Peer__Members *message)
+static bool send_members_message(struct member_table *table,
+				 const struct address *to,
+				 Peer__Members *message)
 {
 	char own_address[ADDRESS_TEXT_SIZE];
 
@@ -257,7 +264,8 @@
 	return true;
 }
 
-bool member_ask_members(struct member_table *table, const struct address *to)
+bool member_request_members(struct member_table *table,
+			    const struct address *to)
 {
 	Peer__Members message = PEER__MEMBERS__INIT;
 	struct member_wire wire;
@@ -267,33 +275,33 @@
 	message.members = pointers;
 	message.n_members = 1;
 	message.reply = true;
-	return send_list(table, to, &message);
+	return send_members_message(table, to, &message);
 }
 
 bool member_send_members(struct member_table *table, const struct address *to,
 			 bool reply)
 {
-	size_t most = HASH_COUNT(table->members) + 1;
+	size_t max = HASH_COUNT(table->members) + 1;
 	Peer__Members message = PEER__MEMBERS__INIT;
-	const struct member_list *list;
+	const struct member_snapshot *snapshot;
 	struct member_wire *wires;
 	Peer__Member **pointers;
 	bool sent;
 
 	message.reply = reply;
-	/* Without seeds, instances of an earlier version may listen. */
-	list = table->seeded ? packed_list(table) : NULL;
-	if (list && list->packed) {
-		message.packed.data = list->packed;
-		message.packed.len = list->len;
-		message.packed_size = (uint32_t)list->size;
-		return send_list(table, to, &message);
+	/* Without seeds, the peer may run a version without compression. */
+	snapshot = table->seeded ? get_snapshot(table) : NULL;
+	if (snapshot && snapshot->packed) {
+		message.packed.data = snapshot->packed;
+		message.packed.len = snapshot->len;
+		message.packed_size = (uint32_t)snapshot->size;
+		return send_members_message(table, to, &message);
 	}
-	wires = mem_zalloc(most * sizeof(*wires));
-	pointers = mem_zalloc(most * sizeof(*pointers));
+	wires = mem_zalloc(max * sizeof(*wires));
+	pointers = mem_zalloc(max * sizeof(*pointers));
 	message.n_members = (size_t)fill_members(table, wires, pointers);
 	message.members = pointers;
-	sent = send_list(table, to, &message);
+	sent = send_members_message(table, to, &message);
 	free(pointers);
 	free(wires);
 	return sent;
--- a/member_state.c
+++ b/member_state.c
@@ -1,6 +1,6 @@
 /*
- * What is known of each member, and how it changes: the one place where a
- * status, an incarnation or a tombstone is set.
+ * State of the members: the only place where a status, an incarnation or a
+ * tombstone is set.
  */
 #define LOG_MODULE "member"
 #include "member_private.h"
@@ -12,10 +12,10 @@
 #include "log.h"
 #include "mem.h"
 
-/* Each news goes out with this many datagrams times log2 of the fleet. */
-#define SPREAD_FACTOR 2
-/* Of these, what each word of it that comes from others takes away. */
-#define SPREAD_HEARD 3
+/* A record is sent in this many datagrams, times log2 of the fleet's size. */
+#define TRANSMIT_FACTOR 2
+/* Each time a peer sends the same record, so many of these are saved. */
+#define TRANSMITS_SAVED 3
 
 static const char *const status_names[] = {
 	"alive", "suspect", "leaving", "gone", "named",
@@ -35,49 +35,49 @@
 	return bits;
 }
 
-static int spread_limit(const struct member_table *table)
+static int transmit_limit(const struct member_table *table)
 {
-	return SPREAD_FACTOR * (log2_up(table->present + 1) + 1);
+	return TRANSMIT_FACTOR * (log2_up(table->present + 1) + 1);
 }
 
 /*
- * From a member's being dropped for silence until its shares are free: news
- * reaches everybody, who then refuse it the lease, and the lease runs out.
+ * Time from when a silent member is considered gone until its shares are free:
+ * the record has to reach all members, so that none of them acknowledges its
+ * pings any more, and then its lease has to expire.
  */
-static int64_t hold_time(const struct member_table *table)
+static int64_t release_delay(const struct member_table *table)
 {
 	int periods = 2 * (log2_up(table->present + 1) + 2);
 
 	return table->lease + periods * table->probe_period;
 }
 
-static uint64_t identity(const struct member *member)
+static uint64_t identity_hash(const struct member *member)
 {
 	return str_hash_mix(member->hash, member->incarnation);
 }
 
-static void set_present(struct member_table *table, const struct member *member,
-			bool before)
+static void count_present(struct member_table *table,
+			  const struct member *member, bool was_present)
 {
 	table->version++;
-	if (member_present(member) == before)
+	if (member_present(member) == was_present)
 		return;
-	table->present += before ? -1 : 1;
+	table->present += was_present ? -1 : 1;
 }
 
-/* All changes of status and incarnation go through here. */
 void member_set_status(struct member_table *table, struct member *member,
 		       enum member_status status, uint64_t incarnation)
 {
-	bool before = member_present(member);
+	bool was_present = member_present(member);
 
-	if (before)
-		table->digest ^= identity(member);
+	if (was_present)
+		table->digest ^= identity_hash(member);
 	member->status = status;
 	member->incarnation = incarnation;
 	if (member_present(member))
-		table->digest ^= identity(member);
-	set_present(table, member, before);
+		table->digest ^= identity_hash(member);
+	count_present(table, member, was_present);
 	table->digest_since = clock_now(table->clock);
 	LOG_DEBUG("member_status", LOG_TEXT("member", member->instance),
 		  LOG_U64("incarnation", incarnation),
@@ -90,9 +90,9 @@
 	while (!incarnation || member_is_tombstone(table, incarnation))
 		incarnation = table->ops->random(table->arg);
 	if (table->self.incarnation)
-		table->digest ^= identity(&table->self);
+		table->digest ^= identity_hash(&table->self);
 	table->self.incarnation = incarnation;
-	table->digest ^= identity(&table->self);
+	table->digest ^= identity_hash(&table->self);
 	table->version++;
 }
 
@@ -117,14 +117,15 @@
 	free(member);
 }
 
-void member_forget_hot(struct member_table *table, const struct member *member)
+void member_dequeue_update(struct member_table *table,
+			   const struct member *member)
 {
 	int i;
 
-	for (i = 0; i < table->n_hot; i++) {
-		if (table->hot[i] != member)
+	for (i = 0; i < table->n_queued; i++) {
+		if (table->queued[i] != member)
 			continue;
-		table->hot[i] = table->hot[--table->n_hot];
+		table->queued[i] = table->queued[--table->n_queued];
 		return;
 	}
 }
@@ -155,13 +156,9 @@
 	return member;
 }
 
-/*
- * Texts that only the list or the member itself tells. The name, by which the
- * hash table finds it, stays.
- */
-void member_move(struct member *member, const char *data_centre,
-		 const struct address *peer_address,
-		 const struct address *caller_address)
+void member_set_location(struct member *member, const char *data_centre,
+			 const struct address *peer_address,
+			 const struct address *caller_address)
 {
 	char *copy = mem_dup(data_centre);
 
@@ -182,8 +179,8 @@
 }
 
 /*
- * Against a datagram of a process that has ended, which arrives late and would
- * bring its incarnation back: what is gone once stays gone here.
+ * A datagram may arrive after its sender has ended. The tombstone keeps it from
+ * making that incarnation a member again.
  */
 void member_add_tombstone(struct member_table *table, uint64_t incarnation)
 {
@@ -193,43 +190,43 @@
 		return;
 	tombstone = mem_zalloc(sizeof(*tombstone));
 	tombstone->incarnation = incarnation;
-	tombstone->until = clock_now(table->clock) + MEMBER_GONE_KEEP;
+	tombstone->until = clock_now(table->clock) + MEMBER_GONE_RETENTION;
 	HASH_ADD(hh, table->tombstones, incarnation, sizeof(incarnation),
 		 tombstone);
 }
 
-void member_spread(struct member_table *table, struct member *member)
+void member_queue_update(struct member_table *table, struct member *member)
 {
-	/* What a peer tells in whole is asked for by all who miss it. */
-	if (table->quiet && member != &table->self)
+	/* Members that lack these records request them all as well. */
+	if (table->suppress_updates && member != &table->self)
 		return;
 	if (!member->transmits_left) {
-		MEM_GROW(table->hot, table->n_hot, table->cap_hot);
-		table->hot[table->n_hot++] = member;
+		MEM_GROW(table->queued, table->n_queued, table->cap_queued);
+		table->queued[table->n_queued++] = member;
 	}
-	member->transmits_left = spread_limit(table);
+	member->transmits_left = transmit_limit(table);
 }
 
-void member_heard_again(struct member_table *table, struct member *member)
+void member_update_repeated(struct member_table *table, struct member *member)
 {
 	if (!member->transmits_left)
 		return;
-	member->transmits_left -= SPREAD_HEARD;
+	member->transmits_left -= TRANSMITS_SAVED;
 	if (member->transmits_left > 0)
 		return;
 	member->transmits_left = 0;
-	member_forget_hot(table, member);
+	member_dequeue_update(table, member);
 }
 
-void member_heard(struct member_table *table, struct member *member)
+void member_mark_heard(struct member_table *table, struct member *member)
 {
 	member->last_heard = clock_now(table->clock);
 	member->silent_since = 0;
-	member->refused = false;
-	member->dropped = false;
+	member->connection_refused = false;
+	member->delisted = false;
 }
 
-void member_suspect(struct member_table *table, struct member *member)
+void member_mark_suspect(struct member_table *table, struct member *member)
 {
 	if (!member_present(member))
 		return;
@@ -239,28 +236,29 @@
 		return;
 	LOG_INFO("member_suspect", LOG_TEXT("member", member->instance));
 	member_set_status(table, member, MEMBER_SUSPECT, member->incarnation);
-	member_spread(table, member);
+	member_queue_update(table, member);
 }
 
-void member_gone(struct member_table *table, struct member *member, bool proven)
+void member_mark_gone(struct member_table *table, struct member *member,
+		      bool proven)
 {
 	int64_t now = clock_now(table->clock);
 
 	if (member->status == MEMBER_GONE && (member->proven || !proven))
 		return;
 	member_add_tombstone(table, member->incarnation);
-	member->released_at = proven ? now : now + hold_time(table);
+	member->released_at = proven ? now : now + release_delay(table);
 	member->proven = proven;
 	LOG_INFO("member_gone", LOG_TEXT("member", member->instance),
 		 LOG_U64("incarnation", member->incarnation),
 		 LOG_TEXT("evidence", proven ? "ended" : "silent"));
 	member_set_status(table, member, MEMBER_GONE, member->incarnation);
 	member->since = now;
-	member_spread(table, member);
+	member_queue_update(table, member);
 }
 
-void member_adopt(struct member_table *table, struct member *member,
-		  uint64_t incarnation, uint64_t replaces)
+void member_adopt_incarnation(struct member_table *table, struct member *member,
+			      uint64_t incarnation, uint64_t replaces)
 {
 	member_add_tombstone(table, member->incarnation);
 	if (member->incarnation)
@@ -271,15 +269,15 @@
 	member->proven = false;
 	member->knows_us = false;
 	member->since = clock_now(table->clock);
-	member_heard(table, member);
+	member_mark_heard(table, member);
 	member_set_status(table, member, MEMBER_ALIVE, incarnation);
-	member_spread(table, member);
+	member_queue_update(table, member);
 	LOG_INFO("member_joined", LOG_TEXT("member", member->instance),
 		 LOG_U64("incarnation", incarnation),
 		 LOG_U64("replaces", replaces));
 }
 
-void member_renew(struct member_table *table)
+void member_renew_incarnation(struct member_table *table)
 {
 	struct member *member;
 
@@ -291,7 +289,7 @@
 	table->last_confirmed = INT64_MIN / 2;
 	for (member = table->members; member; member = member->hh.next)
 		member->knows_us = false;
-	member_spread(table, &table->self);
+	member_queue_update(table, &table->self);
 }
 
 void member_to_wire(const struct member *member, struct member_wire *wire)
--- a/share_pool.c
+++ b/share_pool.c
@@ -442,7 +442,7 @@
 
 static bool is_stranger(const struct member *member, int64_t now)
 {
-	return member->status == MEMBER_NAMED && !member->refused &&
+	return member->status == MEMBER_NAMED && !member->connection_refused &&
 	       now - member->since < STRANGER_USEC;
 }
 
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -9,7 +9,7 @@
 #define NODES 8
 #define SETTLE MSEC(60000)
 
-static void begin(struct sim *sim, int n)
+static void start_fleet(struct sim *sim, int n)
 {
 	sim_init(sim, 1, n, 2, 0, 0, 0, &share_settled);
 	sim->loss = 0.01;
@@ -40,15 +40,15 @@
 }
 
 /*
- * A fleet starts at once. Everybody finds everybody by the list and by what
- * peers tell, and nobody is suspected though 1% of the datagrams are lost.
+ * All instances start together. Each learns of all others from the list and
+ * from peers, and none is suspected although 1% of the datagrams are lost.
  */
 static void test_start(void)
 {
 	struct sim sim;
 	int i;
 
-	begin(&sim, 40);
+	start_fleet(&sim, 40);
 	sim_run(&sim, MSEC(60000));
 	CU_ASSERT(sim_all_agree(&sim));
 	for (i = 0; i < sim.n; i++)
@@ -57,14 +57,14 @@
 }
 
 /*
- * A process dies. The next one that pings it finds that nobody listens there,
- * and within seconds all hold it for ended, while the list still names it.
+ * A process crashes. The next member that pings it gets its connection refused,
+ * and within seconds all consider it gone, although it is still listed.
  */
 static void test_crash(void)
 {
 	struct sim sim;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	sim_crash(&sim, 3);
 	sim_run(&sim, MSEC(5000));
 	CU_ASSERT_EQUAL(count_status(&sim, 3, MEMBER_GONE), NODES - 1);
@@ -74,16 +74,17 @@
 }
 
 /*
- * A host is cut off: silent, but nobody refuses. While the list names it, it is
- * suspected and keeps its place; only when the list drops it, and its lease
- * and the news have had their time, its shares are free.
+ * A host is unreachable, and connections to it aren't refused. While the list
+ * has it, it is suspected and remains a member. Its shares are free only after
+ * the list has dropped it, the others have learned of it, and its lease has
+ * expired.
  */
 static void test_silence(void)
 {
 	const struct member *member;
 	struct sim sim;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	sim_cut(&sim, 3, SIM_SIDE_B);
 	sim_run(&sim, MSEC(60000));
 	CU_ASSERT_EQUAL(count_status(&sim, 3, MEMBER_SUSPECT), NODES - 1);
@@ -100,15 +101,16 @@
 }
 
 /*
- * The same host comes back with the same process. It is told that it is gone,
- * takes a new incarnation and is a member again everywhere.
+ * A host that was considered gone becomes reachable again with the same
+ * process. It is told so, takes a new incarnation, and is a member again on all
+ * instances.
  */
 static void test_told_gone(void)
 {
 	struct sim sim;
 	uint64_t before;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	before = sim.nodes[3].members.self.incarnation;
 	sim_cut(&sim, 3, SIM_SIDE_B);
 	sim_list(&sim, 3, false);
@@ -122,16 +124,16 @@
 }
 
 /*
- * Two halves of the fleet lose each other and the list drops all of them for a
- * while: each half holds the other for gone. After the heal somebody has to
- * ask those that are gone, or the halves would stay apart for good.
+ * During a network partition the list has almost no instances for a while, so
+ * that each half of the fleet considers the other one gone. Unless gone members
+ * are pinged as well, the halves stay separate for ever after it has healed.
  */
 static void test_halves_gone(void)
 {
 	struct sim sim;
 	int i;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	for (i = 0; i < NODES / 2; i++)
 		sim_cut(&sim, i, SIM_SIDE_B);
 	for (i = 1; i < NODES; i++)
@@ -146,16 +148,16 @@
 }
 
 /*
- * A process is restarted at the same address at once. The others take the new
- * incarnation as proof that the old one ended; a ping of the old one that was
- * on its way comes late and must not bring it back.
+ * A process is restarted at the same address at once. Its new incarnation
+ * proves to the others that the old one has ended. A delayed ping of the old
+ * one must not make it a member again.
  */
 static void test_restart(void)
 {
 	struct sim sim;
 	uint64_t before;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	before = sim.nodes[3].members.self.incarnation;
 	sim_crash(&sim, 3);
 	sim.delay = MSEC(300);
@@ -168,7 +170,7 @@
 	sim_finish(&sim);
 }
 
-/* A ping of an incarnation, as it would have sent it while it lived. */
+/* Delivers a ping of @incarnation, as its process would have sent it. */
 static void ping_from(struct sim *sim, int to, const struct sim_node *node,
 		      uint64_t incarnation)
 {
@@ -192,22 +194,22 @@
 	ping.n_updates = 1;
 	data[0] = 1;
 	len = 1 + peer__ping__pack(&ping, data + 1);
-	CU_ASSERT_EQUAL(member_table_datagram(&sim->nodes[to].members,
-					      &node->peer_address, data, len),
+	CU_ASSERT_EQUAL(member_table_receive_datagram(&sim->nodes[to].members,
+						      &node->peer_address, data,
+						      len),
 			0);
 }
 
 /*
- * A process has died and all know it. A ping of it, held up on the way, comes
- * now, and once more when its successor has died too: it must not put the dead
- * back into the fleet.
+ * A ping arrives after all know that its sender has ended, and again after the
+ * sender's successor has ended too. It must not make either a member again.
  */
 static void test_late_ping(void)
 {
 	struct sim sim;
 	uint64_t before;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	before = sim.nodes[3].members.self.incarnation;
 	sim_crash(&sim, 3);
 	sim_run(&sim, MSEC(5000));
@@ -223,15 +225,15 @@
 }
 
 /*
- * The same, when its successor is there already: a late ping must not pass for
- * proof that the successor has ended.
+ * A ping of a process arrives while its successor is running. It must not be
+ * taken as proof that the successor has ended.
  */
 static void test_late_ping_of_predecessor(void)
 {
 	struct sim sim;
 	uint64_t now;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	now = sim.nodes[3].members.self.incarnation;
 	ping_from(&sim, 0, &sim.nodes[3], 12345);
 	sim_run(&sim, MSEC(3000));
@@ -241,18 +243,17 @@
 }
 
 /*
- * An instance is stopped for a second and a half again and again. When it runs
- * it finds its own pings unanswered; it must not take that for the silence of
- * others, who are well.
+ * An instance is suspended for 1.5 s repeatedly. When it resumes, its pings
+ * have timed out, but it must not suspect the other members for that.
  */
-static void test_slow_does_not_accuse(void)
+static void test_suspended_does_not_suspect(void)
 {
 	struct sim sim;
-	int accused = 0;
+	int suspected = 0;
 	int round;
 	int i;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	for (round = 0; round < 30; round++) {
 		sim_pause(&sim, 3);
 		sim_run(&sim, MSEC(1500));
@@ -260,23 +261,23 @@
 		sim_run(&sim, MSEC(700));
 		for (i = 0; i < NODES; i++) {
 			if (i != 3)
-				accused += count_status(&sim, i,
-							MEMBER_SUSPECT) > 0;
+				suspected += count_status(&sim, i,
+							  MEMBER_SUSPECT) > 0;
 		}
 	}
-	CU_ASSERT_EQUAL(accused, 0);
+	CU_ASSERT_EQUAL(suspected, 0);
 	sim_finish(&sim);
 }
 
 /*
- * An instance announces its stop; all know within seconds, so that callers are
- * given other addresses. Its last word frees its shares without any wait.
+ * An instance announces its stop. All others learn of it within seconds, so
+ * that callers get other addresses. Its last message frees its shares at once.
  */
 static void test_leave(void)
 {
 	struct sim sim;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	sim_leave(&sim, 3);
 	sim_run(&sim, MSEC(2000));
 	CU_ASSERT_EQUAL(count_status(&sim, 3, MEMBER_LEAVING), NODES - 1);
@@ -288,15 +289,15 @@
 }
 
 /*
- * The list leaves out half of the instances at each reading, in turn others.
- * They answer, so nobody goes.
+ * Each time the list is read, it lacks another half of the instances. They keep
+ * answering, so none of them is removed.
  */
 static void test_flapping(void)
 {
 	struct sim sim;
 	int i;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	sim_list_mode(&sim, SIM_LIST_FLAPPING);
 	sim_run(&sim, MSEC(120000));
 	for (i = 0; i < NODES; i++)
@@ -305,16 +306,16 @@
 }
 
 /*
- * A region is cut off for an hour and heals. Its members were suspected, none
- * is gone, and all are back without new incarnations.
+ * A network partition lasts an hour and heals. Members were suspected, but none
+ * was considered gone, so all keep their incarnations.
  */
-static void test_hour_apart(void)
+static void test_hour_of_partition(void)
 {
 	uint64_t before[NODES];
 	struct sim sim;
 	int i;
 
-	begin(&sim, NODES);
+	start_fleet(&sim, NODES);
 	for (i = 0; i < NODES; i++) {
 		before[i] = sim.nodes[i].members.self.incarnation;
 		sim_cut(&sim, i, 1 + i % 2);
@@ -328,13 +329,13 @@
 	sim_finish(&sim);
 }
 
-/* Bytes a second and instance of a fleet at rest. */
-static double bytes_at_rest(int n)
+/* Bytes per second and instance that an idle fleet sends. */
+static double idle_bytes_per_second(int n)
 {
 	struct sim sim;
 	uint64_t bytes;
 
-	begin(&sim, n);
+	start_fleet(&sim, n);
 	sim_run(&sim, MSEC(60000));
 	bytes = sim.datagram_bytes;
 	sim_run(&sim, MSEC(60000));
@@ -344,39 +345,40 @@
 }
 
 /*
- * The fleet grows tenfold: what an instance sends does not, or the fleet would
- * end where its own heartbeats fill the network.
+ * The traffic of an instance must not grow with the fleet, here tenfold,
+ * because heartbeats would then limit the size of the fleet.
  */
-static void test_cost_is_flat(void)
+static void test_traffic_is_constant(void)
 {
-	double small = bytes_at_rest(6);
-	double large = bytes_at_rest(60);
+	double small = idle_bytes_per_second(6);
+	double large = idle_bytes_per_second(60);
 
 	CU_ASSERT(large < small * 1.5);
 	CU_ASSERT(large < 1500);
 }
 
-/* Anybody can send a datagram; it is refused, whatever is in it. */
+/* Anyone can send a datagram, so malformed ones must be rejected. */
 static void test_malformed(void)
 {
 	static const char junk[] = "\x01\xff\xff\xff\xff\xff";
 	struct address from = {"127.0.0.1", 9};
 	struct sim sim;
 
-	begin(&sim, 2);
-	CU_ASSERT_EQUAL(member_table_datagram(&sim.nodes[0].members, &from,
-					      junk, sizeof(junk) - 1),
+	start_fleet(&sim, 2);
+	CU_ASSERT_EQUAL(member_table_receive_datagram(&sim.nodes[0].members,
+						      &from, junk,
+						      sizeof(junk) - 1),
 			ERR_FRAME);
-	CU_ASSERT_EQUAL(member_table_datagram(&sim.nodes[0].members, &from, "",
-					      0),
+	CU_ASSERT_EQUAL(member_table_receive_datagram(&sim.nodes[0].members,
+						      &from, "", 0),
 			ERR_FRAME);
-	CU_ASSERT_EQUAL(member_table_datagram(&sim.nodes[0].members, &from,
-					      "\x07", 1),
+	CU_ASSERT_EQUAL(member_table_receive_datagram(&sim.nodes[0].members,
+						      &from, "\x07", 1),
 			ERR_FRAME);
 	sim_finish(&sim);
 }
 
-static bool all_doubt_dc0(struct sim *sim)
+static bool is_dc0_suspected_by_all(struct sim *sim)
 {
 	int i;
 	int j;
@@ -397,14 +399,14 @@
 }
 
 /*
- * 40 instances in four data centres, known from seeds. Of ten heartbeats eight
- * would go to other data centres, which costs most. Asked less often there,
- * a whole data centre that falls silent is noticed as soon as before.
+ * 40 instances with seeds in four data centres. Without a limit, eight of ten
+ * heartbeats go to other data centres, where traffic costs most. With fewer of
+ * them, an unreachable data centre must be noticed as soon as before.
  */
-static void test_far_asked_less(void)
+static void test_remote_pinged_less(void)
 {
 	struct sim sim;
-	int64_t took;
+	int64_t elapsed;
 	int i;
 
 	sim_init(&sim, 1, 40, 4, 0, 0, 0, &share_settled);
@@ -422,15 +424,15 @@
 	CU_ASSERT(sim.far_datagrams < sim.datagrams / 2);
 	for (i = 0; i < sim.n; i += 4)
 		sim_pause(&sim, i);
-	took = sim_run_until(&sim, all_doubt_dc0, MSEC(60000));
+	elapsed = sim_run_until(&sim, is_dc0_suspected_by_all, MSEC(60000));
 	printf("a silent data centre is noticed by all in %d ms\n",
-	       (int)(took / 1000));
-	CU_ASSERT(took >= 0);
-	CU_ASSERT(took <= 10 * sim.probe_period);
+	       (int)(elapsed / 1000));
+	CU_ASSERT(elapsed >= 0);
+	CU_ASSERT(elapsed <= 10 * sim.probe_period);
 	sim_finish(&sim);
 }
 
-static bool dc0_knows_the_new_one(struct sim *sim)
+static bool is_restart_known_in_dc0(struct sim *sim)
 {
 	int i;
 
@@ -447,14 +449,15 @@
 }
 
 /*
- * An instance of 80 is killed and starts again. All of its data centre must
- * know the new process soon, which may be a hub. That it joined was told by all
- * to all: most of what 295 instances sent between data centres at a start.
+ * One of 80 instances is killed and restarted. Its data centre must learn of
+ * the new process soon, as it may be a hub. Records of instances that joined
+ * were sent by everyone to everyone, which was most of the traffic between data
+ * centres when 295 instances started.
  */
-static void test_joins_are_told_near(void)
+static void test_joins_are_sent_locally(void)
 {
 	struct sim sim;
-	int64_t took;
+	int64_t elapsed;
 	int i;
 
 	sim_init(&sim, 1, 80, 4, 0, 0, 0, &share_settled);
@@ -468,12 +471,12 @@
 	sim_run(&sim, MSEC(1000));
 	sim_start(&sim, 0);
 	sim.nodes[0].members.seeded = true;
-	took = sim_run_until(&sim, dc0_knows_the_new_one, MSEC(60000));
+	elapsed = sim_run_until(&sim, is_restart_known_in_dc0, MSEC(60000));
 	printf("\na new process is known in its data centre after %d ms\n",
-	       (int)(took / 1000));
-	CU_ASSERT(took >= 0);
-	CU_ASSERT(took <= 15 * sim.probe_period);
-	/* And everywhere, by lists, without more news. */
+	       (int)(elapsed / 1000));
+	CU_ASSERT(elapsed >= 0);
+	CU_ASSERT(elapsed <= 15 * sim.probe_period);
+	/* The others learn of it from lists of all members. */
 	sim_run(&sim, MSEC(180000));
 	CU_ASSERT(sim_all_agree(&sim));
 	sim_finish(&sim);
@@ -483,19 +486,19 @@
 	{"start", test_start},
 	{"crash", test_crash},
 	{"silence", test_silence},
-	{"far ones asked less", test_far_asked_less},
+	{"remote members pinged less", test_remote_pinged_less},
 	{"told that it is gone", test_told_gone},
-	{"two halves hold each other for gone", test_halves_gone},
+	{"two halves consider each other gone", test_halves_gone},
 	{"restart", test_restart},
-	{"late ping of the dead", test_late_ping},
+	{"late ping of an ended process", test_late_ping},
 	{"late ping of a predecessor", test_late_ping_of_predecessor},
-	{"a slow instance accuses nobody", test_slow_does_not_accuse},
+	{"suspended instance suspects none", test_suspended_does_not_suspect},
 	{"graceful stop", test_leave},
 	{"list flaps", test_flapping},
-	{"an hour apart", test_hour_apart},
-	{"cost is flat", test_cost_is_flat},
+	{"partition of an hour", test_hour_of_partition},
+	{"traffic is constant", test_traffic_is_constant},
 	{"malformed datagrams", test_malformed},
-	{"joins are told near", test_joins_are_told_near},
+	{"joins are sent locally", test_joins_are_sent_locally},
 };
 
 UNIT_MAIN("member", tests)
