--- a/accept_backoff.h
+++ b/accept_backoff.h
@@ -13,6 +13,8 @@
 
 /**
  * accept_backoff_init() - prepare the backoff of a listener
+ * @backoff: finished with accept_backoff_finish()
+ * @base: event loop of the timer
  * @listener: borrowed; outlives @backoff
  *
  * The caller calls accept_backoff_start() from the listener's error callback,
@@ -25,6 +27,7 @@
 
 /**
  * accept_backoff_start() - log the error and stop accepting for 100 ms
+ * @backoff: initialised by accept_backoff_init()
  *
  * When the process is out of file descriptors, the pending connection stays in
  * the kernel's queue, and the listener would report the error in a busy loop.
--- a/fleet.h
+++ b/fleet.h
@@ -21,11 +21,14 @@
 /**
  * struct fleet_member - one instance
  * @instance: its name
+ * @data_centre: name of its data centre
  * @peer_address: for other instances
  * @caller_address: for callers
  * @incarnation: identifies the process; 0 while unknown
  * @capacity: CPU capacity, thousandths of a core; 0 if unknown
+ * @status: whether it gets new work
  * @seen: mark used while a list of instances is applied
+ * @hh: by @instance
  */
 struct fleet_member {
 	char instance[FLEET_NAME_SIZE];
@@ -52,6 +55,8 @@
 
 /**
  * fleet_find() - look up a member by name
+ * @fleet: the fleet
+ * @instance: name
  *
  * Return: the member, owned by @fleet, or NULL.
  */
@@ -59,6 +64,8 @@
 
 /**
  * fleet_find_or_add() - look up a member by name, adding it if missing
+ * @fleet: the fleet
+ * @instance: name
  *
  * Return: the member, owned by @fleet; a new one is zero but for its name.
  */
@@ -67,6 +74,8 @@
 
 /**
  * fleet_remove() - remove and free a member
+ * @fleet: the fleet
+ * @member: freed
  */
 void fleet_remove(struct fleet *fleet, struct fleet_member *member);
 
--- a/fleet_fetch.h
+++ b/fleet_fetch.h
@@ -29,6 +29,8 @@
 /**
  * struct fleet_list - the instances to send requests to
  * @responses: owned; one for each instance
+ * @n: number of @responses
+ * @cap: allocated length of @responses
  */
 struct fleet_list {
 	struct fleet_response *responses;
@@ -38,6 +40,7 @@
 
 /**
  * fleet_list_init() - list the instances that one instance knows
+ * @list: to be finished with fleet_list_finish()
  * @first: the instance to query; always the first of the list
  * @timeout_ms: of each request
  *
@@ -54,6 +57,7 @@
 
 /**
  * fleet_list_fetch_one() - send a GET to one instance, wait for its response
+ * @list: the list
  * @index: of the instance in the list
  * @path: of the request
  * @timeout_ms: of the request
@@ -63,6 +67,7 @@
 
 /**
  * fleet_list_fetch() - send a GET to several instances, wait for all responses
+ * @list: the list
  * @from: index of the first; those before it keep their responses
  * @path: of the requests
  * @timeout_ms: of each request
--- a/hubs.h
+++ b/hubs.h
@@ -26,6 +26,8 @@
 
 /**
  * struct hub_member - an instance that is alive
+ * @instance: its name
+ * @data_centre: name of its data centre
  * @capacity: CPU capacity, thousandths of a core
  * @score: hash of its name, equal on all instances; breaks ties
  * @dc_rank: rank within its data centre, from 0
@@ -42,6 +44,8 @@
 
 /**
  * hubs_choose() - sort @members by rank and set their dc_rank and is_hub
+ * @members: instances that are alive, this one included
+ * @n: number of @members
  *
  * Instances with the most capacity come first, because hubs work for others.
  */
@@ -50,6 +54,8 @@
 /**
  * struct hub_links - the instances that this one connects to
  * @names: owned
+ * @n: number of @names
+ * @cap: allocated length of @names
  */
 struct hub_links {
 	char (*names)[FLEET_NAME_SIZE];
@@ -65,7 +71,9 @@
 
 /**
  * hub_links_plan() - choose the instances to connect to
+ * @links: replaced
  * @members: sorted by hubs_choose()
+ * @n: number of @members
  * @self: index of this instance in @members
  *
  * These are hubs of its own data centre. Hubs, and the instances large enough
@@ -77,6 +85,8 @@
 
 /**
  * hub_links_contain() - whether this instance connects to @instance
+ * @links: the planned links
+ * @instance: name
  */
 bool hub_links_contain(const struct hub_links *links, const char *instance);
 
--- a/instances.h
+++ b/instances.h
@@ -6,6 +6,7 @@
 
 /**
  * instances_apply() - make the fleet match the list
+ * @fleet: updated
  * @text: JSON value of the key "instances"; malformed rows are logged and
  *	skipped
  *
--- a/lifecycle.h
+++ b/lifecycle.h
@@ -33,6 +33,7 @@
 
 /**
  * lifecycle_init() - stop gracefully on SIGTERM and SIGINT
+ * @control: to be finished with lifecycle_finish()
  * @board: outlives @control
  * @home: outlives @control
  */
@@ -42,6 +43,7 @@
 
 /**
  * lifecycle_may_stop() - whether a leaving instance may exit now
+ * @board: its lifecycle and counters of work in flight are read
  * @home_idle: no query of an entry is open at this home
  */
 bool lifecycle_may_stop(const struct blackboard *board, bool home_idle);
--- a/loop_lag.h
+++ b/loop_lag.h
@@ -18,6 +18,7 @@
 /**
  * struct loop_lag - the periodic timer of one event loop
  * @board: borrowed; its beat_at is the time of the last tick
+ * @timer: fires every LOOP_LAG_PERIOD
  * @on_tick: called about every LOOP_LAG_PERIOD with the lag, microseconds
  * @arg: passed to @on_tick
  */
@@ -30,7 +31,10 @@
 
 /**
  * loop_lag_init() - start the timer
+ * @loop: to be finished with loop_lag_finish()
+ * @board: outlives @loop
  * @on_tick: called for the first time before this function returns
+ * @arg: passed to @on_tick
  */
 void loop_lag_init(struct loop_lag *loop, struct blackboard *board,
 		   void (*on_tick)(void *arg, int64_t lag), void *arg);
--- a/member.h
+++ b/member.h
@@ -40,7 +40,7 @@
  * @incarnation: random number of the process; 0 while MEMBER_NAMED
  * @replaces: the previous incarnation, proven to have ended; or 0
  * @counter: raised by the member to refute suspicion
- * @status: changed by member_set_status() only
+ * @status: of other members, changed by member_set_status()
  * @proven: it is MEMBER_GONE because its process ended or gave up its shares;
  *	otherwise because it was unresponsive and no longer in the list
  * @listed: the platform's list has it, at this address
@@ -59,6 +59,7 @@
  * @since: when it was added, took @incarnation or became MEMBER_GONE,
  *	microseconds
  * @transmits_left: datagrams that still carry its record; 0 if not queued
+ * @hh: by @instance
  */
 struct member {
 	char *instance;
@@ -199,6 +200,7 @@
  * struct member_tombstone - an incarnation that has ended
  * @incarnation: not accepted again
  * @until: when this is forgotten, microseconds
+ * @hh: by @incarnation
  */
 struct member_tombstone {
 	uint64_t incarnation;
@@ -245,7 +247,8 @@
  * @list_names_self: the latest list has this instance, so that it is no older
  *	than its start
  * @complete: no instance that joined earlier is missing: a list had this
- *	instance once, or a peer that is complete sent all its members
+ *	instance once, or a peer that is complete sent all its members; with
+ *	@seeded, any peer
  * @synced: all members were requested from a peer at least once
  * @n_local: members alive in this data centre, at the latest round
  * @suppress_updates: members being merged aren't queued for sending
@@ -260,8 +263,8 @@
  * @queued: members whose records the next datagrams carry
  * @n_queued: length of @queued
  * @cap_queued: allocated length of @queued
- * @last_acker: member whose acknowledgement was the latest to confirm the
- *	lease; or NULL
+ * @last_acker: member that last acknowledged a ping of this incarnation
+ *	directly; or NULL
  * @last_confirmed: when the ping was sent that last confirmed the lease,
  *	microseconds
  * @last_tick: microseconds
@@ -317,6 +320,7 @@
 
 /**
  * member_table_init() - start with this instance as the only member
+ * @table: to be finished with member_table_finish()
  * @clock: outlives the table
  * @ops: outlives the table
  * @arg: passed to @ops
@@ -329,6 +333,7 @@
 
 /**
  * member_table_set_periods() - apply changed tunables
+ * @table: the membership
  * @probe_period: microseconds
  * @lease: microseconds; ignored if shorter than the current one
  */
@@ -337,7 +342,9 @@
 
 /**
  * member_table_apply_list() - apply the platform's list of instances
+ * @table: the membership
  * @entries: copied
+ * @n: number of @entries
  *
  * Members are added, but not removed for being absent, unless they were never
  * heard.
@@ -347,7 +354,9 @@
 
 /**
  * member_table_apply_seeds() - set the addresses to find other instances at
+ * @table: the membership
  * @entries: copied; with @address_only; may be stale or contain this instance
+ * @n: number of @entries
  *
  * Replaces member_table_apply_list() where there is no list of instances.
  */
@@ -356,6 +365,7 @@
 
 /**
  * member_table_receive_datagram() - process a datagram
+ * @table: the membership
  * @from: its source address
  * @data: borrowed during the call
  * @len: bytes
@@ -368,6 +378,7 @@
 
 /**
  * member_table_receive_members() - process a Members frame
+ * @table: the membership
  * @message: borrowed during the call
  */
 void member_table_receive_members(struct member_table *table,
@@ -375,18 +386,24 @@
 
 /**
  * member_table_hello() - a peer identified itself on a connection
+ * @table: the membership
+ * @entry: borrowed during the call
+ * @incarnation: of the peer
  */
 void member_table_hello(struct member_table *table,
 			const struct member_entry *entry, uint64_t incarnation);
 
 /**
  * member_table_probe_now() - ping a member now instead of in its turn
+ * @table: the membership
+ * @instance: name of the member
  */
 void member_table_probe_now(struct member_table *table, const char *instance);
 
 /**
  * member_table_connection_refused() - a member's peer address refused a
  * connection
+ * @table: the membership
  * @instance: as in check_address
  * @incarnation: of the member when the connection was tried
  *
@@ -398,6 +415,8 @@
 
 /**
  * member_table_link_lost() - a connection to a member broke
+ * @table: the membership
+ * @instance: name of the member
  *
  * Checks whether the member still listens.
  */
@@ -405,11 +424,13 @@
 
 /**
  * member_table_leave() - announce that this instance is stopping
+ * @table: the membership
  */
 void member_table_leave(struct member_table *table);
 
 /**
  * member_table_release() - announce that this instance uses no shares any more
+ * @table: the membership
  *
  * The last message of a graceful stop.
  */
@@ -417,11 +438,14 @@
 
 /**
  * member_table_tick() - run the timers; call at least 5 times a probe period
+ * @table: the membership
  */
 void member_table_tick(struct member_table *table);
 
 /**
  * member_table_find() - look up a member by name
+ * @table: the membership
+ * @instance: name of the member
  *
  * Return: the member, owned by @table, or NULL.
  */
@@ -430,6 +454,7 @@
 
 /**
  * member_table_next() - iterate over the members
+ * @table: the membership
  * @prev: the previous one; NULL to start
  *
  * Return: the next member, or NULL at the end.
@@ -442,6 +467,7 @@
 
 /**
  * member_present() - whether it was heard and is not gone: it may hold shares
+ * @member: the member
  */
 static inline bool member_present(const struct member *member)
 {
@@ -450,6 +476,7 @@
 
 /**
  * member_released() - whether it is gone and can no longer use any share
+ * @member: the member
  * @now: microseconds
  */
 static inline bool member_released(const struct member *member, int64_t now)
@@ -459,6 +486,7 @@
 
 /**
  * member_status_name() - name of a status, for status pages and logs
+ * @status: the status
  */
 const char *member_status_name(enum member_status status);
 
--- a/member_net.h
+++ b/member_net.h
@@ -23,11 +23,18 @@
  * struct member_net - membership of this instance
  * @board: borrowed
  * @peers: borrowed
+ * @members: owned
+ * @share: owned
  * @on_beacon: see member_net_init()
  * @arg: passed to @on_beacon
  * @fd: UDP socket at the peer address
+ * @readable: @fd has datagrams
+ * @timer: runs the ticks of @members and @share
  * @checks: owned; TCP connection attempts in progress
  * @handler: registered with @peers
+ * @instances_watch: of the platform's list
+ * @table_watch: of the table
+ * @lifecycle_watch: of the stop of this instance
  * @reply_link: link whose frame is being processed, for a reply; or NULL
  * @applying_table: while a new table is applied and shares don't match it yet
  * @published_version: version of @members that is on the blackboard; 0 to
@@ -55,9 +62,11 @@
 
 /**
  * member_net_init() - join the fleet
+ * @net: to be finished with member_net_finish(), unless this fails
  * @board: outlives @net
  * @peers: outlives @net
  * @on_beacon: called with @arg for each heartbeat of a member with a table
+ * @arg: passed to @on_beacon
  *
  * Has to be called after everything else that watches the table: this way the
  * shares are updated for a new table first, before the homes query them.
@@ -71,6 +80,7 @@
 
 /**
  * member_net_finish() - announce the release of all shares and leave the fleet
+ * @net: initialised by member_net_init()
  */
 void member_net_finish(struct member_net *net);
 
--- a/member_state.c
+++ b/member_state.c
@@ -1,7 +1,4 @@
-/*
- * State of the members: the only place where a status, an incarnation or a
- * tombstone is set.
- */
+/* State of the members: status, incarnation, tombstones and queued updates. */
 #define LOG_MODULE "member"
 #include "member_private.h"
 
@@ -42,8 +39,8 @@
 
 /*
  * Time from when a silent member is considered gone until its shares are free:
- * the record has to reach all members, so that none of them acknowledges its
- * pings any more, and then its lease has to expire.
+ * the record has to reach all members, so that none of them renews its lease
+ * any more, and then the lease has to expire.
  */
 static int64_t release_delay(const struct member_table *table)
 {
