--- a/caller.c
+++ b/caller.c
@@ -73,8 +73,8 @@
 	int status = answer_status(code, false);
 	int64_t retry_ms = status == 503 ? RETRY_AFTER_DEFAULT_MS : 0;
 
-	answer_refusal(http->buffer_out, str_from(request_id), code, false,
-		       retry_ms, err);
+	answer_error(http->buffer_out, str_from(request_id), code, false,
+		     retry_ms, err);
 	if (retry_ms)
 		add_retry_after(http, retry_ms);
 	send_json(http, status);
@@ -93,8 +93,8 @@
 {
 	if (evhtp_request_get_method(http) == method)
 		return true;
-	answer_refusal(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
-		       NULL);
+	answer_error(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
+		     NULL);
 	send_json(http, EVHTP_RES_METHNALLOWED);
 	return false;
 }
@@ -344,8 +344,8 @@
 static void on_unknown(evhtp_request_t *http, void *arg)
 {
 	(void)arg;
-	answer_refusal(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
-		       NULL);
+	answer_error(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
+		     NULL);
 	send_json(http, EVHTP_RES_NOTFOUND);
 }
 
--- a/dispatch_load.c
+++ b/dispatch_load.c
@@ -59,7 +59,7 @@
 	return latency->unloaded ? latency->unloaded : latency->late;
 }
 
-void dispatch_load_ask(struct dispatch *dispatch)
+void dispatch_load_add_demand(struct dispatch *dispatch)
 {
 	int64_t now = clock_now(dispatch->clock);
 
@@ -168,7 +168,7 @@
 	return code && code != ERR_NO_REPLICA && is_far_from_whole(dispatch);
 }
 
-void dispatch_load_judge(struct dispatch *dispatch, int code)
+void dispatch_load_report(struct dispatch *dispatch, int code)
 {
 	int64_t now = clock_now(dispatch->clock);
 
@@ -190,7 +190,7 @@
 	return dispatch->n_in && dispatch->n_in >= least;
 }
 
-void dispatch_load_leave(struct dispatch *dispatch)
+void dispatch_load_release(struct dispatch *dispatch)
 {
 	if (!dispatch->admitted)
 		return;
@@ -201,19 +201,19 @@
 	dispatch->admitted = false;
 }
 
-const struct load_limit *dispatch_load(const struct dispatch *dispatch)
+const struct load_limit *dispatch_load_limit(const struct dispatch *dispatch)
 {
 	return load_of(dispatch);
 }
 
-bool dispatch_is_for_load(const struct dispatch *dispatch)
+bool dispatch_refused_for_load(const struct dispatch *dispatch)
 {
 	return dispatch->outcome == DISPATCH_REFUSED &&
 	       (dispatch->code == ERR_OVERLOAD || dispatch->code == ERR_SHED ||
 		dispatch->code == ERR_BUDGET);
 }
 
-double dispatch_room(const struct dispatch *dispatch)
+double dispatch_capacity(const struct dispatch *dispatch)
 {
 	struct load_share *share = dispatch->limits->share;
 	const char *service = dispatch->parts[0].service->name;
@@ -225,7 +225,7 @@
 			       clock_now(dispatch->clock));
 }
 
-int64_t dispatch_room_in(const struct dispatch *dispatch)
+int64_t dispatch_capacity_delay(const struct dispatch *dispatch)
 {
 	int64_t excess = load_limit_excess(load_of(dispatch),
 					   clock_now(dispatch->clock));
--- a/gateway_load.c
+++ b/gateway_load.c
@@ -200,15 +200,15 @@
 		.service = str_hash(str_from(dispatch->parts[0].service->name)),
 		.level = dispatch->level,
 		.cost = dispatch->cost,
-		.room = dispatch_room(dispatch),
-		.room_in = dispatch_room_in(dispatch),
+		.room = dispatch_capacity(dispatch),
+		.room_in = dispatch_capacity_delay(dispatch),
 		.patience = (dispatch->deadline - now) / PATIENCE_PART,
 	};
 	struct return_entry entry;
 	int64_t wait;
 
 	if (!gateway->settings->load_control.returns ||
-	    !dispatch_is_for_load(dispatch) || ask.patience <= 0)
+	    !dispatch_refused_for_load(dispatch) || ask.patience <= 0)
 		return dispatch_retry_after(dispatch);
 	wait = return_book_offer(&gateway->load.book, &ask, &entry);
 	metric_inc(entry.kept ? &gateway->counters.return_promised
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -132,14 +132,14 @@
 {
 	struct gateway_request *request = arg;
 
-	dispatch_hold(&request->dispatch);
+	dispatch_begin_batch(&request->dispatch);
 }
 
 static void release(void *arg)
 {
 	struct gateway_request *request = arg;
 
-	request->go_on(request, dispatch_release(&request->dispatch));
+	request->go_on(request, dispatch_end_batch(&request->dispatch));
 }
 
 /* Towards the decisions. */
--- a/policy.c
+++ b/policy.c
@@ -267,7 +267,7 @@
 
 	if (!seen)
 		return deadline_us;
-	return hedge_answer_after(&policy->observe, service, seen, deadline_us);
+	return hedge_soft_timeout(&policy->observe, service, seen, deadline_us);
 }
 
 const struct policy_ops policy_adaptive = {
