--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -90,7 +90,7 @@
 {
 	struct gateway_fleet *fleet = arg;
 
-	member_table_greet(&fleet->members.members, link->instance);
+	member_table_probe_now(&fleet->members.members, link->instance);
 	view_share_met(&fleet->views, link->instance);
 }
 
@@ -160,18 +160,18 @@
 static bool is_near_hub(const struct gateway_fleet *fleet,
 			const struct hub_member *member)
 {
-	return member->hub &&
+	return member->is_hub &&
 	       !strcmp(member->data_centre, fleet->settings.data_centre);
 }
 
 static void set_cold_senders(struct gateway_fleet *fleet)
 {
 	const struct view_share *views = &fleet->views;
-	char instances[HUBS_MOST][FLEET_NAME_SIZE];
+	char instances[HUBS_PER_DC_MAX][FLEET_NAME_SIZE];
 	int n = 0;
 	int i;
 
-	for (i = 0; i < views->n_members && n < HUBS_MOST; i++) {
+	for (i = 0; i < views->n_members && n < HUBS_PER_DC_MAX; i++) {
 		if (is_near_hub(fleet, &views->members[i]))
 			memcpy(instances[n++], views->members[i].instance,
 			       FLEET_NAME_SIZE);
@@ -182,7 +182,7 @@
 static bool is_sender(const struct view_share *views,
 		      const struct hub_member *member)
 {
-	return member->hub ||
+	return member->is_hub ||
 	       directory_is_large(member->capacity, views->members[0].capacity);
 }
 
@@ -207,7 +207,7 @@
 		const struct hub_member *member = &views->members[i];
 		uint64_t score;
 
-		if (!member->hub ||
+		if (!member->is_hub ||
 		    strcmp(member->data_centre, server->entry.data_centre))
 			continue;
 		score = warmup_score(id, member->instance);
@@ -247,7 +247,8 @@
 		entries[i].caller_address = entries[i].peer_address;
 		entries[i].address_only = true;
 	}
-	member_table_seeds(&fleet->members.members, entries, settings->n_seeds);
+	member_table_apply_seeds(&fleet->members.members, entries,
+				 settings->n_seeds);
 }
 
 static void on_beat(void *arg, int64_t lag)
@@ -388,8 +389,8 @@
 	/* From now on it can be asked for its view, and take requests. */
 	for (link = fleet->peers.links; first && link; link = link->next) {
 		if (link->up)
-			member_table_greet(&fleet->members.members,
-					   link->instance);
+			member_table_probe_now(&fleet->members.members,
+					       link->instance);
 	}
 }
 
