--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -167,7 +167,7 @@
 	dispatch->refused_by_forecast = forecast->refused;
 	dispatch->capacity_delay = forecast->room_in;
 	dispatch->expected_answer_at = clock_now(dispatch->clock) +
-				       forecast_expected(forecast->deciding);
+				       forecast_answer_time(forecast->deciding);
 	if (dispatch->ops->forecast_decided &&
 	    (forecast->refused || forecast->n_left_out))
 		dispatch->ops->forecast_decided(dispatch->arg, forecast);
@@ -205,8 +205,8 @@
 
 		if (part->state != PART_FAILED || part->code != ERR_LEFT_OUT)
 			continue;
-		budget_need(&part->service->budget, &dispatch->limits->budget,
-			    1, now);
+		budget_count_needed(&part->service->budget,
+				    &dispatch->limits->budget, 1, now);
 		if (dispatch_part_send(part, "first", false))
 			continue;
 		part->state = PART_PENDING;
@@ -230,7 +230,7 @@
 	if (!server)
 		return true;
 	expected = forecast_server(dispatch, server, now);
-	if (now + forecast_expected(&expected) <=
+	if (now + forecast_answer_time(&expected) <=
 	    (enough ? dispatch->soft_deadline : dispatch->deadline))
 		return true;
 	if (!part->suppressed && dispatch->ops->send_suppressed)
