--- a/admission.c
+++ b/admission.c
@@ -10,28 +10,28 @@
 #include "error.h"
 #include "mem.h"
 
-#define LIMIT_START 16
+#define LIMIT_INITIAL 16
 #define LIMIT_MIN 1
-#define WINDOW MSEC(100)
-#define WINDOW_SAMPLES 8
-#define GROWTH 0.1
-#define SHRINK_MOST 0.7
-#define SHRINK_LEAST 0.95
-#define TARGET_MIN MSEC(2)
-#define SERVICE_IDLE MSEC(600000)
-#define RATE_WINDOW MSEC(1000)
+#define SAMPLE_WINDOW MSEC(100)
+#define SAMPLE_WINDOW_MIN 8
+#define LIMIT_GROWTH 0.1
+#define DECREASE_FACTOR_MIN 0.7
+#define DECREASE_FACTOR_MAX 0.95
+#define WAIT_TARGET_MIN MSEC(2)
+#define SERVICE_IDLE_TIMEOUT MSEC(600000)
+#define REFUSAL_RATE_WINDOW MSEC(1000)
 #define RETRY_MIN_MS 50
 #define RETRY_MAX_MS 10000
-#define QUANTILE 0.95
-#define QUANTILE_STEP 0.1
+#define LATENCY_QUANTILE 0.95
+#define LATENCY_QUANTILE_STEP 0.1
 /* The mean latency follows the last tens of requests. */
-#define SMOOTHING 0.05
+#define MEAN_LATENCY_WEIGHT 0.05
 
 /* Requests of one workspace of one service that wait, oldest first. */
 struct admission_workspace {
 	uint64_t name;
 	struct admission_request *requests;
-	int n;
+	int n_waiting;
 	struct admission_workspace *prev;
 	struct admission_workspace *next;
 };
@@ -47,10 +47,11 @@
 	int64_t slo_latency;
 	struct admission_limit limit;
 	struct admission_workspace *workspaces;
-	int n;
-	double finish;
-	double usual; /* nearly all take less from start to answer, us */
-	double mean;  /* from start to answer, microseconds */
+	int n_waiting;
+	double virtual_finish;
+	double latency_quantile; /* nearly all take less from start to answer,
+				    us */
+	double mean_latency;	 /* from start to answer, microseconds */
 	int64_t last_used;
 	UT_hash_handle hh;
 };
@@ -58,8 +59,8 @@
 static void limit_init(struct admission_limit *limit)
 {
 	memset(limit, 0, sizeof(*limit));
-	limit->limit = LIMIT_START;
-	limit->least_wait = INT64_MAX;
+	limit->limit = LIMIT_INITIAL;
+	limit->min_wait = INT64_MAX;
 }
 
 static bool limit_is_full(const struct admission_limit *limit)
@@ -70,7 +71,7 @@
 static void limit_start(struct admission_limit *limit)
 {
 	limit->in_flight++;
-	limit->full = limit->full || limit_is_full(limit);
+	limit->was_full = limit->was_full || limit_is_full(limit);
 }
 
 /*
@@ -79,17 +80,17 @@
  * none and the limit was reached, it grows. The least, not the mean, so that a
  * burst or one slow server is not taken for overload.
  */
-static void limit_judge(struct admission_limit *limit, int64_t target,
-			int64_t max)
+static void limit_adjust(struct admission_limit *limit, int64_t target,
+			 int64_t max)
 {
-	if (limit->least_wait > target) {
-		double part = (double)target / (double)limit->least_wait;
+	if (limit->min_wait > target) {
+		double part = (double)target / (double)limit->min_wait;
 
-		part = part < SHRINK_MOST ? SHRINK_MOST : part;
-		part = part > SHRINK_LEAST ? SHRINK_LEAST : part;
+		part = part < DECREASE_FACTOR_MIN ? DECREASE_FACTOR_MIN : part;
+		part = part > DECREASE_FACTOR_MAX ? DECREASE_FACTOR_MAX : part;
 		limit->limit *= part;
-	} else if (limit->full) {
-		limit->limit += 1 + limit->limit * GROWTH;
+	} else if (limit->was_full) {
+		limit->limit += 1 + limit->limit * LIMIT_GROWTH;
 	}
 	if (limit->limit < LIMIT_MIN)
 		limit->limit = LIMIT_MIN;
@@ -100,25 +101,25 @@
 static void limit_sample(struct admission_limit *limit, int64_t now,
 			 int64_t wait, int64_t target, int64_t max)
 {
-	if (wait < limit->least_wait)
-		limit->least_wait = wait;
-	limit->n++;
-	if (now < limit->window_end || limit->n < WINDOW_SAMPLES)
+	if (wait < limit->min_wait)
+		limit->min_wait = wait;
+	limit->n_samples++;
+	if (now < limit->window_end || limit->n_samples < SAMPLE_WINDOW_MIN)
 		return;
-	limit_judge(limit, target, max);
-	limit->window_end = now + WINDOW;
-	limit->least_wait = INT64_MAX;
-	limit->n = 0;
-	limit->full = limit_is_full(limit);
+	limit_adjust(limit, target, max);
+	limit->window_end = now + SAMPLE_WINDOW;
+	limit->min_wait = INT64_MAX;
+	limit->n_samples = 0;
+	limit->was_full = limit_is_full(limit);
 }
 
-static int64_t target_of(const struct admission *admission,
-			 const struct admission_service *service)
+static int64_t wait_target(const struct admission *admission,
+			   const struct admission_service *service)
 {
 	int64_t target = (int64_t)((double)service->slo_latency *
-				   admission->tunables.target);
+				   admission->tunables.wait_target_ratio);
 
-	return target < TARGET_MIN ? TARGET_MIN : target;
+	return target < WAIT_TARGET_MIN ? WAIT_TARGET_MIN : target;
 }
 
 static struct admission_service *find_service(const struct admission *admission,
@@ -141,8 +142,8 @@
 		priority = 0;
 	if (priority >= ADMISSION_PRIORITIES)
 		priority = ADMISSION_PRIORITIES - 1;
-	admission->n_queued[service->priority] -= service->n;
-	admission->n_queued[priority] += service->n;
+	admission->n_queued[service->priority] -= service->n_waiting;
+	admission->n_queued[priority] += service->n_waiting;
 	service->priority = priority;
 	service->weight = request->weight > 0 ? request->weight : 1;
 	service->slo_latency = request->slo_latency;
@@ -150,7 +151,8 @@
 }
 
 static struct admission_service *
-service_of(struct admission *admission, const struct admission_request *request)
+get_service(struct admission *admission,
+	    const struct admission_request *request)
 {
 	uint64_t name = str_hash(request->service);
 	struct admission_service *service = find_service(admission, name);
@@ -171,24 +173,24 @@
  * must still get in, or nothing would ever show that the servers are quick
  * again: at most half of what a request came with is asked of it.
  */
-static int64_t need_of(const struct admission_service *service,
-		       const struct admission_request *request)
+static int64_t expected_duration(const struct admission_service *service,
+				 const struct admission_request *request)
 {
-	int64_t half = (request->deadline - request->entered) / 2;
-	int64_t usual = (int64_t)service->usual;
+	int64_t half = (request->deadline - request->entered_at) / 2;
+	int64_t usual = (int64_t)service->latency_quantile;
 
 	return usual < half ? usual : half;
 }
 
-static int64_t wait_behind(const struct admission_limit *limit, int n,
-			   double mean)
+static int64_t queueing_time(const struct admission_limit *limit, int n,
+			     double mean)
 {
 	if (!limit_is_full(limit) && !n)
 		return 0;
 	return (int64_t)((n + 1) * mean / limit->limit);
 }
 
-static int queued_before(const struct admission *admission, int priority)
+static int count_queued_up_to(const struct admission *admission, int priority)
 {
 	int n = 0;
 	int i;
@@ -201,20 +203,23 @@
 static int64_t expected_wait(const struct admission *admission,
 			     const struct admission_service *service)
 {
-	int64_t wait = wait_behind(&service->limit, service->n, service->mean);
-	int n = queued_before(admission, service->priority);
-	int64_t whole = wait_behind(&admission->whole, n, service->mean);
+	int64_t wait = queueing_time(&service->limit, service->n_waiting,
+				     service->mean_latency);
+	int n = count_queued_up_to(admission, service->priority);
+	int64_t whole = queueing_time(&admission->instance_limit, n,
+				      service->mean_latency);
 
 	return wait > whole ? wait : whole;
 }
 
-static void roll_rates(struct admission *admission, int64_t now)
+static void update_refusal_rate(struct admission *admission, int64_t now)
 {
-	if (now - admission->rate_since < RATE_WINDOW)
+	if (now - admission->rate_window_start < REFUSAL_RATE_WINDOW)
 		return;
-	admission->excess = (double)admission->refusals /
-			    (admission->starts > 0 ? admission->starts : 1);
-	admission->rate_since = now;
+	admission->refusals_per_start =
+		(double)admission->refusals /
+		(admission->starts > 0 ? admission->starts : 1);
+	admission->rate_window_start = now;
 	admission->refusals = 0;
 	admission->starts = 0;
 }
@@ -229,8 +234,8 @@
 	double ms = RETRY_MIN_MS + (double)wait / USEC_PER_MSEC;
 
 	admission->refusals++;
-	roll_rates(admission, clock_now(admission->clock));
-	ms += admission->excess * USEC_PER_SEC / USEC_PER_MSEC;
+	update_refusal_rate(admission, clock_now(admission->clock));
+	ms += admission->refusals_per_start * USEC_PER_SEC / USEC_PER_MSEC;
 	if (ms > RETRY_MAX_MS)
 		ms = RETRY_MAX_MS;
 	return (uint32_t)(ms / 2) +
@@ -238,33 +243,34 @@
 }
 
 static struct admission_workspace *
-workspace_of(struct admission_service *service, uint64_t name)
+get_workspace(struct admission_service *service, uint64_t name)
 {
-	struct admission_workspace *flow;
+	struct admission_workspace *queue;
 
-	DL_FOREACH (service->workspaces, flow) {
-		if (flow->name == name)
-			return flow;
+	DL_FOREACH (service->workspaces, queue) {
+		if (queue->name == name)
+			return queue;
 	}
-	flow = mem_zalloc(sizeof(*flow));
-	flow->name = name;
-	DL_APPEND(service->workspaces, flow);
-	return flow;
+	queue = mem_zalloc(sizeof(*queue));
+	queue->name = name;
+	DL_APPEND(service->workspaces, queue);
+	return queue;
 }
 
 static void enqueue(struct admission *admission,
 		    struct admission_request *request)
 {
-	struct admission_service *service = request->at;
+	struct admission_service *service = request->service_state;
 	double now = admission->virtual_time[service->priority];
 
 	/* An idle service saves up nothing. */
-	if (!service->n && service->finish < now)
-		service->finish = now;
-	request->flow = workspace_of(service, str_hash(request->workspace));
-	DL_APPEND(request->flow->requests, request);
-	request->flow->n++;
-	service->n++;
+	if (!service->n_waiting && service->virtual_finish < now)
+		service->virtual_finish = now;
+	request->workspace_queue =
+		get_workspace(service, str_hash(request->workspace));
+	DL_APPEND(request->workspace_queue->requests, request);
+	request->workspace_queue->n_waiting++;
+	service->n_waiting++;
 	admission->n_queued[service->priority]++;
 	admission->n_waiting++;
 }
@@ -272,40 +278,40 @@
 static void dequeue(struct admission *admission,
 		    struct admission_request *request)
 {
-	struct admission_service *service = request->at;
-	struct admission_workspace *flow = request->flow;
+	struct admission_service *service = request->service_state;
+	struct admission_workspace *queue = request->workspace_queue;
 
-	DL_DELETE(flow->requests, request);
-	request->flow = NULL;
-	service->n--;
+	DL_DELETE(queue->requests, request);
+	request->workspace_queue = NULL;
+	service->n_waiting--;
 	admission->n_queued[service->priority]--;
 	admission->n_waiting--;
-	if (--flow->n)
+	if (--queue->n_waiting)
 		return;
-	DL_DELETE(service->workspaces, flow);
-	free(flow);
+	DL_DELETE(service->workspaces, queue);
+	free(queue);
 }
 
 static void refuse(struct admission *admission,
 		   struct admission_request *request)
 {
-	struct admission_service *service = request->at;
+	struct admission_service *service = request->service_state;
 	uint32_t retry =
 		retry_after(admission, expected_wait(admission, service));
 
 	dequeue(admission, request);
-	request->at = NULL;
+	request->service_state = NULL;
 	request->refuse(request, ERR_OVERLOAD, retry);
 }
 
-static void begin(struct admission *admission,
-		  struct admission_request *request)
+static void start_request(struct admission *admission,
+			  struct admission_request *request)
 {
-	request->started = clock_now(admission->clock);
-	limit_start(&request->at->limit);
-	limit_start(&admission->whole);
+	request->started_at = clock_now(admission->clock);
+	limit_start(&request->service_state->limit);
+	limit_start(&admission->instance_limit);
 	admission->starts++;
-	roll_rates(admission, request->started);
+	update_refusal_rate(admission, request->started_at);
 }
 
 /* Of one priority: the service furthest behind its share that may start. */
@@ -319,10 +325,10 @@
 	if (!admission->n_queued[priority])
 		return NULL;
 	HASH_ITER (hh, admission->services, service, tmp) {
-		if (service->priority != priority || !service->n ||
+		if (service->priority != priority || !service->n_waiting ||
 		    limit_is_full(&service->limit))
 			continue;
-		if (!best || service->finish < best->finish)
+		if (!best || service->virtual_finish < best->virtual_finish)
 			best = service;
 	}
 	return best;
@@ -332,7 +338,7 @@
  * The highest priority goes first, but for a small part of the starts, which
  * goes to the lowest that waits.
  */
-static struct admission_service *pick(struct admission *admission)
+static struct admission_service *pick_next_service(struct admission *admission)
 {
 	struct admission_service *service = NULL;
 	bool lowest_first = admission->floor_credit >= 1;
@@ -353,19 +359,20 @@
 
 static bool can_finish(const struct admission_request *request, int64_t now)
 {
-	return now + need_of(request->at, request) < request->deadline;
+	return now + expected_duration(request->service_state, request) <
+	       request->deadline;
 }
 
 /* The workspace served goes to the end of the line, and the service pays. */
 static void charge(struct admission *admission,
 		   struct admission_service *service)
 {
-	struct admission_workspace *flow = service->workspaces;
+	struct admission_workspace *queue = service->workspaces;
 
-	admission->virtual_time[service->priority] = service->finish;
-	service->finish += 1.0 / (double)service->weight;
-	DL_DELETE(service->workspaces, flow);
-	DL_APPEND(service->workspaces, flow);
+	admission->virtual_time[service->priority] = service->virtual_finish;
+	service->virtual_finish += 1.0 / (double)service->weight;
+	DL_DELETE(service->workspaces, queue);
+	DL_APPEND(service->workspaces, queue);
 }
 
 static void start_next(struct admission *admission,
@@ -379,57 +386,58 @@
 	}
 	charge(admission, service);
 	dequeue(admission, request);
-	begin(admission, request);
+	start_request(admission, request);
 	request->start(request);
 }
 
 /* Whoever is started or refused may enter or leave: no deeper call pumps. */
-static void pump(struct admission *admission)
+static void start_waiting(struct admission *admission)
 {
 	struct admission_service *service;
 
-	if (admission->pumping)
+	if (admission->starting_requests)
 		return;
-	admission->pumping = true;
-	while (!limit_is_full(&admission->whole) && (service = pick(admission)))
+	admission->starting_requests = true;
+	while (!limit_is_full(&admission->instance_limit) &&
+	       (service = pick_next_service(admission)))
 		start_next(admission, service);
-	admission->pumping = false;
+	admission->starting_requests = false;
 }
 
 /* How much more than its share a service has waiting. */
 static double backlog(const struct admission_service *service)
 {
-	return (double)service->n / (double)service->weight;
+	return (double)service->n_waiting / (double)service->weight;
 }
 
 /* Of the lowest priority that waits, the service with most waiting. */
 static struct admission_service *
-find_heaviest(const struct admission *admission)
+find_largest_backlog(const struct admission *admission)
 {
-	struct admission_service *worst = NULL;
+	struct admission_service *largest = NULL;
 	struct admission_service *service;
 	struct admission_service *tmp;
 
 	HASH_ITER (hh, admission->services, service, tmp) {
-		if (!service->n)
+		if (!service->n_waiting)
 			continue;
-		if (!worst || service->priority > worst->priority ||
-		    (service->priority == worst->priority &&
-		     backlog(service) > backlog(worst)))
-			worst = service;
+		if (!largest || service->priority > largest->priority ||
+		    (service->priority == largest->priority &&
+		     backlog(service) > backlog(largest)))
+			largest = service;
 	}
-	return worst;
+	return largest;
 }
 
 static struct admission_workspace *
-find_longest(const struct admission_service *service)
+find_longest_queue(const struct admission_service *service)
 {
 	struct admission_workspace *longest = service->workspaces;
-	struct admission_workspace *flow;
+	struct admission_workspace *queue;
 
-	DL_FOREACH (service->workspaces, flow) {
-		if (flow->n > longest->n)
-			longest = flow;
+	DL_FOREACH (service->workspaces, queue) {
+		if (queue->n_waiting > longest->n_waiting)
+			longest = queue;
 	}
 	return longest;
 }
@@ -440,25 +448,25 @@
  *
  * Return: whether room was made for a request of @service.
  */
-static bool make_room(struct admission *admission,
-		      const struct admission_service *service)
+static bool evict_request(struct admission *admission,
+			  const struct admission_service *service)
 {
-	struct admission_service *worst = find_heaviest(admission);
+	struct admission_service *largest = find_largest_backlog(admission);
 	struct admission_request *newest;
 
-	if (!worst || worst->priority < service->priority)
+	if (!largest || largest->priority < service->priority)
 		return false;
-	if (worst->priority == service->priority &&
-	    backlog(worst) <= backlog(service))
+	if (largest->priority == service->priority &&
+	    backlog(largest) <= backlog(service))
 		return false;
-	newest = find_longest(worst)->requests->prev;
+	newest = find_longest_queue(largest)->requests->prev;
 	refuse(admission, newest);
 	return true;
 }
 
 static bool is_full(const struct admission *admission)
 {
-	return admission->n_waiting + admission->whole.in_flight >=
+	return admission->n_waiting + admission->instance_limit.in_flight >=
 	       admission->tunables.queue_max;
 }
 
@@ -468,7 +476,7 @@
 	memset(admission, 0, sizeof(*admission));
 	admission->clock = clock;
 	admission->random = random;
-	limit_init(&admission->whole);
+	limit_init(&admission->instance_limit);
 }
 
 void admission_finish(struct admission *admission)
@@ -487,7 +495,7 @@
 {
 	/* Without word of lag the instance may start all. */
 	if (!admission->tunables.queue_max)
-		admission->whole.limit = (double)tunables->queue_max;
+		admission->instance_limit.limit = (double)tunables->queue_max;
 	admission->tunables = *tunables;
 }
 
@@ -495,12 +503,12 @@
  * Whoever would have to wait beyond the service's latency target is refused
  * at once: a longer queue answers no more requests, it only answers them later.
  */
-static bool is_hopeless(const struct admission_service *service,
+static bool is_too_late(const struct admission_service *service,
 			const struct admission_request *request, int64_t wait)
 {
-	int64_t need = need_of(service, request);
+	int64_t need = expected_duration(service, request);
 
-	if (request->entered + wait + need >= request->deadline)
+	if (request->entered_at + wait + need >= request->deadline)
 		return true;
 	return wait && wait + need >= service->slo_latency;
 }
@@ -509,22 +517,22 @@
 		    struct admission_request *request, uint32_t *retry_after_ms)
 {
 	int64_t now = clock_now(admission->clock);
-	struct admission_service *service = service_of(admission, request);
+	struct admission_service *service = get_service(admission, request);
 	int64_t wait = expected_wait(admission, service);
 
-	request->at = service;
-	request->flow = NULL;
-	request->entered = now;
-	request->started = 0;
-	if (is_hopeless(service, request, wait) ||
-	    (is_full(admission) && !make_room(admission, service))) {
-		request->at = NULL;
+	request->service_state = service;
+	request->workspace_queue = NULL;
+	request->entered_at = now;
+	request->started_at = 0;
+	if (is_too_late(service, request, wait) ||
+	    (is_full(admission) && !evict_request(admission, service))) {
+		request->service_state = NULL;
 		*retry_after_ms = retry_after(admission, wait);
 		return ERR_OVERLOAD;
 	}
-	if (!service->n && !limit_is_full(&service->limit) &&
-	    !limit_is_full(&admission->whole)) {
-		begin(admission, request);
+	if (!service->n_waiting && !limit_is_full(&service->limit) &&
+	    !limit_is_full(&admission->instance_limit)) {
+		start_request(admission, request);
 		return ADMISSION_STARTED;
 	}
 	enqueue(admission, request);
@@ -534,28 +542,29 @@
 /* A quantile, followed by large steps up and small ones down. */
 static void follow_quantile(double *quantile, double value)
 {
-	double step = *quantile * QUANTILE_STEP + 1;
+	double step = *quantile * LATENCY_QUANTILE_STEP + 1;
 
 	if (*quantile <= 0)
 		*quantile = value;
 	else if (value > *quantile)
-		*quantile += step * QUANTILE;
+		*quantile += step * LATENCY_QUANTILE;
 	else
-		*quantile -= step * (1 - QUANTILE);
+		*quantile -= step * (1 - LATENCY_QUANTILE);
 }
 
-static void learn(struct admission *admission,
-		  struct admission_service *service, int64_t latency,
-		  const struct admission_sample *sample, int64_t now)
+static void update_estimates(struct admission *admission,
+			     struct admission_service *service, int64_t latency,
+			     const struct admission_sample *sample, int64_t now)
 {
-	int64_t target = target_of(admission, service);
+	int64_t target = wait_target(admission, service);
 	int64_t wait = sample->wait;
 
-	if (service->mean <= 0)
-		service->mean = (double)latency;
-	service->mean += ((double)latency - service->mean) * SMOOTHING;
+	if (service->mean_latency <= 0)
+		service->mean_latency = (double)latency;
+	service->mean_latency +=
+		((double)latency - service->mean_latency) * MEAN_LATENCY_WEIGHT;
 	if (!sample->failed && !sample->shed)
-		follow_quantile(&service->usual, (double)latency);
+		follow_quantile(&service->latency_quantile, (double)latency);
 	if ((sample->shed || sample->failed) && wait < 2 * target)
 		wait = 2 * target;
 	limit_sample(&service->limit, now, wait, target,
@@ -566,22 +575,23 @@
 		     struct admission_request *request,
 		     const struct admission_sample *sample)
 {
-	struct admission_service *service = request->at;
+	struct admission_service *service = request->service_state;
 	int64_t now = clock_now(admission->clock);
 
 	if (!service)
 		return;
-	if (request->flow) {
+	if (request->workspace_queue) {
 		dequeue(admission, request);
 	} else {
 		service->limit.in_flight--;
-		admission->whole.in_flight--;
+		admission->instance_limit.in_flight--;
 		if (sample)
-			learn(admission, service, now - request->started,
-			      sample, now);
+			update_estimates(admission, service,
+					 now - request->started_at, sample,
+					 now);
 	}
-	request->at = NULL;
-	pump(admission);
+	request->service_state = NULL;
+	start_waiting(admission);
 }
 
 bool admission_overloaded(struct admission *admission, struct str service_name,
@@ -590,8 +600,8 @@
 	struct admission_service *service =
 		find_service(admission, str_hash(service_name));
 
-	if (!is_full(admission) &&
-	    (!service || !service->n || !limit_is_full(&service->limit)))
+	if (!is_full(admission) && (!service || !service->n_waiting ||
+				    !limit_is_full(&service->limit)))
 		return false;
 	*retry_after_ms =
 		retry_after(admission,
@@ -599,10 +609,10 @@
 	return true;
 }
 
-void admission_lag(struct admission *admission, int64_t lag)
+void admission_add_lag(struct admission *admission, int64_t lag)
 {
-	limit_sample(&admission->whole, clock_now(admission->clock), lag,
-		     admission->tunables.lag_target,
+	limit_sample(&admission->instance_limit, clock_now(admission->clock),
+		     lag, admission->tunables.lag_target,
 		     admission->tunables.queue_max);
 }
 
@@ -611,25 +621,25 @@
 {
 	struct admission_service *service;
 	struct admission_service *tmp;
-	struct admission_workspace *flow;
+	struct admission_workspace *queue;
 
 	HASH_ITER (hh, admission->services, service, tmp) {
-		DL_FOREACH (service->workspaces, flow) {
-			if (!can_finish(flow->requests, now))
-				return flow->requests;
+		DL_FOREACH (service->workspaces, queue) {
+			if (!can_finish(queue->requests, now))
+				return queue->requests;
 		}
 	}
 	return NULL;
 }
 
-static void drop_idle(struct admission *admission, int64_t now)
+static void free_idle_services(struct admission *admission, int64_t now)
 {
 	struct admission_service *service;
 	struct admission_service *tmp;
 
 	HASH_ITER (hh, admission->services, service, tmp) {
-		if (service->n || service->limit.in_flight ||
-		    now - service->last_used < SERVICE_IDLE)
+		if (service->n_waiting || service->limit.in_flight ||
+		    now - service->last_used < SERVICE_IDLE_TIMEOUT)
 			continue;
 		HASH_DEL(admission->services, service);
 		free(service);
@@ -643,8 +653,8 @@
 
 	while (admission->n_waiting && (late = find_late(admission, now)))
 		refuse(admission, late);
-	drop_idle(admission, now);
-	pump(admission);
+	free_idle_services(admission, now);
+	start_waiting(admission);
 }
 
 int admission_service_limit(const struct admission *admission,
--- a/admission.h
+++ b/admission.h
@@ -21,8 +21,8 @@
 /**
  * struct admission_tunables - from the table
  * @queue_max: requests waiting and started together, the instance
- * @target: standing queue at the homes that is accepted, as a part of the
- * service's latency target
+ * @wait_target_ratio: standing queue at the homes that is accepted, as a part
+ * of the service's latency target
  * @floor: part of the starts given to the lowest priority that waits, so that
  * none starves
  * @lag_target: delay of the instance's event loop that is accepted,
@@ -30,7 +30,7 @@
  */
 struct admission_tunables {
 	int64_t queue_max;
-	double target;
+	double wait_target_ratio;
 	double floor;
 	int64_t lag_target;
 };
@@ -58,10 +58,10 @@
 	void (*refuse)(struct admission_request *request, int code,
 		       uint32_t retry_after_ms);
 	/* Of the module. */
-	struct admission_service *at;
-	struct admission_workspace *flow;
-	int64_t entered;
-	int64_t started;
+	struct admission_service *service_state;
+	struct admission_workspace *workspace_queue;
+	int64_t entered_at;
+	int64_t started_at;
 	struct admission_request *prev;
 	struct admission_request *next;
 };
@@ -82,43 +82,43 @@
  * struct admission_limit - how many may be in progress, adapted
  * @limit: at least 1
  * @window_end: when the samples are judged, microseconds
- * @least_wait: of the window's samples
- * @n: samples in the window
- * @full: the limit was reached in the window
+ * @min_wait: of the window's samples
+ * @n_samples: samples in the window
+ * @was_full: the limit was reached in the window
  */
 struct admission_limit {
 	double limit;
 	int in_flight;
 	int64_t window_end;
-	int64_t least_wait;
-	int n;
-	bool full;
+	int64_t min_wait;
+	int n_samples;
+	bool was_full;
 };
 
 /**
  * struct admission - the state of one instance
  * @services: by hash of the name
- * @whole: limit of the instance
+ * @instance_limit: limit of the instance
  * @n_queued: waiting, by priority
  * @n_waiting: sum of @n_queued
  * @floor_credit: starts owed to the lowest priority
- * @refusals: since @rate_since, for the spread of returns
+ * @refusals: since @rate_window_start, for the spread of returns
  */
 struct admission {
 	const struct clock *clock;
 	uint64_t (*random)(void);
 	struct admission_tunables tunables;
 	struct admission_service *services;
-	struct admission_limit whole;
+	struct admission_limit instance_limit;
 	int n_queued[ADMISSION_PRIORITIES];
 	int n_waiting;
 	double virtual_time[ADMISSION_PRIORITIES];
 	double floor_credit;
-	bool pumping;
-	int64_t rate_since;
+	bool starting_requests;
+	int64_t rate_window_start;
 	int refusals;
 	int starts;
-	double excess;
+	double refusals_per_start;
 };
 
 /* What admission_enter() decided. */
@@ -168,9 +168,9 @@
 			  uint32_t *retry_after_ms);
 
 /**
- * admission_lag() - the event loop was late by @lag microseconds
+ * admission_add_lag() - the event loop was late by @lag microseconds
  */
-void admission_lag(struct admission *admission, int64_t lag);
+void admission_add_lag(struct admission *admission, int64_t lag);
 
 /**
  * admission_tick() - refuse what can't finish any more, drop idle services
--- a/budget.c
+++ b/budget.c
@@ -12,10 +12,10 @@
 	if (limit->decay_time)
 		budget->tokens = limit->initial;
 	else if (limit->per_second > 0)
-		budget->floor = limit->burst;
+		budget->time_tokens = limit->burst;
 	else
 		budget->tokens = limit->burst;
-	budget->at = now;
+	budget->updated_at = now;
 }
 
 /*
@@ -26,7 +26,7 @@
 double budget_capacity(const struct budget *budget,
 		       const struct budget_limit *limit)
 {
-	double earned = limit->ratio * budget->recent;
+	double earned = limit->ratio * budget->recent_needed;
 	double saved;
 
 	if (!limit->decay_time)
@@ -35,42 +35,43 @@
 	return fmax(limit->reserve, fmax(earned, saved));
 }
 
-static void settle(struct budget *budget, const struct budget_limit *limit,
-		   int64_t now)
+static void update_tokens(struct budget *budget,
+			  const struct budget_limit *limit, int64_t now)
 {
-	double age = (double)(now - budget->at);
+	double age = (double)(now - budget->updated_at);
 
-	budget->recent *= exp(-age / BUDGET_WINDOW_US);
+	budget->recent_needed *= exp(-age / BUDGET_WINDOW_US);
 	if (limit->decay_time)
 		budget->decayed_needed *= exp(-age / (double)limit->decay_time);
-	budget->at = now;
+	budget->updated_at = now;
 	/* With a decay time, the capacity also bounds what time grants. */
 	if (limit->decay_time)
 		budget->tokens += age * limit->per_second / USEC_PER_SEC;
 	else
-		budget->floor = fmin(limit->burst,
-				     budget->floor + age * limit->per_second /
-							     USEC_PER_SEC);
+		budget->time_tokens =
+			fmin(limit->burst,
+			     budget->time_tokens +
+				     age * limit->per_second / USEC_PER_SEC);
 	budget->tokens = fmin(budget->tokens, budget_capacity(budget, limit));
 }
 
-void budget_need(struct budget *budget, const struct budget_limit *limit, int n,
-		 int64_t now)
+void budget_count_needed(struct budget *budget,
+			 const struct budget_limit *limit, int n, int64_t now)
 {
-	settle(budget, limit, now);
+	update_tokens(budget, limit, now);
 	budget->needed += (uint64_t)n;
-	budget->recent += n;
+	budget->recent_needed += n;
 	budget->decayed_needed += n;
 	budget->tokens += limit->ratio * n;
-	settle(budget, limit, now);
+	update_tokens(budget, limit, now);
 }
 
 bool budget_take(struct budget *budget, const struct budget_limit *limit,
 		 double cost, int64_t now)
 {
-	settle(budget, limit, now);
-	if (limit->ratio > 0 && budget->floor >= 1) {
-		budget->floor -= 1;
+	update_tokens(budget, limit, now);
+	if (limit->ratio > 0 && budget->time_tokens >= 1) {
+		budget->time_tokens -= 1;
 		budget->spent++;
 		return true;
 	}
@@ -92,6 +93,6 @@
 bool budget_is_half_full(struct budget *budget,
 			 const struct budget_limit *limit, int64_t now)
 {
-	settle(budget, limit, now);
+	update_tokens(budget, limit, now);
 	return budget->tokens * 2 >= budget_capacity(budget, limit);
 }
--- a/budget.h
+++ b/budget.h
@@ -14,10 +14,10 @@
 /**
  * struct budget - a token bucket filled by requests needed; all zero is new
  * @tokens: extra requests that may be sent now
- * @floor: of these, those granted by time alone
- * @recent: requests needed lately, fading with BUDGET_WINDOW_US
+ * @time_tokens: of these, those granted by time alone
+ * @recent_needed: requests needed lately, fading with BUDGET_WINDOW_US
  * @decayed_needed: requests needed, decaying with the limit's @decay_time
- * @at: time of the last change, microseconds
+ * @updated_at: time of the last change, microseconds
  * @needed: all that were ever needed
  * @spent: all extra requests ever granted
  * @refused: all that were refused
@@ -26,10 +26,10 @@
  */
 struct budget {
 	double tokens;
-	double floor;
-	double recent;
+	double time_tokens;
+	double recent_needed;
 	double decayed_needed;
-	int64_t at;
+	int64_t updated_at;
 	uint64_t needed;
 	uint64_t spent;
 	uint64_t refused;
@@ -64,10 +64,10 @@
 		 int64_t now);
 
 /**
- * budget_need() - count requests that were needed
+ * budget_count_needed() - count requests that were needed
  */
-void budget_need(struct budget *budget, const struct budget_limit *limit, int n,
-		 int64_t now);
+void budget_count_needed(struct budget *budget,
+			 const struct budget_limit *limit, int n, int64_t now);
 
 /**
  * budget_take() - ask for one extra request
--- a/dispatch.c
+++ b/dispatch.c
@@ -259,7 +259,7 @@
 	for (i = 0; i < dispatch->n_parts; i++) {
 		struct dispatch_part *part = &dispatch->parts[i];
 
-		if (!outage_hits(dispatch->limits->outage, part->service,
+		if (!outage_affects(dispatch->limits->outage, part->service,
 				 &since))
 			continue;
 		if (since > dispatch->lost_since)
@@ -277,7 +277,7 @@
 
 	if (part->state != PART_WAITING)
 		return;
-	budget_need(&part->service->budget, &dispatch->limits->budget, 1,
+	budget_count_needed(&part->service->budget, &dispatch->limits->budget, 1,
 		    clock_now(dispatch->clock));
 	ret = dispatch_part_send(part, "first", false);
 	if (ret)
--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -95,9 +95,9 @@
 	double run = dispatch->latency->unloaded * slowness(server, now);
 
 	return (struct forecast_part){
-		.ahead = ahead_at(dispatch, server, now),
-		.run = (int64_t)run,
-		.told_at = server->outlook.levels[level_of(dispatch)].at,
+		.queue_wait = ahead_at(dispatch, server, now),
+		.run_time = (int64_t)run,
+		.reported_at = server->outlook.levels[level_of(dispatch)].at,
 	};
 }
 
@@ -163,9 +163,9 @@
 	forecast_decide(forecast);
 	leave_out(dispatch, forecast);
 	dispatch->foreseen = forecast->refused;
-	dispatch->room_in = forecast->room_in;
+	dispatch->room_in = forecast->capacity_in;
 	dispatch->enough_at = clock_now(dispatch->clock) +
-			      forecast_expected(forecast->deciding);
+			      forecast_answer_time(forecast->last_needed);
 	if (dispatch->ops->foreseen &&
 	    (forecast->refused || forecast->n_left_out))
 		dispatch->ops->foreseen(dispatch->arg, forecast);
@@ -203,7 +203,7 @@
 
 		if (part->state != PART_FAILED || part->code != ERR_LEFT_OUT)
 			continue;
-		budget_need(&part->service->budget, &dispatch->limits->budget,
+		budget_count_needed(&part->service->budget, &dispatch->limits->budget,
 			    1, now);
 		if (dispatch_part_send(part, "first", false))
 			continue;
@@ -228,7 +228,7 @@
 	if (!server)
 		return true;
 	expected = expect(dispatch, server, now);
-	if (now + forecast_expected(&expected) <=
+	if (now + forecast_answer_time(&expected) <=
 	    (enough ? dispatch->answer_at : dispatch->deadline))
 		return true;
 	if (!part->kept_back && dispatch->ops->kept_back)
@@ -255,7 +255,7 @@
 	if (!can_expect(dispatch) || server->queue || !outlook->pace_at ||
 	    now - outlook->pace_at > TOLD_AGE_MOST)
 		return;
-	more = expect(dispatch, server, now).run / slots;
+	more = expect(dispatch, server, now).run_time / slots;
 	for (i = level_of(dispatch); i < OUTLOOK_LEVELS; i++)
 		server_outlook_told(outlook, i,
 				    server_outlook_ahead(outlook, i, now) +
--- a/dispatch_load.c
+++ b/dispatch_load.c
@@ -71,7 +71,7 @@
 		dispatch->cost += (int64_t)(work_of(dispatch->latency) *
 					    dispatch->n_parts);
 	if (is_counted(dispatch) && !dispatch->promised)
-		load_limit_ask(load_of(dispatch), dispatch->level,
+		load_limit_count_request(load_of(dispatch), dispatch->level,
 			       dispatch->cost, now);
 }
 
@@ -80,7 +80,7 @@
 	const char *service = dispatch->parts[0].service->name;
 
 	if (dispatch->limits->share && load_of(dispatch)->limit)
-		load_share_limited(dispatch->limits->share,
+		load_share_add_limit(dispatch->limits->share,
 				   str_hash(str_from(service)),
 				   load_of(dispatch));
 }
@@ -88,7 +88,7 @@
 static bool fits(const struct dispatch *dispatch, int64_t now)
 {
 	struct load_limit *load = load_of(dispatch);
-	struct load_view view = {0};
+	struct peer_load view = {0};
 
 	if (dispatch->limits->share && is_by_priority(dispatch))
 		load_share_adopt(dispatch->limits->share,
@@ -118,7 +118,7 @@
 	if (!is_counted(dispatch))
 		return true;
 	if (is_let_in(dispatch, now)) {
-		load_limit_take(load_of(dispatch), dispatch->level,
+		load_limit_admit_always(load_of(dispatch), dispatch->level,
 				dispatch->cost, now);
 		dispatch->admitted = true;
 	} else {
@@ -143,8 +143,8 @@
 	int64_t period = MSEC(dispatch->route->goal_ms) / 2;
 
 	if (!dispatch->route->sharded)
-		return load_limit_full(load_of(dispatch), now);
-	return load_limit_overloaded(load_of(dispatch), period, now);
+		return load_limit_servers_full(load_of(dispatch), now);
+	return load_limit_lower(load_of(dispatch), period, now);
 }
 
 static void note_overload(struct dispatch *dispatch, int64_t now)
@@ -176,7 +176,7 @@
 		return;
 	dispatch->judged = true;
 	if (!code && now <= dispatch->answer_at)
-		load_limit_served(load_of(dispatch), dispatch->cost,
+		load_limit_raise(load_of(dispatch), dispatch->cost,
 				  is_by_priority(dispatch) ? RISE_BY_PRIORITY
 							   : RISE);
 	else if (is_overload(dispatch, code))
@@ -195,9 +195,9 @@
 	if (!dispatch->admitted)
 		return;
 	if (has_worked(dispatch))
-		load_limit_worked(load_of(dispatch), dispatch->cost,
+		load_limit_count_served(load_of(dispatch), dispatch->cost,
 				  clock_now(dispatch->clock));
-	load_limit_end(load_of(dispatch), dispatch->level, dispatch->cost);
+	load_limit_release(load_of(dispatch), dispatch->level, dispatch->cost);
 	dispatch->admitted = false;
 }
 
@@ -217,17 +217,17 @@
 {
 	struct load_share *share = dispatch->limits->share;
 	const char *service = dispatch->parts[0].service->name;
-	struct load_view view = {0};
+	struct peer_load view = {0};
 
 	if (share)
-		load_share_look(share, str_hash(str_from(service)), &view);
-	return load_limit_room(load_of(dispatch), dispatch->level, &view,
+		load_share_peer_load(share, str_hash(str_from(service)), &view);
+	return load_limit_capacity(load_of(dispatch), dispatch->level, &view,
 			       clock_now(dispatch->clock));
 }
 
 int64_t dispatch_room_in(const struct dispatch *dispatch)
 {
-	int64_t excess = load_limit_excess(load_of(dispatch),
+	int64_t excess = load_limit_excess_time(load_of(dispatch),
 					   clock_now(dispatch->clock));
 
 	return excess > dispatch->room_in ? excess : dispatch->room_in;
--- a/entry_net.c
+++ b/entry_net.c
@@ -180,7 +180,7 @@
 	const struct tunables *tunables = blackboard_tunables(net->board);
 	struct admission_tunables values = {
 		.queue_max = tunables->queue_max,
-		.target = tunables->queue_target,
+		.wait_target_ratio = tunables->queue_target,
 		.floor = tunables->priority_floor,
 		.lag_target = MSEC(tunables->loop_lag_ms),
 	};
@@ -333,7 +333,7 @@
 
 void entry_net_beat(struct entry_net *net, int64_t lag)
 {
-	admission_lag(&net->admission, lag);
+	admission_add_lag(&net->admission, lag);
 	admission_tick(&net->admission);
 	arm(net);
 }
--- a/forecast.h
+++ b/forecast.h
@@ -13,16 +13,16 @@
 
 /**
  * struct forecast_part - a part that can be sent; microseconds
- * @ahead: until its server takes it up
- * @run: from then until its answer is here
- * @told_at: when its server's queue was told of last; 0: never
+ * @queue_wait: until its server takes it up
+ * @run_time: from then until its answer is here
+ * @reported_at: when its server's queue was told of last; 0: never
  * @index: of the part in its request
  * @left_out: set by forecast_decide(): not worth sending
  */
 struct forecast_part {
-	int64_t ahead;
-	int64_t run;
-	int64_t told_at;
+	int64_t queue_wait;
+	int64_t run_time;
+	int64_t reported_at;
 	int index;
 	bool left_out;
 };
@@ -39,8 +39,9 @@
  * @n_in_time: parts that are expected by the goal
  * @n_left_out: parts that are not worth sending
  * @refused: none is
- * @room_in: with @refused: one more request fits after so long, microseconds
- * @deciding: the last part that is needed
+ * @capacity_in: with @refused: one more request fits after so long,
+ * microseconds
+ * @last_needed: the last part that is needed
  */
 struct forecast {
 	struct forecast_part *parts;
@@ -54,8 +55,8 @@
 	int n_in_time;
 	int n_left_out;
 	bool refused;
-	int64_t room_in;
-	const struct forecast_part *deciding;
+	int64_t capacity_in;
+	const struct forecast_part *last_needed;
 };
 
 /**
@@ -66,9 +67,9 @@
 int forecast_needed(int n_parts, double coverage_min);
 
 /**
- * forecast_expected() - when the answer of a part is expected, from now
+ * forecast_answer_time() - when the answer of a part is expected, from now
  */
-int64_t forecast_expected(const struct forecast_part *part);
+int64_t forecast_answer_time(const struct forecast_part *part);
 
 /**
  * forecast_decide() - set what follows @probe from what comes before
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -210,7 +210,7 @@
 		if (!member->hub ||
 		    strcmp(member->data_centre, server->entry.data_centre))
 			continue;
-		score = warmup_score(id, member->instance);
+		score = warmup_hash(id, member->instance);
 		if (best && score >= least)
 			continue;
 		least = score;
--- a/gateway_forecast.c
+++ b/gateway_forecast.c
@@ -20,8 +20,8 @@
 			const struct forecast *forecast)
 {
 	const struct dispatch *dispatch = &request->dispatch;
-	const struct forecast_part *deciding = forecast->deciding;
-	int64_t told_at = deciding->told_at;
+	const struct forecast_part *deciding = forecast->last_needed;
+	int64_t told_at = deciding->reported_at;
 	int64_t age = clock_now(dispatch->clock) - told_at;
 	const struct dispatch_part *part = part_of(dispatch, deciding);
 
@@ -31,12 +31,12 @@
 		 LOG_I64("needed", forecast->needed),
 		 LOG_I64("goal_left_us", forecast->goal),
 		 LOG_TEXT("service", part->service->name),
-		 LOG_I64("ahead_us", deciding->ahead),
-		 LOG_I64("run_us", deciding->run),
+		 LOG_I64("ahead_us", deciding->queue_wait),
+		 LOG_I64("run_us", deciding->run_time),
 		 LOG_I64("told_age_ms", told_at ? age / USEC_PER_MSEC : -1),
 		 LOG_I64("lag_us", forecast->lag),
 		 LOG_I64("promised", forecast->promised),
-		 LOG_I64("room_in_us", forecast->room_in));
+		 LOG_I64("room_in_us", forecast->capacity_in));
 }
 
 /* "SERVICE:MILLISECONDS" of the parts that are expected last. */
@@ -56,7 +56,7 @@
 		len += (size_t)snprintf(
 			out + len, size - len, "%s%s:%lld", n++ ? " " : "",
 			part_of(dispatch, expected)->service->name,
-			(long long)(forecast_expected(expected) /
+			(long long)(forecast_answer_time(expected) /
 				    USEC_PER_MSEC));
 	}
 }
@@ -74,7 +74,7 @@
 		 LOG_I64("in_time", forecast->n_in_time),
 		 LOG_I64("needed", forecast->needed),
 		 LOG_I64("goal_left_us", forecast->goal),
-		 LOG_I64("enough_in_us", forecast_expected(forecast->deciding)),
+		 LOG_I64("enough_in_us", forecast_answer_time(forecast->last_needed)),
 		 LOG_TEXT("worst", worst));
 }
 
@@ -104,7 +104,7 @@
 		 LOG_TEXT("service", part->service->name),
 		 LOG_I64("sends", part->n_sends),
 		 LOG_I64("parts_in", dispatch->n_in),
-		 LOG_I64("ahead_us", expected->ahead),
-		 LOG_I64("run_us", expected->run),
+		 LOG_I64("ahead_us", expected->queue_wait),
+		 LOG_I64("run_us", expected->run_time),
 		 LOG_I64("goal_left_us", dispatch->answer_at - now));
 }
--- a/gateway_load.h
+++ b/gateway_load.h
@@ -7,7 +7,7 @@
 
 #include "load_share.h"
 #include "peer.h"
-#include "return_book.h"
+#include "return_schedule.h"
 #include "wake_timer.h"
 
 struct gateway;
@@ -18,7 +18,7 @@
  * struct gateway_load - wiring of these
  */
 struct gateway_load {
-	struct return_book book;
+	struct return_schedule book;
 	struct load_share share;
 	struct wake_timer timer;
 	struct peer_handler handler;
@@ -43,7 +43,7 @@
 enum return_state gateway_load_arrive(struct gateway *gateway,
 				      const struct route *route,
 				      uint64_t fingerprint, struct str id,
-				      struct return_entry *out);
+				      struct scheduled_return *out);
 
 /**
  * gateway_load_target() - the target that a request was refused for
@@ -52,7 +52,7 @@
  */
 const struct route_service *
 gateway_load_target(const struct route *route,
-		    const struct return_entry *entry);
+		    const struct scheduled_return *entry);
 
 /**
  * gateway_load_offer() - when a caller that is refused may come back
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -197,7 +197,7 @@
 /* @due: what it was promised, or NULL */
 static void start(struct gateway *gateway, struct inbound_conn *conn,
 		  const struct http_message *message, const struct route *route,
-		  uint64_t fingerprint, const struct return_entry *due)
+		  uint64_t fingerprint, const struct scheduled_return *due)
 {
 	struct gateway_request *request = mem_zalloc(sizeof(*request));
 	struct route_stats *stats = stats_of(gateway, route);
@@ -285,7 +285,7 @@
 			    const struct http_message *message,
 			    const struct route *route, uint64_t fingerprint)
 {
-	struct return_entry entry;
+	struct scheduled_return entry;
 	enum return_state state;
 
 	state = gateway_load_arrive(
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -306,7 +306,7 @@
 
 	LOG_INFO("load_limit_fell", LOG_STR("request", request->request.id),
 		 LOG_TEXT("service", request->dispatch.parts[0].service->name),
-		 LOG_F64("limit", load->limit), LOG_I64("open", load->open),
+		 LOG_F64("limit", load->limit), LOG_I64("open", load->in_progress),
 		 LOG_I64("parts_in", request->dispatch.n_in),
 		 LOG_I64("parts", request->dispatch.n_parts));
 }
--- a/load_share.c
+++ b/load_share.c
@@ -6,29 +6,29 @@
 #include "str.h"
 
 /* Limits are told again before what was told last is too old. */
-#define LIMITS_PERIOD MSEC(200)
+#define REPORT_PERIOD MSEC(200)
 /* A caller that repeats at once is at another instance within about this. */
-#define RETURNS_WITHIN MSEC(15)
+#define RETURNS_DELAY_MAX MSEC(15)
 /* A limit that fell longer ago may only be one that nothing raised. */
-#define FELL_LATELY MSEC(3000)
-/* An instance that was asked for next to nothing knows no ratio. */
-#define ASKED_LEAST 1.0
+#define LOWERED_RECENTLY MSEC(3000)
+/* An instance that was demand for next to nothing knows no ratio. */
+#define DEMAND_MIN 1.0
 
 #define NEVER INT64_MAX
 
 void load_share_init(struct load_share *share, const struct clock *clock,
 		     const struct load_share_ops *ops, void *arg,
-		     struct return_book *book)
+		     struct return_schedule *schedule)
 {
 	memset(share, 0, sizeof(*share));
 	share->clock = clock;
 	share->ops = ops;
 	share->arg = arg;
-	share->book = book;
+	share->schedule = schedule;
 }
 
-void load_share_limited(struct load_share *share, uint64_t service,
-			const struct load_limit *load)
+void load_share_add_limit(struct load_share *share, uint64_t service,
+			  const struct load_limit *load)
 {
 	int i;
 
@@ -36,20 +36,20 @@
 		if (share->limits[i].service == service)
 			return;
 	}
-	if (share->n_limits == LOAD_SHARE_SERVICES)
+	if (share->n_limits == LOAD_SHARE_SERVICES_MAX)
 		return;
 	share->limits[share->n_limits].service = service;
 	share->limits[share->n_limits++].load = load;
 	share->sent_at = 0;
 }
 
-void load_share_return(struct load_share *share,
-		       const struct return_entry *entry)
+void load_share_add_return(struct load_share *share,
+			   const struct scheduled_return *entry)
 {
-	if (share->n_returns == LOAD_SHARE_RETURNS)
+	if (share->n_returns == LOAD_SHARE_RETURNS_MAX)
 		load_share_tick(share);
 	if (!share->n_returns)
-		share->returned_at = clock_now(share->clock);
+		share->first_return_at = clock_now(share->clock);
 	share->returns[share->n_returns++] = *entry;
 }
 
@@ -63,36 +63,37 @@
 }
 
 /* One service in a message, and what it points to. */
-struct load_part {
+struct packed_load {
 	Peer__ServiceLoad message;
-	uint32_t asked[OUTLOOK_LEVELS];
+	uint32_t demand[OUTLOOK_LEVELS];
 };
 
-static void fill_load(struct load_part *part, uint64_t service,
+static void fill_load(struct packed_load *part, uint64_t service,
 		      const struct load_limit *load, int64_t now)
 {
-	int64_t age = load->lowered_at ? now - load->lowered_at : FELL_LATELY;
+	int64_t age =
+		load->lowered_at ? now - load->lowered_at : LOWERED_RECENTLY;
 	int i;
 
 	peer__service_load__init(&part->message);
 	part->message.service = service;
 	part->message.limit_us = to_u32(load->limit);
-	part->message.open_us = to_u32((double)load->open);
+	part->message.open_us = to_u32((double)load->in_progress);
 	part->message.age_ms = to_u32((double)age / USEC_PER_MSEC);
 	for (i = 0; i < OUTLOOK_LEVELS; i++)
-		part->asked[i] = to_u32(load->levels[i].asked);
+		part->demand[i] = to_u32(load->levels[i].demand);
 	part->message.n_asked_us = OUTLOOK_LEVELS;
-	part->message.asked_us = part->asked;
+	part->message.asked_us = part->demand;
 }
 
-static void fill_return(Peer__Return *message, const struct return_entry *entry,
-			int64_t now)
+static void fill_return(Peer__Return *message,
+			const struct scheduled_return *entry, int64_t now)
 {
 	peer__return__init(message);
 	message->fingerprint = entry->fingerprint;
 	message->service = entry->service;
 	message->due_in_ms = (int32_t)((entry->due - now) / USEC_PER_MSEC);
-	message->cost_us = entry->kept ? to_u32((double)entry->cost) : 0;
+	message->cost_us = entry->promised ? to_u32((double)entry->cost) : 0;
 	message->level = (uint32_t)entry->level;
 	message->taken = entry->taken;
 }
@@ -110,12 +111,12 @@
 	share->n_limits = n;
 }
 
-static void tell(struct load_share *share, int64_t now)
+static void send_report(struct load_share *share, int64_t now)
 {
-	struct load_part loads[LOAD_SHARE_SERVICES];
-	Peer__ServiceLoad *load_list[LOAD_SHARE_SERVICES];
-	Peer__Return returns[LOAD_SHARE_RETURNS];
-	Peer__Return *return_list[LOAD_SHARE_RETURNS];
+	struct packed_load loads[LOAD_SHARE_SERVICES_MAX];
+	Peer__ServiceLoad *load_list[LOAD_SHARE_SERVICES_MAX];
+	Peer__Return returns[LOAD_SHARE_RETURNS_MAX];
+	Peer__Return *return_list[LOAD_SHARE_RETURNS_MAX];
 	Peer__LoadShare message;
 	int i;
 
@@ -141,11 +142,11 @@
 	int64_t now = clock_now(share->clock);
 
 	if (load_share_due(share) > now &&
-	    share->n_returns < LOAD_SHARE_RETURNS)
+	    share->n_returns < LOAD_SHARE_RETURNS_MAX)
 		return;
 	drop_unlimited(share);
 	if (share->n_limits || share->n_returns)
-		tell(share, now);
+		send_report(share, now);
 	share->sent_at = now;
 	share->n_returns = 0;
 }
@@ -155,16 +156,17 @@
 	int64_t due = NEVER;
 
 	if (share->n_limits)
-		due = share->sent_at + LIMITS_PERIOD;
-	if (share->n_returns && share->returned_at + RETURNS_WITHIN < due)
-		due = share->returned_at + RETURNS_WITHIN;
+		due = share->sent_at + REPORT_PERIOD;
+	if (share->n_returns &&
+	    share->first_return_at + RETURNS_DELAY_MAX < due)
+		due = share->first_return_at + RETURNS_DELAY_MAX;
 	return due;
 }
 
 /* Hearing. */
 
-static struct load_share_peer *peer_of(struct load_share *share,
-				       const char *instance)
+static struct load_share_peer *get_peer(struct load_share *share,
+					const char *instance)
 {
 	struct load_share_peer *peer = &share->peers[0];
 	int i;
@@ -172,66 +174,66 @@
 	for (i = 0; i < share->n_peers; i++) {
 		if (!strcmp(share->peers[i].instance, instance))
 			return &share->peers[i];
-		if (share->peers[i].at < peer->at)
+		if (share->peers[i].received_at < peer->received_at)
 			peer = &share->peers[i];
 	}
-	if (share->n_peers < LOAD_SHARE_PEERS)
+	if (share->n_peers < LOAD_SHARE_PEERS_MAX)
 		peer = &share->peers[share->n_peers++];
 	str_copy(peer->instance, sizeof(peer->instance), str_from(instance));
 	return peer;
 }
 
-static void read_load(struct load_told *told, const Peer__ServiceLoad *from,
-		      int64_t now)
+static void read_load(struct service_report *report,
+		      const Peer__ServiceLoad *from, int64_t now)
 {
 	size_t i;
 
-	memset(told, 0, sizeof(*told));
-	told->service = from->service;
-	told->limit = from->limit_us;
-	told->fell_at = now - MSEC(from->age_ms);
+	memset(report, 0, sizeof(*report));
+	report->service = from->service;
+	report->limit = from->limit_us;
+	report->lowered_at = now - MSEC(from->age_ms);
 	for (i = 0; i < from->n_asked_us && i < OUTLOOK_LEVELS; i++)
-		told->asked[i] = from->asked_us[i];
+		report->demand[i] = from->asked_us[i];
 }
 
-static void read_return(struct return_book *book, const Peer__Return *from,
-			int64_t now)
+static void read_return(struct return_schedule *schedule,
+			const Peer__Return *from, int64_t now)
 {
-	const struct return_entry entry = {
+	const struct scheduled_return entry = {
 		.fingerprint = from->fingerprint,
 		.service = from->service,
 		.due = now + MSEC(from->due_in_ms),
 		.cost = from->cost_us,
 		.level = server_outlook_level(from->level),
-		.kept = from->cost_us,
+		.promised = from->cost_us,
 		.taken = from->taken,
 	};
 
-	return_book_told(book, &entry);
+	return_schedule_receive(schedule, &entry);
 }
 
-void load_share_told(struct load_share *share, const char *instance,
-		     const Peer__LoadShare *message)
+void load_share_receive(struct load_share *share, const char *instance,
+			const Peer__LoadShare *message)
 {
 	int64_t now = clock_now(share->clock);
-	struct load_share_peer *peer = peer_of(share, instance);
+	struct load_share_peer *peer = get_peer(share, instance);
 	size_t i;
 
-	peer->at = now;
+	peer->received_at = now;
 	peer->n = 0;
-	for (i = 0; i < message->n_services && i < LOAD_SHARE_SERVICES; i++)
+	for (i = 0; i < message->n_services && i < LOAD_SHARE_SERVICES_MAX; i++)
 		read_load(&peer->services[peer->n++], message->services[i],
 			  now);
-	for (i = 0; i < message->n_returns && i < LOAD_SHARE_RETURNS; i++)
-		read_return(share->book, message->returns[i], now);
+	for (i = 0; i < message->n_returns && i < LOAD_SHARE_RETURNS_MAX; i++)
+		read_return(share->schedule, message->returns[i], now);
 }
 
-static const struct load_told *told_by(const struct load_share_peer *peer,
-				       uint64_t service, int64_t now)
+static const struct service_report *
+find_report(const struct load_share_peer *peer, uint64_t service, int64_t now)
 {
 	int i;
 
-	if (now - peer->at > LOAD_SHARE_VALID)
+	if (now - peer->received_at > LOAD_SHARE_MAX_AGE)
 		return NULL;
 	for (i = 0; i < peer->n; i++) {
 		if (peer->services[i].service == service &&
@@ -243,47 +245,48 @@
 
 static int compare(const void *a, const void *b)
 {
-	double one = *(const double *)a;
-	double other = *(const double *)b;
+	double left = *(const double *)a;
+	double right = *(const double *)b;
 
-	return one < other ? -1 : one > other;
+	return left < right ? -1 : left > right;
 }
 
-void load_share_look(const struct load_share *share, uint64_t service,
-		     struct load_view *out)
+void load_share_peer_load(const struct load_share *share, uint64_t service,
+			  struct peer_load *out)
 {
 	int64_t now = clock_now(share->clock);
-	double ratios[LOAD_SHARE_PEERS];
+	double ratios[LOAD_SHARE_PEERS_MAX];
 	int i;
 	int j;
 
 	memset(out, 0, sizeof(*out));
-	out->n = share->n_others;
+	out->n_instances = share->n_others;
 	for (i = 0; i < share->n_peers; i++) {
-		const struct load_told *told =
-			told_by(&share->peers[i], service, now);
-		double asked = 0;
+		const struct service_report *report =
+			find_report(&share->peers[i], service, now);
+		double demand = 0;
 
-		if (!told)
+		if (!report)
 			continue;
-		out->limit += told->limit;
+		out->limit += report->limit;
 		for (j = 0; j < OUTLOOK_LEVELS; j++) {
-			out->asked[j] += told->asked[j];
-			asked += told->asked[j];
+			out->demand[j] += report->demand[j];
+			demand += report->demand[j];
 		}
-		if (asked > ASKED_LEAST && now - told->fell_at < FELL_LATELY)
-			ratios[out->n_limited++] = told->limit / asked;
+		if (demand > DEMAND_MIN &&
+		    now - report->lowered_at < LOWERED_RECENTLY)
+			ratios[out->n_limited++] = report->limit / demand;
 	}
 	if (!out->n_limited)
 		return;
 	qsort(ratios, (size_t)out->n_limited, sizeof(*ratios), compare);
-	out->ratio = ratios[out->n_limited / 2];
+	out->limit_per_demand = ratios[out->n_limited / 2];
 }
 
 void load_share_adopt(struct load_share *share, const char *service,
-		      struct load_limit *load, struct load_view *out)
+		      struct load_limit *load, struct peer_load *out)
 {
-	load_share_look(share, str_hash(str_from(service)), out);
+	load_share_peer_load(share, str_hash(str_from(service)), out);
 	if (load_limit_adopt(load, out, clock_now(share->clock)) &&
 	    share->ops->adopted)
 		share->ops->adopted(share->arg, service, load, out);
--- a/merge.c
+++ b/merge.c
@@ -17,32 +17,34 @@
 	int i;
 
 	for (i = 0; i < merge->n; i++)
-		free(merge->records[i].memory);
+		free(merge->records[i].buffer);
 	free(merge->records);
 	merge->records = NULL;
 	merge->n = 0;
 }
 
-static struct str from_bytes(ProtobufCBinaryData data)
+static struct str str_from_bytes(ProtobufCBinaryData data)
 {
 	return (struct str){(const char *)data.data, data.len};
 }
 
-static int compare(const struct merge_record *have, const Backend__Record *in)
+static int compare_to_existing(const struct merge_record *existing,
+			       const Backend__Record *in)
 {
-	int cmp = str_cmp(have->sort, from_bytes(in->sort));
+	int cmp = str_cmp(existing->sort, str_from_bytes(in->sort));
 
-	return cmp ? cmp : str_cmp(have->key, from_bytes(in->key));
+	return cmp ? cmp : str_cmp(existing->key, str_from_bytes(in->key));
 }
 
 int merge_compare(const Backend__Record *a, const Backend__Record *b)
 {
-	int cmp = str_cmp(from_bytes(a->sort), from_bytes(b->sort));
+	int cmp = str_cmp(str_from_bytes(a->sort), str_from_bytes(b->sort));
 
-	return cmp ? cmp : str_cmp(from_bytes(a->key), from_bytes(b->key));
+	return cmp ? cmp
+		   : str_cmp(str_from_bytes(a->key), str_from_bytes(b->key));
 }
 
-static struct str place(char **at, ProtobufCBinaryData data)
+static struct str append_bytes(char **at, ProtobufCBinaryData data)
 {
 	struct str s = {*at, data.len};
 
@@ -56,16 +58,16 @@
 {
 	char *at = mem_zalloc(in->sort.len + in->key.len + in->body.len);
 
-	out->memory = at;
-	out->sort = place(&at, in->sort);
-	out->key = place(&at, in->key);
-	out->body = place(&at, in->body);
+	out->buffer = at;
+	out->sort = append_bytes(&at, in->sort);
+	out->key = append_bytes(&at, in->key);
+	out->body = append_bytes(&at, in->body);
 }
 
 static void insert(struct merge *merge, int at, const Backend__Record *in)
 {
 	if (merge->n == merge->limit)
-		free(merge->records[--merge->n].memory);
+		free(merge->records[--merge->n].buffer);
 	memmove(&merge->records[at + 1], &merge->records[at],
 		(size_t)(merge->n - at) * sizeof(*merge->records));
 	copy_record(&merge->records[at], in);
@@ -73,8 +75,8 @@
 }
 
 /* The first place from @from on whose record comes after @in. */
-static int find_place(const struct merge *merge, int from,
-		      const Backend__Record *in)
+static int find_position(const struct merge *merge, int from,
+			 const Backend__Record *in)
 {
 	int lo = from;
 	int hi = merge->n;
@@ -82,7 +84,7 @@
 	while (lo < hi) {
 		int mid = lo + (hi - lo) / 2;
 
-		if (compare(&merge->records[mid], in) <= 0)
+		if (compare_to_existing(&merge->records[mid], in) <= 0)
 			lo = mid + 1;
 		else
 			hi = mid;
@@ -101,7 +103,7 @@
 		merge->records = mem_zalloc((size_t)merge->limit *
 					    sizeof(*merge->records));
 	for (i = 0; i < n; i++) {
-		at = find_place(merge, at, records[i]);
+		at = find_position(merge, at, records[i]);
 		if (at == merge->limit)
 			return;
 		insert(merge, at, records[i]);
--- a/merge.h
+++ b/merge.h
@@ -9,7 +9,7 @@
 	struct str sort;
 	struct str key;
 	struct str body;
-	char *memory; /* the three of them */
+	char *buffer; /* the three of them */
 };
 
 /**
--- a/outage.c
+++ b/outage.c
@@ -14,30 +14,30 @@
  */
 #define CHECK_PERIOD MSEC(50)
 /* At an address that does not answer, a check ends after 250 ms. */
-#define CHECKS_OPEN_MOST 5
+#define OPEN_CHECKS_MAX 5
 /* Nobody asked for the service for so long: its servers are left alone. */
-#define WANTED_FOR MSEC(2000)
+#define CHECK_UNUSED_TIMEOUT MSEC(2000)
 /*
  * An outage of which no end is known lasts about as long again as it has
  * lasted: within these bounds that is when a caller is told to come back.
  */
-#define RETRY_AFTER_LEAST MSEC(100)
-#define RETRY_AFTER_MOST MSEC(5000)
+#define RETRY_AFTER_MIN MSEC(100)
+#define RETRY_AFTER_MAX MSEC(5000)
 
 #define NEVER INT64_MAX
 
 /**
  * struct outage_server - a server that is checked
  * @next_at: when the next check is due; NEVER once it is not checked any more
- * @open: checks that have no result yet
- * @told_lost: what was said of it last
+ * @n_open: checks that have no result yet
+ * @reported_lost: what was said of it last
  */
 struct outage_server {
 	struct registry_server *server;
 	int64_t next_at;
-	int64_t wanted_until;
-	int open;
-	bool told_lost;
+	int64_t needed_until;
+	int n_open;
+	bool reported_lost;
 	struct outage_server *prev;
 	struct outage_server *next;
 };
@@ -51,7 +51,7 @@
 	outage->arg = arg;
 }
 
-static void forget(struct outage *outage, struct outage_server *check)
+static void remove_check(struct outage *outage, struct outage_server *check)
 {
 	DL_DELETE(outage->servers, check);
 	registry_server_unref(check->server);
@@ -61,7 +61,7 @@
 void outage_finish(struct outage *outage)
 {
 	while (outage->servers)
-		forget(outage, outage->servers);
+		remove_check(outage, outage->servers);
 }
 
 static struct outage_server *find(const struct outage *outage,
@@ -77,21 +77,22 @@
 }
 
 /* Says it once if the server came to be taken for lost, or not any more. */
-static void tell(struct outage *outage, struct outage_server *check)
+static void report_change(struct outage *outage, struct outage_server *check)
 {
 	const struct server_score *score = &check->server->score;
 	bool lost = server_score_is_lost(score);
 
-	if (lost == check->told_lost)
+	if (lost == check->reported_lost)
 		return;
-	check->told_lost = lost;
+	check->reported_lost = lost;
 	if (outage->ops->changed)
 		outage->ops->changed(outage->arg, check->server, lost,
 				     clock_now(outage->clock) -
 					     score->lost_since);
 }
 
-static void watch(struct outage *outage, struct registry_server *server)
+static void start_checking(struct outage *outage,
+			   struct registry_server *server)
 {
 	struct outage_server *check = find(outage, server);
 	int64_t now = clock_now(outage->clock);
@@ -104,13 +105,13 @@
 	}
 	if (check->next_at > now + CHECK_PERIOD)
 		check->next_at = now;
-	check->wanted_until = now + WANTED_FOR;
+	check->needed_until = now + CHECK_UNUSED_TIMEOUT;
 }
 
-bool outage_hits(struct outage *outage, const struct registry_service *service,
-		 int64_t *since)
+bool outage_affects(struct outage *outage,
+		    const struct registry_service *service, int64_t *since)
 {
-	bool hit = true;
+	bool affected = true;
 	int i;
 
 	*since = 0;
@@ -120,44 +121,44 @@
 		if (!registry_is_open(server))
 			continue;
 		if (server->score.unreachable)
-			watch(outage, server);
+			start_checking(outage, server);
 		if (!server_score_is_lost(&server->score))
-			hit = false;
+			affected = false;
 		else if (server->score.lost_since > *since)
 			*since = server->score.lost_since;
 	}
-	return hit;
+	return affected;
 }
 
-void outage_checked(struct outage *outage, struct outage_server *check,
-		    bool listens)
+void outage_check_done(struct outage *outage, struct outage_server *check,
+		       bool listens)
 {
 	int64_t now = clock_now(outage->clock);
 
-	check->open--;
+	check->n_open--;
 	if (listens) {
 		server_score_reached(&check->server->score);
 		check->next_at = now;
 	} else if (check->server->score.unreachable) {
 		server_score_unreachable(&check->server->score, now);
 	}
-	if (check->next_at == NEVER && !check->open)
-		forget(outage, check);
+	if (check->next_at == NEVER && !check->n_open)
+		remove_check(outage, check);
 }
 
 /* Return: whether it need not be checked any more. */
-static bool is_done(const struct outage_server *check, int64_t now)
+static bool needs_no_check(const struct outage_server *check, int64_t now)
 {
-	return now >= check->wanted_until || !registry_is_open(check->server) ||
+	return now >= check->needed_until || !registry_is_open(check->server) ||
 	       !check->server->score.unreachable;
 }
 
 static void end_checks(struct outage *outage, struct outage_server *check)
 {
-	tell(outage, check);
+	report_change(outage, check);
 	check->next_at = NEVER;
-	if (!check->open)
-		forget(outage, check);
+	if (!check->n_open)
+		remove_check(outage, check);
 }
 
 void outage_tick(struct outage *outage)
@@ -167,17 +168,17 @@
 	struct outage_server *next;
 
 	DL_FOREACH_SAFE (outage->servers, check, next) {
-		if (is_done(check, now)) {
+		if (needs_no_check(check, now)) {
 			end_checks(outage, check);
 			continue;
 		}
-		tell(outage, check);
+		report_change(outage, check);
 		if (now < check->next_at)
 			continue;
 		check->next_at = now + CHECK_PERIOD;
-		if (check->open >= CHECKS_OPEN_MOST)
+		if (check->n_open >= OPEN_CHECKS_MAX)
 			continue;
-		check->open++;
+		check->n_open++;
 		outage->ops->check(outage->arg, check->server, check);
 	}
 }
@@ -198,9 +199,9 @@
 {
 	int64_t lasted = since ? clock_now(outage->clock) - since : 0;
 
-	if (lasted < RETRY_AFTER_LEAST)
-		lasted = RETRY_AFTER_LEAST;
-	if (lasted > RETRY_AFTER_MOST)
-		lasted = RETRY_AFTER_MOST;
+	if (lasted < RETRY_AFTER_MIN)
+		lasted = RETRY_AFTER_MIN;
+	if (lasted > RETRY_AFTER_MAX)
+		lasted = RETRY_AFTER_MAX;
 	return lasted / USEC_PER_MSEC;
 }
--- a/peak.h
+++ b/peak.h
@@ -10,15 +10,15 @@
 /**
  * struct peak - the greatest value of the last @span to twice @span
  * @span: microseconds
- * @since: of @current, microseconds
+ * @span_start: of @current, microseconds
  * @current: the greatest since then
- * @before: the greatest of the span before
+ * @previous: the greatest of the span before
  */
 struct peak {
 	int64_t span;
-	int64_t since;
+	int64_t span_start;
 	int current;
-	int before;
+	int previous;
 };
 
 void peak_init(struct peak *peak, int64_t span, int value, int64_t now);
--- a/policy.c
+++ b/policy.c
@@ -5,13 +5,13 @@
 #include "error.h"
 #include "hedge.h"
 
-#define RETRY_WAIT_US MSEC(5)
+#define RETRY_DELAY_US MSEC(5)
 #define RETRY_DOUBLINGS_MAX 6
 /* When a budget is used up and there is time: how soon to ask it again. */
-#define BUDGET_WAIT_US MSEC(20)
+#define BUDGET_RETRY_DELAY_US MSEC(20)
 #define RETRY_COST_MAX 10.0
-#define GONE_RATIO 0.5
-#define PLAIN_ATTEMPTS 3
+#define UNAVAILABLE_RATIO 0.5
+#define PLAIN_ATTEMPTS_MAX 3
 
 void policy_init(struct policy *policy, const struct clock *clock,
 		 uint64_t seed)
@@ -58,34 +58,35 @@
 	};
 }
 
-static struct observe_service *seen_of(const struct policy *policy,
-				       const struct service *service)
+static struct observe_service *find_stats(const struct policy *policy,
+					  const struct service *service)
 {
 	return observe_service(&policy->observe, str_from(service->name));
 }
 
-void policy_needed(struct policy *policy, const struct service *service, int n)
+void policy_count_needed(struct policy *policy, const struct service *service,
+			 int n)
 {
-	struct observe_service *seen = seen_of(policy, service);
+	struct observe_service *stats = find_stats(policy, service);
 	struct budget_limit hedges = hedge_limit(policy, service);
 	struct budget_limit retries = retry_limit(policy, service);
 	int64_t now = clock_now(policy->observe.clock);
 
-	if (!seen)
+	if (!stats)
 		return;
-	budget_need(&seen->hedges, &hedges, n, now);
-	budget_need(&seen->retries, &retries, n, now);
+	budget_count_needed(&stats->hedges, &hedges, n, now);
+	budget_count_needed(&stats->retries, &retries, n, now);
 }
 
-void policy_sent(struct policy *policy, struct observe_server *server,
-		 uint64_t instance)
+void policy_request_sent(struct policy *policy, struct observe_server *server,
+			 uint64_t instance)
 {
 	observe_sent(&policy->observe, server, instance);
 }
 
-void policy_done(struct policy *policy, struct observe_server *server,
-		 uint64_t instance, bool was_late,
-		 const struct observe_result *result)
+void policy_request_done(struct policy *policy, struct observe_server *server,
+			 uint64_t instance, bool was_late,
+			 const struct observe_result *result)
 {
 	observe_done(&policy->observe, server, instance, was_late, result);
 	replica_review(&policy->observe, server,
@@ -93,21 +94,22 @@
 		       result->elapsed_us);
 }
 
-void policy_unsent(struct policy *policy, const struct service *service)
+void policy_hedge_cancelled(struct policy *policy,
+			    const struct service *service)
 {
-	struct observe_service *seen = seen_of(policy, service);
+	struct observe_service *stats = find_stats(policy, service);
 
-	if (seen)
-		budget_refund(&seen->hedges);
+	if (stats)
+		budget_refund(&stats->hedges);
 }
 
-void policy_searched(struct policy *policy, const struct service *service,
-		     int64_t elapsed_us)
+void policy_search_done(struct policy *policy, const struct service *service,
+			int64_t elapsed_us)
 {
-	struct observe_service *seen = seen_of(policy, service);
+	struct observe_service *stats = find_stats(policy, service);
 
-	if (seen)
-		observe_searched(&policy->observe, seen, elapsed_us);
+	if (stats)
+		observe_searched(&policy->observe, stats, elapsed_us);
 }
 
 /*
@@ -124,7 +126,7 @@
 	const struct observe_server *server = n ? replicas[0].server : NULL;
 
 	if (ret == ERR_SHED && server &&
-	    observe_service_accept_ratio(server->service) < GONE_RATIO)
+	    observe_service_accept_ratio(server->service) < UNAVAILABLE_RATIO)
 		*when = INT64_MAX;
 	return ret;
 }
@@ -145,22 +147,22 @@
  */
 static bool adaptive_hedge(struct policy *policy, const struct service *service,
 			   const struct replica *target, int attempts,
-			   bool told, int64_t deadline)
+			   bool reported_slow, int64_t deadline)
 {
-	struct observe_service *seen = seen_of(policy, service);
+	struct observe_service *stats = find_stats(policy, service);
 	struct budget_limit limit = hedge_limit(policy, service);
 	int64_t now = clock_now(policy->observe.clock);
 
-	if (!seen || attempts >= policy->observe.tunables.attempts_max ||
+	if (!stats || attempts >= policy->observe.tunables.attempts_max ||
 	    !hedge_useful(&policy->observe, target, deadline))
 		return false;
-	if (!told && !budget_is_half_full(&seen->hedges, &limit, now))
+	if (!reported_slow && !budget_is_half_full(&stats->hedges, &limit, now))
 		return false;
-	return budget_take(&seen->hedges, &limit, 1, now);
+	return budget_take(&stats->hedges, &limit, 1, now);
 }
 
 /* Whether asking again can bring another answer. */
-static bool may_help(int code)
+static bool is_retryable(int code)
 {
 	switch (code) {
 	case ERR_BAD_REQUEST:
@@ -179,18 +181,18 @@
  * go on in step would hit the servers in waves, so later waits have chance in
  * them. Servers that shed are left out by the choice, not by this wait.
  */
-static int64_t retry_wait(struct policy *policy,
-			  const struct policy_failure *failure)
+static int64_t retry_delay(struct policy *policy,
+			   const struct policy_failure *failure)
 {
 	int doublings = failure->attempts - 1;
-	bool missed = observe_outcome_of(failure->code, failure->sent) ==
-		      OBSERVE_NOT_HELD;
+	bool not_held = observe_outcome_of(failure->code, failure->sent) ==
+			OBSERVE_NOT_HELD;
 
-	if (doublings < 1 || missed)
+	if (doublings < 1 || not_held)
 		return 0;
 	if (doublings > RETRY_DOUBLINGS_MAX)
 		doublings = RETRY_DOUBLINGS_MAX;
-	return (int64_t)((double)(RETRY_WAIT_US << doublings) *
+	return (int64_t)((double)(RETRY_DELAY_US << doublings) *
 			 (1 + rng_unit(&policy->rng)));
 }
 
@@ -199,7 +201,7 @@
  * closed and a lost home is not asked again, so that each can cost only one
  * request in flight. None of these needs the budget.
  */
-static bool is_free(const struct policy_failure *failure)
+static bool needs_no_budget(const struct policy_failure *failure)
 {
 	switch (observe_outcome_of(failure->code, failure->sent)) {
 	case OBSERVE_SILENT:
@@ -216,9 +218,9 @@
  * The less a service answers, the less a retry helps, and the more each one
  * costs: when all of it is gone, next to none are made.
  */
-static double retry_cost(const struct observe_service *seen)
+static double retry_cost(const struct observe_service *stats)
 {
-	double cost = 1 / observe_service_accept_ratio(seen);
+	double cost = 1 / observe_service_accept_ratio(stats);
 
 	return cost < RETRY_COST_MAX ? cost : RETRY_COST_MAX;
 }
@@ -228,14 +230,15 @@
  * the service as a whole is gone: then the answer is given at once.
  */
 static int out_of_budget(const struct service *service,
-			 const struct observe_service *seen,
+			 const struct observe_service *stats,
 			 const struct policy_failure *failure, int64_t *when)
 {
-	bool gone = observe_service_accept_ratio(seen) < GONE_RATIO;
+	bool unavailable =
+		observe_service_accept_ratio(stats) < UNAVAILABLE_RATIO;
 
-	*when += BUDGET_WAIT_US;
+	*when += BUDGET_RETRY_DELAY_US;
 	if (*when >= failure->deadline ||
-	    (gone && service->mode == SERVICE_LATENCY))
+	    (unavailable && service->mode == SERVICE_LATENCY))
 		*when = INT64_MAX;
 	return ERR_BUDGET;
 }
@@ -243,31 +246,32 @@
 static int adaptive_retry(struct policy *policy, const struct service *service,
 			  const struct policy_failure *failure, int64_t *when)
 {
-	struct observe_service *seen = seen_of(policy, service);
+	struct observe_service *stats = find_stats(policy, service);
 	struct budget_limit limit = retry_limit(policy, service);
 	int64_t now = clock_now(policy->observe.clock);
 
-	if (!may_help(failure->code) || !seen ||
+	if (!is_retryable(failure->code) || !stats ||
 	    failure->attempts >= policy->observe.tunables.attempts_max)
 		return failure->code;
-	*when = now + retry_wait(policy, failure);
+	*when = now + retry_delay(policy, failure);
 	if (*when >= failure->deadline)
 		return ERR_TOO_LATE;
-	if (is_free(failure) ||
-	    budget_take(&seen->retries, &limit, retry_cost(seen), now))
+	if (needs_no_budget(failure) ||
+	    budget_take(&stats->retries, &limit, retry_cost(stats), now))
 		return 0;
-	return out_of_budget(service, seen, failure, when);
+	return out_of_budget(service, stats, failure, when);
 }
 
 static int64_t adaptive_answer_after(struct policy *policy,
 				     const struct service *service,
 				     int64_t deadline_us)
 {
-	struct observe_service *seen = seen_of(policy, service);
+	struct observe_service *stats = find_stats(policy, service);
 
-	if (!seen)
+	if (!stats)
 		return deadline_us;
-	return hedge_answer_after(&policy->observe, service, seen, deadline_us);
+	return hedge_answer_after(&policy->observe, service, stats,
+				  deadline_us);
 }
 
 const struct policy_ops policy_adaptive = {
@@ -283,20 +287,20 @@
 			int n, bool urgent, struct replica_pick *pick,
 			int64_t *when)
 {
-	int left = 0;
+	int n_eligible = 0;
 	int i;
 
 	(void)urgent;
 	(void)when;
 	for (i = 0; i < n; i++)
-		left += !replicas[i].excluded && replicas[i].n_homes;
-	if (!left)
+		n_eligible += !replicas[i].excluded && replicas[i].n_homes;
+	if (!n_eligible)
 		return ERR_NO_REPLICA;
-	left = (int)(rng_next(&policy->rng) % (uint64_t)left);
+	n_eligible = (int)(rng_next(&policy->rng) % (uint64_t)n_eligible);
 	for (i = 0; i < n; i++) {
 		if (replicas[i].excluded || !replicas[i].n_homes)
 			continue;
-		if (!left--)
+		if (!n_eligible--)
 			break;
 	}
 	pick->replica = i;
@@ -322,14 +326,14 @@
 }
 
 static bool plain_hedge(struct policy *policy, const struct service *service,
-			const struct replica *target, int attempts, bool told,
-			int64_t deadline)
+			const struct replica *target, int attempts,
+			bool reported_slow, int64_t deadline)
 {
 	(void)policy;
 	(void)service;
 	(void)target;
 	(void)attempts;
-	(void)told;
+	(void)reported_slow;
 	(void)deadline;
 	return false;
 }
@@ -338,7 +342,8 @@
 		       const struct policy_failure *failure, int64_t *when)
 {
 	(void)service;
-	if (!may_help(failure->code) || failure->attempts >= PLAIN_ATTEMPTS)
+	if (!is_retryable(failure->code) ||
+	    failure->attempts >= PLAIN_ATTEMPTS_MAX)
 		return failure->code;
 	*when = clock_now(policy->observe.clock);
 	return *when < failure->deadline ? 0 : ERR_TOO_LATE;
--- a/retry_share.c
+++ b/retry_share.c
@@ -11,7 +11,7 @@
  * over all instances without coordination. This factor keeps a margin below the
  * configured ratio.
  */
-#define RETRY_RATIO_KEPT 0.95
+#define RATIO_MARGIN 0.95
 /*
  * Decay time of saved tokens in instances without a share of the slack, as a
  * fraction of the window. This bound adds up without coordination, too.
@@ -25,26 +25,26 @@
 #define RESERVE_SLACK_RATIO 0.5
 #define RESERVE_MAX 1
 /* The entries divide this fraction of the slack, less the reserves. */
-#define RETRY_SLACK_KEPT 0.9
+#define SLACK_MARGIN 0.9
 /*
  * Each entry may save up this fraction of its share. The remainder is granted
  * at a constant rate, once per window in total.
  */
 #define SAVED_SHARE_RATIO 0.55
 /* Minimum divisor: a new or isolated instance does not know the others. */
-#define ENTRIES_LEAST 4
+#define ENTRIES_MIN 4
 /*
  * The slack is divided by at least the peak number of entries within one to two
  * of these spans: callers keep an address for 15 s at most, and second sends
  * are counted over 10 s and the 10 s before.
  */
-#define ENTRIES_SPAN MSEC(40000)
+#define ENTRIES_PEAK_SPAN MSEC(40000)
 
 void retry_share_init(struct retry_share *share, int64_t now)
 {
 	memset(share, 0, sizeof(*share));
-	peak_init(&share->entries, ENTRIES_SPAN, ENTRIES_LEAST, now);
-	share->entries_peak = ENTRIES_LEAST;
+	peak_init(&share->entries, ENTRIES_PEAK_SPAN, ENTRIES_MIN, now);
+	share->entries_peak = ENTRIES_MIN;
 	share->started_at = now;
 }
 
@@ -79,16 +79,15 @@
 
 	update_maxima(share, membership, past_first_window, now);
 	members = fmax(1, fmax(membership->members, share->members_max));
-	share->divisor = (int)fmax(ENTRIES_LEAST, fmax(share->entries_peak,
-						       share->entries_max));
+	share->divisor = (int)fmax(ENTRIES_MIN, fmax(share->entries_peak,
+						     share->entries_max));
 	/* An instance that has never known another one may be isolated. */
 	has_slack_share = past_first_window && membership->is_entry &&
 			  share->members_max > 1;
-	limit->ratio = settings->ratio * RETRY_RATIO_KEPT;
+	limit->ratio = settings->ratio * RATIO_MARGIN;
 	limit->reserve = fmin(RESERVE_MAX,
 			      settings->slack * RESERVE_SLACK_RATIO / members);
-	slack_share =
-		settings->slack * RETRY_SLACK_KEPT - limit->reserve * members;
+	slack_share = settings->slack * SLACK_MARGIN - limit->reserve * members;
 	slack_share = fmax(0, slack_share) / share->divisor;
 	limit->burst = slack_share * SAVED_SHARE_RATIO;
 	limit->decay_time = settings->window;
--- a/sketch.c
+++ b/sketch.c
@@ -2,23 +2,23 @@
 
 #include <math.h>
 
-#define LOWEST_US 64.0
+#define BUCKET_MIN_US 64.0
 /* Weights are brought back to 1 before floats lose precision. */
-#define HALVINGS_MAX 16.0
+#define RESCALE_HALVINGS 16.0
 
 static int bucket_of(int64_t usec)
 {
 	int bucket;
 
-	if ((double)usec <= LOWEST_US)
+	if ((double)usec <= BUCKET_MIN_US)
 		return 0;
-	bucket = (int)(log2((double)usec / LOWEST_US) * SKETCH_STEPS);
+	bucket = (int)(log2((double)usec / BUCKET_MIN_US) * SKETCH_STEPS);
 	return bucket < SKETCH_BUCKETS ? bucket : SKETCH_BUCKETS - 1;
 }
 
 static double bucket_start(double bucket)
 {
-	return LOWEST_US * exp2(bucket / SKETCH_STEPS);
+	return BUCKET_MIN_US * exp2(bucket / SKETCH_STEPS);
 }
 
 static void rescale(struct sketch *sketch, double halvings, int64_t now)
@@ -41,7 +41,7 @@
 	if (sketch->total <= 0)
 		sketch->epoch = now;
 	halvings = (double)(now - sketch->epoch) / (double)half_life;
-	if (halvings > HALVINGS_MAX) {
+	if (halvings > RESCALE_HALVINGS) {
 		rescale(sketch, halvings, now);
 		halvings = 0;
 	}
@@ -60,7 +60,7 @@
 int64_t sketch_quantile(const struct sketch *sketch, double q)
 {
 	double rank = q * (double)sketch->total;
-	double seen = 0;
+	double cumulative = 0;
 	int i;
 
 	if (sketch->total <= 0)
@@ -68,10 +68,10 @@
 	for (i = 0; i < SKETCH_BUCKETS; i++) {
 		double weight = (double)sketch->weights[i];
 
-		if (weight > 0 && seen + weight >= rank)
-			return (int64_t)bucket_start(i +
-						     (rank - seen) / weight);
-		seen += weight;
+		if (weight > 0 && cumulative + weight >= rank)
+			return (int64_t)bucket_start(i + (rank - cumulative) /
+								 weight);
+		cumulative += weight;
 	}
 	return (int64_t)bucket_start(SKETCH_BUCKETS);
 }
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -29,7 +29,7 @@
 }
 
 /* Single decisions, with requests that only note what happened to them. */
-struct note {
+struct test_request {
 	struct admission_request base;
 	int started;
 	int refused;
@@ -37,24 +37,24 @@
 	int order;
 };
 
-static int note_order;
+static int last_start_order;
 
-static void note_start(struct admission_request *request)
+static void record_start(struct admission_request *request)
 {
-	struct note *note = (struct note *)request;
+	struct test_request *test_request = (struct test_request *)request;
 
-	note->started++;
-	note->order = ++note_order;
+	test_request->started++;
+	test_request->order = ++last_start_order;
 }
 
-static void note_refuse(struct admission_request *request, int code,
-			uint32_t retry_after_ms)
+static void record_refusal(struct admission_request *request, int code,
+			   uint32_t retry_after_ms)
 {
-	struct note *note = (struct note *)request;
+	struct test_request *test_request = (struct test_request *)request;
 
 	CU_ASSERT_EQUAL(code, ERR_OVERLOAD);
-	note->refused++;
-	note->retry_after_ms = retry_after_ms;
+	test_request->refused++;
+	test_request->retry_after_ms = retry_after_ms;
 }
 
 struct fixture {
@@ -66,74 +66,77 @@
 {
 	struct admission_tunables tunables = {
 		.queue_max = queue_max,
-		.target = 0.1,
+		.wait_target_ratio = 0.1,
 		.floor = 0.02,
 		.lag_target = MSEC(20),
 	};
 
 	random_state = 7;
-	note_order = 0;
+	last_start_order = 0;
 	clock_init_paused(&f->clock, MSEC(1000));
 	admission_init(&f->admission, &f->clock, next_random);
 	admission_set_tunables(&f->admission, &tunables);
 }
 
-static int enter(struct fixture *f, struct note *note, const char *service,
-		 const char *workspace, int priority, int64_t weight)
+static int enter(struct fixture *f, struct test_request *test_request,
+		 const char *service, const char *workspace, int priority,
+		 int64_t weight)
 {
-	memset(note, 0, sizeof(*note));
-	note->base.service = str_from(service);
-	note->base.workspace = str_from(workspace);
-	note->base.priority = priority;
-	note->base.weight = weight;
-	note->base.slo_latency = MSEC(500);
-	note->base.deadline = clock_now(&f->clock) + MSEC(1000);
-	note->base.start = note_start;
-	note->base.refuse = note_refuse;
-	return admission_enter(&f->admission, &note->base,
-			       &note->retry_after_ms);
+	memset(test_request, 0, sizeof(*test_request));
+	test_request->base.service = str_from(service);
+	test_request->base.workspace = str_from(workspace);
+	test_request->base.priority = priority;
+	test_request->base.weight = weight;
+	test_request->base.slo_latency = MSEC(500);
+	test_request->base.deadline = clock_now(&f->clock) + MSEC(1000);
+	test_request->base.start = record_start;
+	test_request->base.refuse = record_refusal;
+	return admission_enter(&f->admission, &test_request->base,
+			       &test_request->retry_after_ms);
 }
 
-static void leave(struct fixture *f, struct note *note, int64_t wait)
+static void leave(struct fixture *f, struct test_request *test_request,
+		  int64_t wait)
 {
 	struct admission_sample sample = {.wait = wait};
 
-	admission_leave(&f->admission, &note->base, &sample);
+	admission_leave(&f->admission, &test_request->base, &sample);
 }
 
-#define MANY 40
+#define N_REQUESTS 40
 
 /* One request runs and holds all the room there is; others wait behind it. */
-static void fill(struct fixture *f, struct note *blocker)
+static void block_instance(struct fixture *f, struct test_request *blocker)
 {
 	setup(f, 1000);
-	f->admission.whole.limit = 1;
+	f->admission.instance_limit.limit = 1;
 	CU_ASSERT_EQUAL(enter(f, blocker, "blocker", "", 0, 1),
 			ADMISSION_STARTED);
 }
 
-static void empty(struct fixture *f, struct note *notes, int n)
+static void leave_all(struct fixture *f, struct test_request *requests, int n)
 {
 	int i;
 
 	for (i = 0; i < n; i++)
-		admission_leave(&f->admission, &notes[i].base, NULL);
+		admission_leave(&f->admission, &requests[i].base, NULL);
 	admission_finish(&f->admission);
 }
 
 /* Start all that wait, one after the other. */
-static void serve_all(struct fixture *f, struct note *blocker,
-		      struct note *notes, int n)
+static void serve_all(struct fixture *f, struct test_request *blocker,
+		      struct test_request *requests, int n)
 {
-	struct note *running = blocker;
+	struct test_request *running = blocker;
 	int i;
 
 	while (running) {
 		leave(f, running, 0);
 		running = NULL;
 		for (i = 0; i < n; i++) {
-			if (notes[i].started && notes[i].base.at)
-				running = &notes[i];
+			if (requests[i].started &&
+			    requests[i].base.service_state)
+				running = &requests[i];
 		}
 	}
 }
@@ -144,40 +147,40 @@
  */
 static void test_priority(void)
 {
-	struct note notes[3];
-	struct note blocker;
+	struct test_request requests[3];
+	struct test_request blocker;
 	struct fixture f;
 
-	fill(&f, &blocker);
-	CU_ASSERT_EQUAL(enter(&f, &notes[0], "reporting", "", 9, 10),
+	block_instance(&f, &blocker);
+	CU_ASSERT_EQUAL(enter(&f, &requests[0], "reporting", "", 9, 10),
 			ADMISSION_QUEUED);
-	enter(&f, &notes[1], "portal", "", 5, 10);
-	enter(&f, &notes[2], "desk", "", 0, 10);
-	serve_all(&f, &blocker, notes, 3);
-	CU_ASSERT_EQUAL(notes[2].order, 1);
-	CU_ASSERT_EQUAL(notes[1].order, 2);
-	CU_ASSERT_EQUAL(notes[0].order, 3);
-	empty(&f, notes, 3);
+	enter(&f, &requests[1], "portal", "", 5, 10);
+	enter(&f, &requests[2], "desk", "", 0, 10);
+	serve_all(&f, &blocker, requests, 3);
+	CU_ASSERT_EQUAL(requests[2].order, 1);
+	CU_ASSERT_EQUAL(requests[1].order, 2);
+	CU_ASSERT_EQUAL(requests[0].order, 3);
+	leave_all(&f, requests, 3);
 }
 
 /* Of two services of one priority the one of weight 3 gets 3 of 4 starts. */
 static void test_weights(void)
 {
-	struct note notes[MANY];
-	struct note blocker;
+	struct test_request requests[N_REQUESTS];
+	struct test_request blocker;
 	struct fixture f;
 	int heavy = 0;
 	int i;
 
-	fill(&f, &blocker);
-	for (i = 0; i < MANY; i++)
-		enter(&f, &notes[i], i % 2 ? "heavy" : "light", "", 5,
+	block_instance(&f, &blocker);
+	for (i = 0; i < N_REQUESTS; i++)
+		enter(&f, &requests[i], i % 2 ? "heavy" : "light", "", 5,
 		      i % 2 ? 30 : 10);
-	serve_all(&f, &blocker, notes, MANY);
-	for (i = 0; i < MANY; i++)
-		heavy += i % 2 && notes[i].order <= MANY / 2;
+	serve_all(&f, &blocker, requests, N_REQUESTS);
+	for (i = 0; i < N_REQUESTS; i++)
+		heavy += i % 2 && requests[i].order <= N_REQUESTS / 2;
 	CU_ASSERT(heavy >= 14 && heavy <= 16);
-	empty(&f, notes, MANY);
+	leave_all(&f, requests, N_REQUESTS);
 }
 
 /*
@@ -186,18 +189,18 @@
  */
 static void test_workspaces(void)
 {
-	struct note notes[MANY];
-	struct note blocker;
+	struct test_request requests[N_REQUESTS];
+	struct test_request blocker;
 	struct fixture f;
 	int i;
 
-	fill(&f, &blocker);
-	for (i = 0; i < MANY; i++)
-		enter(&f, &notes[i], "desk", i == MANY - 1 ? "small" : "large",
-		      5, 10);
-	serve_all(&f, &blocker, notes, MANY);
-	CU_ASSERT(notes[MANY - 1].order <= 2);
-	empty(&f, notes, MANY);
+	block_instance(&f, &blocker);
+	for (i = 0; i < N_REQUESTS; i++)
+		enter(&f, &requests[i], "desk",
+		      i == N_REQUESTS - 1 ? "small" : "large", 5, 10);
+	serve_all(&f, &blocker, requests, N_REQUESTS);
+	CU_ASSERT(requests[N_REQUESTS - 1].order <= 2);
+	leave_all(&f, requests, N_REQUESTS);
 }
 
 /*
@@ -206,12 +209,12 @@
  */
 static void test_floor(void)
 {
-	struct note urgent[2];
-	struct note low;
+	struct test_request urgent[2];
+	struct test_request low;
 	struct fixture f;
 	int i;
 
-	fill(&f, &urgent[0]);
+	block_instance(&f, &urgent[0]);
 	enter(&f, &low, "reporting", "", 9, 10);
 	for (i = 1; i < 200 && !low.started; i++) {
 		enter(&f, &urgent[i % 2], "desk", "", 0, 10);
@@ -222,56 +225,57 @@
 	CU_ASSERT(low.started);
 	CU_ASSERT(i >= 40 && i <= 60);
 	admission_leave(&f.admission, &low.base, NULL);
-	empty(&f, urgent, 2);
+	leave_all(&f, urgent, 2);
 }
 
 /*
  * The instance is full of searches of one workspace. An urgent search makes
  * room for itself, one of a small service does, one more of the large does not.
  */
-static void test_make_room(void)
+static void test_full_instance(void)
 {
-	struct note notes[4];
-	struct note blocker;
-	struct note urgent;
-	struct note small;
-	struct note more;
+	struct test_request requests[4];
+	struct test_request blocker;
+	struct test_request urgent;
+	struct test_request small;
+	struct test_request another;
 	struct fixture f;
 	int i;
 
-	fill(&f, &blocker);
+	block_instance(&f, &blocker);
 	f.admission.tunables.queue_max = 5;
 	for (i = 0; i < 4; i++)
-		CU_ASSERT_EQUAL(enter(&f, &notes[i], "large", "", 5, 10),
+		CU_ASSERT_EQUAL(enter(&f, &requests[i], "large", "", 5, 10),
 				ADMISSION_QUEUED);
-	CU_ASSERT_EQUAL(enter(&f, &more, "large", "", 5, 10), ERR_OVERLOAD);
-	CU_ASSERT(more.retry_after_ms > 0);
+	CU_ASSERT_EQUAL(enter(&f, &another, "large", "", 5, 10), ERR_OVERLOAD);
+	CU_ASSERT(another.retry_after_ms > 0);
 	CU_ASSERT_EQUAL(enter(&f, &small, "small", "", 5, 10),
 			ADMISSION_QUEUED);
-	CU_ASSERT_EQUAL(notes[3].refused, 1);
+	CU_ASSERT_EQUAL(requests[3].refused, 1);
 	CU_ASSERT_EQUAL(enter(&f, &urgent, "desk", "", 0, 10),
 			ADMISSION_QUEUED);
-	CU_ASSERT_EQUAL(notes[2].refused, 1);
-	CU_ASSERT_EQUAL(enter(&f, &more, "reporting", "", 9, 10), ERR_OVERLOAD);
-	CU_ASSERT_EQUAL(notes[1].refused + notes[0].refused, 0);
+	CU_ASSERT_EQUAL(requests[2].refused, 1);
+	CU_ASSERT_EQUAL(enter(&f, &another, "reporting", "", 9, 10),
+			ERR_OVERLOAD);
+	CU_ASSERT_EQUAL(requests[1].refused + requests[0].refused, 0);
 	admission_leave(&f.admission, &blocker.base, NULL);
 	admission_leave(&f.admission, &small.base, NULL);
 	admission_leave(&f.admission, &urgent.base, NULL);
-	empty(&f, notes, 4);
+	leave_all(&f, requests, 4);
 }
 
 /*
  * A search waits until it can't be answered in time any more. It is refused
  * then, as not run, not at its deadline.
  */
-static void test_late(void)
+static void test_refused_before_deadline(void)
 {
-	struct note blocker;
-	struct note waiting;
+	struct test_request blocker;
+	struct test_request waiting;
 	struct fixture f;
 
 	setup(&f, 1000);
-	f.admission.whole.limit = 1;
+	f.admission.instance_limit.limit = 1;
 	enter(&f, &blocker, "desk", "", 5, 10);
 	clock_advance(&f.clock, MSEC(100));
 	leave(&f, &blocker, 0);
@@ -284,34 +288,37 @@
 	clock_advance(&f.clock, MSEC(20));
 	admission_tick(&f.admission);
 	CU_ASSERT_EQUAL(waiting.refused, 1);
-	empty(&f, &blocker, 1);
+	leave_all(&f, &blocker, 1);
 }
 
 /* Those refused together must not come back together. */
-static void test_spread(void)
+static void test_retry_after_is_random(void)
 {
-	struct note blocker;
-	struct note note;
+	struct test_request blocker;
+	struct test_request test_request;
 	uint32_t least = UINT32_MAX;
 	uint32_t most = 0;
 	struct fixture f;
 	int i;
 
-	fill(&f, &blocker);
+	block_instance(&f, &blocker);
 	f.admission.tunables.queue_max = 1;
 	for (i = 0; i < 3000; i++) {
 		clock_advance(&f.clock, MSEC(1));
-		CU_ASSERT_EQUAL(enter(&f, &note, "desk", "", 5, 10),
+		CU_ASSERT_EQUAL(enter(&f, &test_request, "desk", "", 5, 10),
 				ERR_OVERLOAD);
 		if (i < 2000)
 			continue;
-		least = note.retry_after_ms < least ? note.retry_after_ms
-						    : least;
-		most = note.retry_after_ms > most ? note.retry_after_ms : most;
+		least = test_request.retry_after_ms < least
+				? test_request.retry_after_ms
+				: least;
+		most = test_request.retry_after_ms > most
+			       ? test_request.retry_after_ms
+			       : most;
 	}
 	CU_ASSERT(most > 2 * least);
 	CU_ASSERT(most <= 15000);
-	empty(&f, &blocker, 1);
+	leave_all(&f, &blocker, 1);
 }
 
 /* The event loop is late all the time: the instance starts less. */
@@ -323,16 +330,16 @@
 	setup(&f, 1000);
 	for (i = 0; i < 400; i++) {
 		clock_advance(&f.clock, MSEC(10));
-		admission_lag(&f.admission, MSEC(100));
+		admission_add_lag(&f.admission, MSEC(100));
 	}
-	CU_ASSERT(f.admission.whole.limit < 10);
-	f.admission.whole.full = true;
+	CU_ASSERT(f.admission.instance_limit.limit < 10);
+	f.admission.instance_limit.was_full = true;
 	for (i = 0; i < 4000; i++) {
 		clock_advance(&f.clock, MSEC(10));
-		f.admission.whole.full = true;
-		admission_lag(&f.admission, 0);
+		f.admission.instance_limit.was_full = true;
+		admission_add_lag(&f.admission, 0);
 	}
-	CU_ASSERT_EQUAL(f.admission.whole.limit, 1000);
+	CU_ASSERT_EQUAL(f.admission.instance_limit.limit, 1000);
 	admission_finish(&f.admission);
 }
 
@@ -362,9 +369,9 @@
 	struct model *model;
 	int service;
 	int entry;
-	int64_t arrived;
-	int64_t served;
-	int64_t ends;
+	int64_t arrived_at;
+	int64_t service_time;
+	int64_t ends_at;
 	bool waits; /* in admission */
 	struct job *prev;
 	struct job *next;
@@ -373,7 +380,7 @@
 struct pool {
 	struct slot_queue queue;
 	struct job *running;
-	struct job *plain; /* first come, first served */
+	struct job *fifo; /* first come, first served */
 	int busy;
 };
 
@@ -391,10 +398,10 @@
 	struct clock clock;
 	struct admission entries[ENTRIES];
 	struct pool pools[POOLS];
-	struct count counts[POOLS];
+	struct count is_measured[POOLS];
 	double rate[POOLS]; /* a second */
 	int64_t next_arrival[POOLS];
-	bool plain;
+	bool baseline;
 	bool shared; /* all services on the first pool */
 };
 
@@ -403,18 +410,18 @@
 	return &model->pools[model->shared ? 0 : job->service];
 }
 
-static bool counts(const struct model *model, const struct job *job)
+static bool is_measured(const struct model *model, const struct job *job)
 {
 	(void)model;
-	return job->arrived >= WARM_UP;
+	return job->arrived_at >= WARM_UP;
 }
 
 static void end_job(struct model *model, struct job *job, bool answered)
 {
-	struct count *count = &model->counts[job->service];
-	int64_t latency = clock_now(&model->clock) - job->arrived;
+	struct count *count = &model->is_measured[job->service];
+	int64_t latency = clock_now(&model->clock) - job->arrived_at;
 
-	if (!counts(model, job)) {
+	if (!is_measured(model, job)) {
 		free(job);
 		return;
 	}
@@ -432,7 +439,7 @@
 static void leave_entry(struct model *model, struct job *job,
 			struct admission_sample sample)
 {
-	if (!model->plain)
+	if (!model->baseline)
 		admission_leave(&model->entries[job->entry], &job->base,
 				&sample);
 }
@@ -455,11 +462,11 @@
 static struct job *take_job(struct model *model, struct pool *pool)
 {
 	struct slot_item *item;
-	struct job *job = pool->plain;
+	struct job *job = pool->fifo;
 
-	if (model->plain) {
+	if (model->baseline) {
 		if (job)
-			DL_DELETE(pool->plain, job);
+			DL_DELETE(pool->fifo, job);
 		return job;
 	}
 	item = slot_queue_pop(&pool->queue, on_drop, model);
@@ -474,15 +481,16 @@
 
 	while (pool->busy < SLOTS && (job = take_job(model, pool))) {
 		job->item.pushed = now - job->item.pushed; /* now its wait */
-		job->served = SERVE_MIN + (int64_t)(unit_random() *
-						    (SERVE_MAX - SERVE_MIN));
-		job->ends = now + job->served;
+		job->service_time =
+			SERVE_MIN +
+			(int64_t)(unit_random() * (SERVE_MAX - SERVE_MIN));
+		job->ends_at = now + job->service_time;
 		DL_APPEND(pool->running, job);
 		pool->busy++;
 	}
 }
 
-static void to_pool(struct job *job)
+static void send_to_pool(struct job *job)
 {
 	struct model *model = job->model;
 	struct pool *pool = pool_of(model, job);
@@ -493,9 +501,9 @@
 	job->item.goal = job->base.deadline;
 	job->item.deadline = job->base.deadline;
 	job->item.cost = 1;
-	if (model->plain) {
+	if (model->baseline) {
 		job->item.pushed = clock_now(&model->clock);
-		DL_APPEND(pool->plain, job);
+		DL_APPEND(pool->fifo, job);
 		return;
 	}
 	code = slot_queue_push(&pool->queue, &job->item, on_drop, model);
@@ -505,7 +513,7 @@
 
 static void job_start(struct admission_request *base)
 {
-	to_pool((struct job *)base);
+	send_to_pool((struct job *)base);
 }
 
 static void job_refuse(struct admission_request *base, int code,
@@ -528,25 +536,25 @@
 	job->model = model;
 	job->service = service;
 	job->entry = (int)(next_random() % ENTRIES);
-	job->arrived = clock_now(&model->clock);
+	job->arrived_at = clock_now(&model->clock);
 	job->base = (struct admission_request){
 		.service = str_from(names[service]),
 		.priority = service ? 9 : 0,
 		.weight = 10,
 		.slo_latency = MODEL_TARGET,
-		.deadline = job->arrived + MODEL_DEADLINE,
+		.deadline = job->arrived_at + MODEL_DEADLINE,
 		.start = job_start,
 		.refuse = job_refuse,
 	};
-	model->counts[service].offered += counts(model, job);
-	if (model->plain) {
-		to_pool(job);
+	model->is_measured[service].offered += is_measured(model, job);
+	if (model->baseline) {
+		send_to_pool(job);
 		return;
 	}
 	state = admission_enter(&model->entries[job->entry], &job->base,
 				&retry);
 	if (state == ADMISSION_STARTED)
-		to_pool(job);
+		send_to_pool(job);
 	else if (state < 0)
 		end_job(model, job, false);
 }
@@ -561,17 +569,17 @@
 		struct admission_sample sample = {.wait = job->item.pushed};
 
 		next = job->next;
-		if (job->ends > now)
+		if (job->ends_at > now)
 			continue;
 		DL_DELETE(pool->running, job);
 		pool->busy--;
-		slot_queue_served(&pool->queue, job->served);
+		slot_queue_served(&pool->queue, job->service_time);
 		leave_entry(model, job, sample);
 		end_job(model, job, true);
 	}
 }
 
-static void arrivals(struct model *model)
+static void start_arrivals(struct model *model)
 {
 	int64_t now = clock_now(&model->clock);
 	int i;
@@ -592,27 +600,27 @@
 	int i;
 
 	clock_advance(&model->clock, step);
-	arrivals(model);
+	start_arrivals(model);
 	for (i = 0; i < POOLS; i++) {
 		finish_jobs(model, &model->pools[i]);
 		fill_slots(model, &model->pools[i]);
 	}
 	if (clock_now(&model->clock) % TICK)
 		return;
-	for (i = 0; i < ENTRIES && !model->plain; i++)
+	for (i = 0; i < ENTRIES && !model->baseline; i++)
 		admission_tick(&model->entries[i]);
-	for (i = 0; i < POOLS && !model->plain; i++)
+	for (i = 0; i < POOLS && !model->baseline; i++)
 		slot_queue_expire(&model->pools[i].queue, on_drop, model);
 }
 
 static uint64_t seed = 1;
 
 static void model_init(struct model *model, double desk, double reporting,
-		       bool plain, bool shared)
+		       bool baseline, bool shared)
 {
 	struct admission_tunables tunables = {
 		.queue_max = 1000,
-		.target = 0.1,
+		.wait_target_ratio = 0.1,
 		.floor = 0.02,
 		.lag_target = MSEC(20),
 	};
@@ -621,7 +629,7 @@
 	memset(model, 0, sizeof(*model));
 	random_state = seed;
 	clock_init_paused(&model->clock, 0);
-	model->plain = plain;
+	model->baseline = baseline;
 	model->shared = shared;
 	model->rate[0] = desk * CAPACITY;
 	model->rate[1] = reporting * CAPACITY;
@@ -651,13 +659,13 @@
 	int i;
 
 	memset(model->rate, 0, sizeof(model->rate));
-	for (i = 0; i < 4000 && !model->plain; i++)
+	for (i = 0; i < 4000 && !model->baseline; i++)
 		model_step(model, MSEC(1));
 	for (i = 0; i < POOLS; i++) {
 		free_jobs(model->pools[i].running);
-		free_jobs(model->pools[i].plain);
+		free_jobs(model->pools[i].fifo);
 		slot_queue_finish(&model->pools[i].queue);
-		free(model->counts[i].latencies);
+		free(model->is_measured[i].latencies);
 	}
 	for (i = 0; i < ENTRIES; i++)
 		admission_finish(&model->entries[i]);
@@ -688,7 +696,7 @@
 
 static struct result result_of(struct model *model, int service)
 {
-	struct count *count = &model->counts[service];
+	struct count *count = &model->is_measured[service];
 	double seconds = (double)(MODEL_TIME - WARM_UP) / USEC_PER_SEC;
 
 	return (struct result){
@@ -699,20 +707,20 @@
 	};
 }
 
-static void run_model(double desk, double reporting, bool plain, bool shared,
+static void run_model(double desk, double reporting, bool baseline, bool shared,
 		      struct result results[POOLS])
 {
 	struct model model;
 	int i;
 
-	model_init(&model, desk, reporting, plain, shared);
+	model_init(&model, desk, reporting, baseline, shared);
 	while (clock_now(&model.clock) < MODEL_TIME)
 		model_step(&model, MSEC(1));
 	for (i = 0; i < POOLS; i++)
 		results[i] = result_of(&model, i);
 	printf("\n%s%s: offered %4.1f + %4.1f: goodput %.2f + %.2f, "
 	       "p99 %.0f ms, %.0f ms",
-	       plain ? "plain" : "admission", shared ? ", shared" : "", desk,
+	       baseline ? "plain" : "admission", shared ? ", shared" : "", desk,
 	       reporting, results[0].goodput, results[1].goodput,
 	       results[0].p99 / 1000.0, results[1].p99 / 1000.0);
 	model_finish(&model);
@@ -724,7 +732,7 @@
  * admission, as many as ever are answered, in time, and the others are told at
  * once when to come back.
  */
-static void overload(void)
+static void check_overload(void)
 {
 	static const double loads[] = {1, 2, 5, 10};
 	struct result results[POOLS];
@@ -745,7 +753,7 @@
 static void test_overload(void)
 {
 	for (seed = 1; seed <= SEEDS; seed++)
-		overload();
+		check_overload();
 	seed = 1;
 }
 
@@ -800,9 +808,9 @@
 	{"weights", test_weights},
 	{"workspaces", test_workspaces},
 	{"floor", test_floor},
-	{"make room", test_make_room},
-	{"late", test_late},
-	{"spread", test_spread},
+	{"make room", test_full_instance},
+	{"late", test_refused_before_deadline},
+	{"spread", test_retry_after_is_random},
 	{"lag", test_lag},
 	{"half load", test_half_load},
 	{"overload, plain", test_overload_plain},
--- a/tests/test_forecast.c
+++ b/tests/test_forecast.c
@@ -15,8 +15,9 @@
 static struct forecast_part parts[PARTS];
 static struct forecast forecast;
 
-/* A request whose first @n_busy parts meet a queue; runs of all take @run. */
-static void expect(int n_busy, int64_t ahead, int64_t run)
+/* A request whose first @n_busy parts meet a queue; runs of all take @run_time.
+ */
+static void init_forecast(int n_busy, int64_t queue_wait, int64_t run_time)
 {
 	int i;
 
@@ -28,8 +29,8 @@
 	forecast.deadline = DEADLINE;
 	for (i = 0; i < PARTS; i++)
 		parts[i] = (struct forecast_part){
-			.ahead = i < n_busy ? ahead : 0,
-			.run = run,
+			.queue_wait = i < n_busy ? queue_wait : 0,
+			.run_time = run_time,
 			.index = i,
 		};
 }
@@ -46,36 +47,36 @@
  */
 static void test_refused_for_queues(void)
 {
-	expect(NEEDED, MSEC(400), MSEC(10));
+	init_forecast(NEEDED, MSEC(400), MSEC(10));
 	forecast_decide(&forecast);
 	CU_ASSERT(forecast.refused);
 	CU_ASSERT(forecast.n_in_time == PARTS - NEEDED);
-	CU_ASSERT(forecast.room_in == MSEC(275));
+	CU_ASSERT(forecast.capacity_in == MSEC(275));
 	CU_ASSERT(!forecast.n_left_out);
 
-	expect(NEEDED, MSEC(90), MSEC(10));
+	init_forecast(NEEDED, MSEC(90), MSEC(10));
 	forecast_decide(&forecast);
 	CU_ASSERT(!forecast.refused && forecast.n_in_time == PARTS);
 
-	expect(PARTS, MSEC(1200), MSEC(10));
+	init_forecast(PARTS, MSEC(1200), MSEC(10));
 	forecast.promised = true;
 	forecast_decide(&forecast);
-	CU_ASSERT(forecast.refused && forecast.room_in == MSEC(210));
+	CU_ASSERT(forecast.refused && forecast.capacity_in == MSEC(210));
 }
 
 /* Guards against refusing callers whose servers are slow and not busy. */
 static void test_slow_is_sent(void)
 {
-	expect(PARTS, 0, MSEC(400));
+	init_forecast(PARTS, 0, MSEC(400));
 	forecast_decide(&forecast);
 	CU_ASSERT(!forecast.refused && !forecast.n_left_out);
 
-	expect(PARTS, MSEC(20), MSEC(400));
+	init_forecast(PARTS, MSEC(20), MSEC(400));
 	forecast_decide(&forecast);
 	CU_ASSERT(!forecast.refused);
 
 	/* Work that waits is late as well, and the more the later. */
-	expect(PARTS, MSEC(60), MSEC(400));
+	init_forecast(PARTS, MSEC(60), MSEC(400));
 	forecast_decide(&forecast);
 	CU_ASSERT(forecast.refused);
 }
@@ -85,23 +86,23 @@
 {
 	int i;
 
-	expect(2, MSEC(300), MSEC(10));
+	init_forecast(2, MSEC(300), MSEC(10));
 	forecast_decide(&forecast);
 	CU_ASSERT(!forecast.refused && forecast.n_left_out == 2);
 	for (i = 0; i < PARTS; i++)
 		CU_ASSERT(parts[i].left_out == (parts[i].index < 2));
 
 	/* One is kept in reserve for parts that fail. */
-	expect(4, MSEC(300), MSEC(10));
+	init_forecast(4, MSEC(300), MSEC(10));
 	forecast_decide(&forecast);
 	CU_ASSERT(!forecast.refused && forecast.n_left_out == 3);
 
-	/* Nearly in time, or with nobody waiting: asked as ever. */
-	expect(2, MSEC(150), MSEC(10));
+	/* Nearly in time, or with nobody waiting: n_sent as ever. */
+	init_forecast(2, MSEC(150), MSEC(10));
 	forecast_decide(&forecast);
 	CU_ASSERT(!forecast.n_left_out);
-	expect(0, 0, MSEC(10));
-	parts[7].run = MSEC(300);
+	init_forecast(0, 0, MSEC(10));
+	parts[7].run_time = MSEC(300);
 	forecast_decide(&forecast);
 	CU_ASSERT(!forecast.refused && !forecast.n_left_out);
 }
@@ -110,8 +111,8 @@
 #define REPLICAS 3
 #define SLOTS 2
 #define ENTRIES 6
-#define TOLD_EACH 50
-#define PLAY_MS 1000
+#define REPORT_PERIOD_MS 50
+#define SIMULATED_MS 1000
 
 enum level {
 	URGENT,
@@ -121,29 +122,33 @@
 
 static const struct kind {
 	int per_s;
-	int64_t run;
+	int64_t run_time;
 	int64_t goal;
 	int needed;
 } kinds[LEVELS] = {
-	{.per_s = 60, .run = MSEC(12), .goal = MSEC(50), .needed = 77},
-	{.per_s = 400, .run = MSEC(32), .goal = MSEC(150), .needed = NEEDED},
+	{.per_s = 60, .run_time = MSEC(12), .goal = MSEC(50), .needed = 77},
+	{.per_s = 400,
+	 .run_time = MSEC(32),
+	 .goal = MSEC(150),
+	 .needed = NEEDED},
 };
 
 /* Work that waits at a server, by level; urgent work goes first. */
 typedef int64_t queues[PARTS][REPLICAS][LEVELS];
 
-static queues truth;
+static queues actual_work;
 static struct latency latencies[ENTRIES][LEVELS];
-static queues views[ENTRIES];
+static queues known_work[ENTRIES];
 
-static int64_t ahead_at(const int64_t work[LEVELS], enum level level)
+static int64_t queue_wait_at(const int64_t work[LEVELS], enum level level)
 {
-	int64_t ahead = work[URGENT] + (level == PATIENT ? work[PATIENT] : 0);
+	int64_t queue_wait =
+		work[URGENT] + (level == PATIENT ? work[PATIENT] : 0);
 
-	return ahead / SLOTS;
+	return queue_wait / SLOTS;
 }
 
-static void work_off(queues at, int64_t time)
+static void drain(queues at, int64_t time)
 {
 	int64_t(*server)[LEVELS] = at[0];
 	int i;
@@ -159,14 +164,14 @@
 	}
 }
 
-static int best_of(queues view, int shard, enum level level)
+static int least_loaded_replica(queues known, int shard, enum level level)
 {
 	int best = 0;
 	int i;
 
 	for (i = 1; i < REPLICAS; i++) {
-		if (ahead_at(view[shard][i], level) <
-		    ahead_at(view[shard][best], level))
+		if (queue_wait_at(known[shard][i], level) <
+		    queue_wait_at(known[shard][best], level))
 			best = i;
 	}
 	return best;
@@ -181,27 +186,27 @@
 }
 
 /* Return: the share of its worth that a caller gets. */
-static double ask(int entry, enum level level, bool left_out)
+static double send_request(int entry, enum level level, bool left_out)
 {
 	const struct kind *kind = &kinds[level];
 	struct latency *latency = &latencies[entry][level];
-	int64_t(*view)[REPLICAS][LEVELS] = views[entry];
-	int64_t took[PARTS];
+	int64_t(*known)[REPLICAS][LEVELS] = known_work[entry];
+	int64_t answer_times[PARTS];
 	int servers[PARTS];
-	int in = 0;
+	int n_in_goal = 0;
 	int n = 0;
 	int i;
 	int j;
 
-	expect(0, 0, kind->run);
+	init_forecast(0, 0, kind->run_time);
 	forecast.needed = kind->needed;
 	forecast.goal = kind->goal;
 	forecast.lag = (int64_t)latency->lag;
 	for (i = 0; i < PARTS; i++) {
-		servers[i] = best_of(view, i, level);
+		servers[i] = least_loaded_replica(known, i, level);
 		for (j = 0; j < REPLICAS; j++)
-			parts[i].ahead +=
-				ahead_at(view[i][j], level) / REPLICAS;
+			parts[i].queue_wait +=
+				queue_wait_at(known[i][j], level) / REPLICAS;
 	}
 	if (left_out)
 		forecast_decide(&forecast);
@@ -209,76 +214,81 @@
 		return 0;
 	for (i = 0; i < PARTS; i++) {
 		int shard = parts[i].index;
-		int64_t *work = truth[shard][servers[shard]];
+		int64_t *work = actual_work[shard][servers[shard]];
 
 		if (parts[i].left_out)
 			continue;
-		took[n] = ahead_at(work, level) + kind->run;
-		in += took[n++] <= kind->goal;
-		work[level] += kind->run;
-		view[shard][servers[shard]][level] += kind->run;
+		answer_times[n] = queue_wait_at(work, level) + kind->run_time;
+		n_in_goal += answer_times[n++] <= kind->goal;
+		work[level] += kind->run_time;
+		known[shard][servers[shard]][level] += kind->run_time;
 	}
-	qsort(took, (size_t)n, sizeof(*took), cmp_time);
+	qsort(answer_times, (size_t)n, sizeof(*answer_times), cmp_time);
 	if (left_out)
-		latency_add_lag(latency,
-				took[kind->needed - 1] -
-					forecast_expected(forecast.deciding));
-	return in < kind->needed ? 0 : (double)in * in / PARTS / PARTS;
+		latency_add_lag(latency, answer_times[kind->needed - 1] -
+						 forecast_answer_time(
+							 forecast.last_needed));
+	return n_in_goal < kind->needed
+		       ? 0
+		       : (double)n_in_goal * n_in_goal / PARTS / PARTS;
 }
 
-/* A burst beside slow servers; worth of each kind, of requests asked. */
-static void play(bool left_out, double worth[LEVELS])
+/* A burst beside slow servers; worth of each kind, of requests n_sent. */
+static void simulate(bool left_out, double value[LEVELS])
 {
-	int asked[LEVELS] = {0};
+	int n_sent[LEVELS] = {0};
 	int ms;
 	int level;
 	int i;
 
-	memset(truth, 0, sizeof(truth));
-	memset(views, 0, sizeof(views));
+	memset(actual_work, 0, sizeof(actual_work));
+	memset(known_work, 0, sizeof(known_work));
 	memset(latencies, 0, sizeof(latencies));
-	memset(worth, 0, LEVELS * sizeof(*worth));
-	for (ms = 0; ms < PLAY_MS; ms++) {
-		work_off(truth, MSEC(1));
+	memset(value, 0, LEVELS * sizeof(*value));
+	for (ms = 0; ms < SIMULATED_MS; ms++) {
+		drain(actual_work, MSEC(1));
 		for (i = 0; i < ENTRIES; i++) {
-			work_off(views[i], MSEC(1));
-			if (ms % TOLD_EACH == i * TOLD_EACH / ENTRIES)
-				memcpy(views[i], truth, sizeof(truth));
+			drain(known_work[i], MSEC(1));
+			if (ms % REPORT_PERIOD_MS ==
+			    i * REPORT_PERIOD_MS / ENTRIES)
+				memcpy(known_work[i], actual_work,
+				       sizeof(actual_work));
 		}
 		for (level = 0; level < LEVELS; level++) {
-			while (asked[level] < ms * kinds[level].per_s / 1000) {
-				i = asked[level]++ % ENTRIES;
-				worth[level] +=
-					ask(i, (enum level)level, left_out);
+			while (n_sent[level] < ms * kinds[level].per_s / 1000) {
+				i = n_sent[level]++ % ENTRIES;
+				value[level] +=
+					send_request(i, (enum level)level,
+						     left_out);
 			}
 		}
 	}
 	for (level = 0; level < LEVELS; level++)
-		worth[level] /= asked[level];
+		value[level] /= n_sent[level];
 }
 
 /* Guards against servers that work on what is late while a burst lasts. */
 static void test_burst_beside_slow_servers(void)
 {
-	const double fits = 1000.0 * REPLICAS * SLOTS;
-	double room;
+	const double fleet_capacity = 1000.0 * REPLICAS * SLOTS;
+	double capacity_ratio;
 	double with[LEVELS];
 	double without[LEVELS];
 
-	/* What the servers can do in a second, over what is asked of them. */
-	room = fits - kinds[URGENT].per_s * 12;
-	room /= kinds[PATIENT].per_s * 32;
-	play(true, with);
-	play(false, without);
+	/* What the servers can do in a second, over what is n_sent of them. */
+	capacity_ratio = fleet_capacity - kinds[URGENT].per_s * 12;
+	capacity_ratio /= kinds[PATIENT].per_s * 32;
+	simulate(true, with);
+	simulate(false, without);
 	CU_ASSERT(with[URGENT] > 0.95);
-	CU_ASSERT(with[PATIENT] > 0.8 * room);
-	CU_ASSERT(without[PATIENT] < 0.5 * room);
+	CU_ASSERT(with[PATIENT] > 0.8 * capacity_ratio);
+	CU_ASSERT(without[PATIENT] < 0.5 * capacity_ratio);
 }
 
 static const struct unit_test tests[] = {
 	{"parts that are needed", test_needed},
 	{"refused for queues", test_refused_for_queues},
-	{"slow servers are asked", test_slow_is_sent},
+	{"slow servers are n_sent", test_slow_is_sent},
 	{"parts are left out", test_left_out},
 	{"a burst beside slow servers", test_burst_beside_slow_servers},
 };
--- a/tests/test_load_limit.c
+++ b/tests/test_load_limit.c
@@ -9,14 +9,14 @@
 #include "rng.h"
 #include "unit.h"
 
-#define START MSEC(1000000)
+#define START_TIME MSEC(1000000)
 #define SHARDS 8
 #define ANSWER_MARGIN MSEC(10)
 #define SLOTS 2
-#define QUEUE 12
-#define WORK_MS 15
+#define QUEUE_MAX 12
+#define MEAN_WORK_MS 15
 #define GOAL_MS 120
-#define JOBS_MAX (SLOTS + QUEUE)
+#define JOBS_MAX (SLOTS + QUEUE_MAX)
 #define OPEN_MAX 512
 
 /* One request at a server of the model. */
@@ -36,7 +36,7 @@
 };
 
 /* One instance, all shards behind it, and the callers that it takes. */
-struct world {
+struct simulation {
 	struct clock clock;
 	struct registry registry;
 	struct route_set *routes;
@@ -48,7 +48,7 @@
 	double refusing; /* share that the first server of a shard refuses */
 	struct dispatch *open[OPEN_MAX];
 	int n_open;
-	bool unlimited;
+	bool without_limit;
 	int n_stamps;
 	int served[2]; /* in the goal, by route */
 	int refused;
@@ -56,39 +56,40 @@
 	int late;
 };
 
-static struct model_server *server_of(struct world *world,
+static struct model_server *server_of(struct simulation *simulation,
 				      const struct dispatch_send *send)
 {
 	int i;
 
-	for (i = 0; strcmp(world->servers[i].id, send->server->entry.id);)
+	for (i = 0; strcmp(simulation->servers[i].id, send->server->entry.id);)
 		i++;
-	return &world->servers[i];
+	return &simulation->servers[i];
 }
 
 /* From a half to one and a half times the mean. */
-static int work_of(struct world *world)
+static int random_work_ms(struct simulation *simulation)
 {
-	return (int)(WORK_MS * (0.5 + rng_unit(&world->rng)) + 0.5);
+	return (int)(MEAN_WORK_MS * (0.5 + rng_unit(&simulation->rng)) + 0.5);
 }
 
-static bool is_refusing(struct world *world, const struct model_server *server)
+static bool is_refusing(struct simulation *simulation,
+			const struct model_server *server)
 {
-	return (server - world->servers) % 2 == 0 &&
-	       rng_unit(&world->rng) < world->refusing;
+	return (server - simulation->servers) % 2 == 0 &&
+	       rng_unit(&simulation->rng) < simulation->refusing;
 }
 
 static int on_send(void *arg, struct dispatch_send *send, int64_t deadline)
 {
-	struct world *world = arg;
-	struct model_server *server = server_of(world, send);
+	struct simulation *simulation = arg;
+	struct model_server *server = server_of(simulation, send);
 
 	(void)deadline;
-	server_score_sent(&send->server->score, clock_now(&world->clock));
+	server_score_sent(&send->server->score, clock_now(&simulation->clock));
 	if (server->n_jobs < JOBS_MAX && !server->crashed &&
-	    !is_refusing(world, server))
+	    !is_refusing(simulation, server))
 		server->jobs[server->n_jobs++] =
-			(struct job){send, work_of(world)};
+			(struct job){send, random_work_ms(simulation)};
 	else
 		server->refused[server->n_refused++] = send;
 	return 0;
@@ -152,107 +153,114 @@
 		 services, shards, GOAL_MS, shards, GOAL_MS);
 }
 
-static void add_server(struct world *world, int i)
+static void add_server(struct simulation *simulation, int i)
 {
 	struct server_entry entry = {.slots = SLOTS};
 
 	snprintf(entry.id, sizeof(entry.id), "s%d-%d", i / 2, i % 2);
 	snprintf(entry.service, sizeof(entry.service), "s%d", i / 2);
-	str_copy(world->servers[i].id, sizeof(world->servers[i].id),
+	str_copy(simulation->servers[i].id, sizeof(simulation->servers[i].id),
 		 str_from(entry.id));
-	registry_put(&world->registry, &entry, 1);
+	registry_put(&simulation->registry, &entry, 1);
 }
 
-static void world_init(struct world *world)
+static void simulation_init(struct simulation *simulation)
 {
 	static const struct outage_ops no_checks = {.check = on_check};
 	char document[2048];
 	int i;
 
-	memset(world, 0, sizeof(*world));
-	clock_init_paused(&world->clock, START);
-	rng_init(&world->rng, 1);
-	registry_init(&world->registry, STR(""), on_closing, NULL);
-	outage_init(&world->outage, &world->clock, &no_checks, NULL);
-	world->limits.budget = (struct budget_limit){.ratio = 0.2, .burst = 5};
-	world->limits.outage = &world->outage;
-	latency_init(&world->latency, MSEC(GOAL_MS / 4));
+	memset(simulation, 0, sizeof(*simulation));
+	clock_init_paused(&simulation->clock, START_TIME);
+	rng_init(&simulation->rng, 1);
+	registry_init(&simulation->registry, STR(""), on_closing, NULL);
+	outage_init(&simulation->outage, &simulation->clock, &no_checks, NULL);
+	simulation->limits.budget =
+		(struct budget_limit){.ratio = 0.2, .burst = 5};
+	simulation->limits.outage = &simulation->outage;
+	latency_init(&simulation->latency, MSEC(GOAL_MS / 4));
 	write_routes(document, sizeof(document));
-	CU_ASSERT(!route_set_parse(str_from(document), &world->routes, NULL));
+	CU_ASSERT(!route_set_parse(str_from(document), &simulation->routes,
+				   NULL));
 	for (i = 0; i < SHARDS * 2; i++)
-		add_server(world, i);
+		add_server(simulation, i);
 }
 
-static void note_end(struct world *world, const struct dispatch *dispatch)
+static void count_outcome(struct simulation *simulation,
+			  const struct dispatch *dispatch)
 {
-	int64_t took = clock_now(&world->clock) - dispatch->start;
+	int64_t took = clock_now(&simulation->clock) - dispatch->start;
 	bool urgent = dispatch->route->priority == 1;
 
 	if (dispatch->outcome == DISPATCH_REFUSED && !dispatch->n_sends) {
-		world->refused++;
-		world->refused_late += took > MSEC(10);
+		simulation->refused++;
+		simulation->refused_late += took > MSEC(10);
 	} else if (dispatch->outcome < DISPATCH_FAILED &&
 		   took <= MSEC(GOAL_MS)) {
-		world->served[urgent ? 0 : 1]++;
+		simulation->served[urgent ? 0 : 1]++;
 	} else {
-		world->late++;
+		simulation->late++;
 	}
 }
 
-static void reap(struct world *world)
+static void finish_dispatches(struct simulation *simulation)
 {
 	int i;
 
-	for (i = world->n_open - 1; i >= 0; i--) {
-		struct dispatch *dispatch = world->open[i];
+	for (i = simulation->n_open - 1; i >= 0; i--) {
+		struct dispatch *dispatch = simulation->open[i];
 
 		if (!dispatch->outcome &&
-		    dispatch_due(dispatch) <= clock_now(&world->clock))
+		    dispatch_due(dispatch) <= clock_now(&simulation->clock))
 			dispatch_tick(dispatch);
 		if (!dispatch->outcome)
 			continue;
-		note_end(world, dispatch);
+		count_outcome(simulation, dispatch);
 		dispatch_finish(dispatch);
 		free(dispatch);
-		world->open[i] = world->open[--world->n_open];
+		simulation->open[i] = simulation->open[--simulation->n_open];
 	}
 }
 
-static void arrive(struct world *world, const char *path)
+static void send_request(struct simulation *simulation, const char *path)
 {
 	struct dispatch *dispatch = mem_zalloc(sizeof(*dispatch));
 	const struct route *route =
-		route_set_find(world->routes, STR("h"), str_from(path));
-
-	if (world->unlimited)
-		registry_service(&world->registry, STR("s0"))->load.limit = 0;
-	dispatch_init(dispatch, &world->clock, &ops, &world->limits, world,
-		      &world->registry, route, NULL, &world->latency,
-		      clock_now(&world->clock) + MSEC(route->timeout_ms),
+		route_set_find(simulation->routes, STR("h"), str_from(path));
+
+	if (simulation->without_limit)
+		registry_service(&simulation->registry, STR("s0"))->load.limit =
+			0;
+	dispatch_init(dispatch, &simulation->clock, &ops, &simulation->limits,
+		      simulation, &simulation->registry, route, NULL,
+		      &simulation->latency,
+		      clock_now(&simulation->clock) + MSEC(route->timeout_ms),
 		      MSEC(route->goal_ms) - ANSWER_MARGIN);
-	world->open[world->n_open++] = dispatch;
+	simulation->open[simulation->n_open++] = dispatch;
 	dispatch_start(dispatch);
 }
 
-static void answer(struct world *world, struct dispatch_send *send, int code)
+static void send_answer(struct simulation *simulation,
+			struct dispatch_send *send, int code)
 {
 	char stamp[24];
-	struct dispatch_answer answer = {
+	struct dispatch_answer send_answer = {
 		.code = code,
 		.success = !code,
 		.not_run = code,
 		.body = STR("0123456789abcdef"),
-		.took = clock_now(&world->clock) - send->sent_at,
+		.took = clock_now(&simulation->clock) - send->sent_at,
 	};
 
-	snprintf(stamp, sizeof(stamp), "%d", world->n_stamps++);
-	answer.stamp = str_from(stamp);
+	snprintf(stamp, sizeof(stamp), "%d", simulation->n_stamps++);
+	send_answer.stamp = str_from(stamp);
 	server_score_result(&send->server->score, server_result_of(code, !code),
-			    answer.took, clock_now(&world->clock));
-	dispatch_result(send->part->dispatch, send, &answer);
+			    send_answer.took, clock_now(&simulation->clock));
+	dispatch_result(send->part->dispatch, send, &send_answer);
 }
 
-static void run_server(struct world *world, struct model_server *server)
+static void advance_server(struct simulation *simulation,
+			   struct model_server *server)
 {
 	int i;
 
@@ -261,8 +269,8 @@
 			server->refused[--server->n_refused];
 
 		if (send)
-			answer(world, send,
-			       server->crashed ? ERR_CONNECT : ERR_SHED);
+			send_answer(simulation, send,
+				    server->crashed ? ERR_CONNECT : ERR_SHED);
 	}
 	for (i = 0; i < SLOTS && i < server->n_jobs; i++)
 		server->jobs[i].left_ms--;
@@ -275,42 +283,43 @@
 			(size_t)(--server->n_jobs - i) * sizeof(struct job));
 		i--;
 		if (send)
-			answer(world, send, 0);
+			send_answer(simulation, send, 0);
 	}
 }
 
 /* Callers at an even pace, a quarter of them of the less urgent route. */
-static void play(struct world *world, int ms, int per_s)
+static void simulate(struct simulation *simulation, int ms, int per_s)
 {
 	int due = 0;
 	int n = 0;
 	int i;
 
 	for (; ms > 0; ms--) {
-		clock_advance(&world->clock, MSEC(1));
+		clock_advance(&simulation->clock, MSEC(1));
 		for (i = 0; i < SHARDS * 2; i++)
-			run_server(world, &world->servers[i]);
+			advance_server(simulation, &simulation->servers[i]);
 		for (due += per_s; due >= 1000; due -= 1000)
-			arrive(world, n++ % 4 == 3 ? "/most/" : "/all/");
-		reap(world);
+			send_request(simulation,
+				     n++ % 4 == 3 ? "/most/" : "/all/");
+		finish_dispatches(simulation);
 	}
 }
 
-static void clear_counts(struct world *world)
+static void clear_counts(struct simulation *simulation)
 {
-	memset(world->served, 0, sizeof(world->served));
-	world->refused = 0;
-	world->refused_late = 0;
-	world->late = 0;
+	memset(simulation->served, 0, sizeof(simulation->served));
+	simulation->refused = 0;
+	simulation->refused_late = 0;
+	simulation->late = 0;
 }
 
-static void world_finish(struct world *world)
+static void simulation_finish(struct simulation *simulation)
 {
-	play(world, 1000, 0);
-	CU_ASSERT(world->n_open == 0);
-	route_set_unref(world->routes);
-	outage_finish(&world->outage);
-	registry_finish(&world->registry);
+	simulate(simulation, 1000, 0);
+	CU_ASSERT(simulation->n_open == 0);
+	route_set_unref(simulation->routes);
+	outage_finish(&simulation->outage);
+	registry_finish(&simulation->registry);
 }
 
 /*
@@ -319,26 +328,26 @@
  */
 static void test_usual_load(void)
 {
-	struct world world;
+	struct simulation simulation;
 
-	world_init(&world);
-	play(&world, 3000, 200);
-	CU_ASSERT(world.refused == 0);
-	CU_ASSERT(world.served[0] + world.served[1] >= 580);
-	world_finish(&world);
+	simulation_init(&simulation);
+	simulate(&simulation, 3000, 200);
+	CU_ASSERT(simulation.refused == 0);
+	CU_ASSERT(simulation.served[0] + simulation.served[1] >= 580);
+	simulation_finish(&simulation);
 }
 
 /* Two seconds at three times the usual rate; one server of each pair refuses
  * half of what comes. */
-static void play_burst(struct world *world, bool unlimited)
+static void simulate_burst(struct simulation *simulation, bool without_limit)
 {
-	world_init(world);
-	play(world, 1000, 200);
-	clear_counts(world);
-	world->unlimited = unlimited;
-	world->refusing = 0.5;
-	play(world, 2000, 600);
-	world->refusing = 0;
+	simulation_init(simulation);
+	simulate(simulation, 1000, 200);
+	clear_counts(simulation);
+	simulation->without_limit = without_limit;
+	simulation->refusing = 0.5;
+	simulate(simulation, 2000, 600);
+	simulation->refusing = 0;
 }
 
 /*
@@ -350,26 +359,27 @@
  */
 static void test_burst(void)
 {
-	struct world world;
-	int unlimited;
-
-	play_burst(&world, true);
-	unlimited = world.served[0] + world.served[1];
-	world_finish(&world);
-	play_burst(&world, false);
-	CU_ASSERT(world.served[0] + world.served[1] >= 2 * unlimited);
-	CU_ASSERT(world.served[0] + world.served[1] >= 240);
+	struct simulation simulation;
+	int without_limit;
+
+	simulate_burst(&simulation, true);
+	without_limit = simulation.served[0] + simulation.served[1];
+	simulation_finish(&simulation);
+	simulate_burst(&simulation, false);
+	CU_ASSERT(simulation.served[0] + simulation.served[1] >=
+		  2 * without_limit);
+	CU_ASSERT(simulation.served[0] + simulation.served[1] >= 240);
 	/* Of 900 and 300 callers. */
-	CU_ASSERT(world.served[0] * 2 >= world.served[1] * 3);
-	CU_ASSERT(world.served[1] * 6 >= world.served[0]);
-	CU_ASSERT(world.refused_late == 0);
+	CU_ASSERT(simulation.served[0] * 2 >= simulation.served[1] * 3);
+	CU_ASSERT(simulation.served[1] * 6 >= simulation.served[0]);
+	CU_ASSERT(simulation.refused_late == 0);
 	/* A second after the burst nobody is refused any more. */
-	play(&world, 1000, 200);
-	clear_counts(&world);
-	play(&world, 1000, 200);
-	CU_ASSERT(world.refused == 0);
-	CU_ASSERT(world.served[0] + world.served[1] >= 190);
-	world_finish(&world);
+	simulate(&simulation, 1000, 200);
+	clear_counts(&simulation);
+	simulate(&simulation, 1000, 200);
+	CU_ASSERT(simulation.refused == 0);
+	CU_ASSERT(simulation.served[0] + simulation.served[1] >= 190);
+	simulation_finish(&simulation);
 }
 
 /*
@@ -378,22 +388,22 @@
  */
 static void test_one_slow_shard(void)
 {
-	struct world world;
+	struct simulation simulation;
 	int ms;
 	int i;
 
-	world_init(&world);
+	simulation_init(&simulation);
 	for (ms = 0; ms < 2000; ms++) {
 		/* A slow server gets one tenth of each millisecond. */
 		for (i = 0; i < SLOTS && ms % 10; i++) {
-			world.servers[0].jobs[i].left_ms++;
-			world.servers[1].jobs[i].left_ms++;
+			simulation.servers[0].jobs[i].left_ms++;
+			simulation.servers[1].jobs[i].left_ms++;
 		}
-		play(&world, 1, ms % 10 ? 0 : 1000);
+		simulate(&simulation, 1, ms % 10 ? 0 : 1000);
 	}
-	CU_ASSERT(world.refused == 0);
-	CU_ASSERT(world.served[0] + world.served[1] >= 150);
-	world_finish(&world);
+	CU_ASSERT(simulation.refused == 0);
+	CU_ASSERT(simulation.served[0] + simulation.served[1] >= 150);
+	simulation_finish(&simulation);
 }
 
 /*
@@ -403,25 +413,25 @@
  */
 static void test_lost_shards_are_no_load(void)
 {
-	struct world world;
+	struct simulation simulation;
 	int i;
 
-	world_init(&world);
-	play(&world, 500, 200);
+	simulation_init(&simulation);
+	simulate(&simulation, 500, 200);
 	for (i = 0; i < 4; i++)
-		world.servers[i].crashed = true;
+		simulation.servers[i].crashed = true;
 	/* Until this instance knows. */
-	play(&world, 200, 200);
-	clear_counts(&world);
-	play(&world, 1000, 200);
-	CU_ASSERT(world.served[1] >= 47);
-	world_finish(&world);
+	simulate(&simulation, 200, 200);
+	clear_counts(&simulation);
+	simulate(&simulation, 1000, 200);
+	CU_ASSERT(simulation.served[1] >= 47);
+	simulation_finish(&simulation);
 }
 
-static bool admit(struct load_limit *load)
+static bool admit_one(struct load_limit *load)
 {
-	load_limit_ask(load, 0, 1, START);
-	return load_limit_admit(load, 0, 1, NULL, START);
+	load_limit_count_request(load, 0, 1, START_TIME);
+	return load_limit_admit(load, 0, 1, NULL, START_TIME);
 }
 
 static void test_limit_moves(void)
@@ -430,27 +440,27 @@
 	int i;
 
 	for (i = 0; i < 100; i++)
-		CU_ASSERT(admit(&load));
-	load_limit_overloaded(&load, MSEC(60), START);
+		CU_ASSERT(admit_one(&load));
+	load_limit_lower(&load, MSEC(60), START_TIME);
 	CU_ASSERT(load.limit == 50);
 	/* Those that were admitted before are late as well. */
-	load_limit_overloaded(&load, MSEC(60), START + MSEC(59));
+	load_limit_lower(&load, MSEC(60), START_TIME + MSEC(59));
 	CU_ASSERT(load.limit == 50);
-	CU_ASSERT(!admit(&load));
+	CU_ASSERT(!admit_one(&load));
 	for (i = 0; i < 60; i++)
-		load_limit_end(&load, 0, 1);
-	CU_ASSERT(admit(&load));
+		load_limit_release(&load, 0, 1);
+	CU_ASSERT(admit_one(&load));
 	for (i = 0; i < 10; i++)
-		load_limit_overloaded(&load, MSEC(60),
-				      START + MSEC(100) * (i + 1));
+		load_limit_lower(&load, MSEC(60),
+				 START_TIME + MSEC(100) * (i + 1));
 	CU_ASSERT(load.limit == 2);
-	CU_ASSERT(!admit(&load));
+	CU_ASSERT(!admit_one(&load));
 	for (i = 0; i < 41; i++)
-		load_limit_end(&load, 0, 1);
+		load_limit_release(&load, 0, 1);
 	/* One is always sent: it shows whether the load is over. */
-	CU_ASSERT(admit(&load));
+	CU_ASSERT(admit_one(&load));
 	for (i = 0; i < 40000; i++)
-		load_limit_served(&load, 1, 1);
+		load_limit_raise(&load, 1, 1);
 	CU_ASSERT(load.limit == 0);
 }
 
@@ -461,16 +471,16 @@
 	int i;
 
 	for (i = 0; i < 10; i++) {
-		load_limit_ask(&load, 1, 1, START);
-		load_limit_take(&load, 1, 1, START);
+		load_limit_count_request(&load, 1, 1, START_TIME);
+		load_limit_admit_always(&load, 1, 1, START_TIME);
 	}
-	CU_ASSERT(!load_limit_full(&load, START));
-	CU_ASSERT(load_limit_is_most_urgent(&load, 1, START));
-	load_limit_ask(&load, 0, 1, START);
-	CU_ASSERT(!load_limit_is_most_urgent(&load, 1, START));
-	CU_ASSERT(load_limit_full(&load, START));
-	CU_ASSERT(load_limit_admit(&load, 0, 1, NULL, START));
-	CU_ASSERT(!load_limit_admit(&load, 1, 1, NULL, START));
+	CU_ASSERT(!load_limit_servers_full(&load, START_TIME));
+	CU_ASSERT(load_limit_is_most_urgent(&load, 1, START_TIME));
+	load_limit_count_request(&load, 0, 1, START_TIME);
+	CU_ASSERT(!load_limit_is_most_urgent(&load, 1, START_TIME));
+	CU_ASSERT(load_limit_servers_full(&load, START_TIME));
+	CU_ASSERT(load_limit_admit(&load, 0, 1, NULL, START_TIME));
+	CU_ASSERT(!load_limit_admit(&load, 1, 1, NULL, START_TIME));
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_merge.c
+++ b/tests/test_merge.c
@@ -29,7 +29,7 @@
 	free(records);
 }
 
-static void check(const struct merge *merge, const char *expected)
+static void check_records(const struct merge *merge, const char *expected)
 {
 	char text[256] = "";
 	size_t len = 0;
@@ -49,14 +49,14 @@
 		add(merge, texts, (int)(sizeof(texts) / sizeof(*texts)));      \
 	} while (0)
 
-static void test_order_over_shards(void)
+static void test_order_across_shards(void)
 {
 	struct merge merge;
 
 	merge_init(&merge, 10);
 	ADD(&merge, "b:1", "d:1");
 	ADD(&merge, "a:1", "c:1", "e:1");
-	check(&merge, "a:1 b:1 c:1 d:1 e:1 ");
+	check_records(&merge, "a:1 b:1 c:1 d:1 e:1 ");
 	merge_finish(&merge);
 }
 
@@ -67,36 +67,36 @@
 	merge_init(&merge, 10);
 	ADD(&merge, "a:3", "a:5");
 	ADD(&merge, "a:1", "a:4", "a:9");
-	check(&merge, "a:1 a:3 a:4 a:5 a:9 ");
+	check_records(&merge, "a:1 a:3 a:4 a:5 a:9 ");
 	merge_finish(&merge);
 }
 
-static void test_limit_keeps_the_first(void)
+static void test_keeps_first_records(void)
 {
 	struct merge merge;
 
 	merge_init(&merge, 3);
 	ADD(&merge, "c:1", "d:1", "e:1", "f:1");
-	check(&merge, "c:1 d:1 e:1 ");
+	check_records(&merge, "c:1 d:1 e:1 ");
 	ADD(&merge, "a:1", "d:0", "z:1");
-	check(&merge, "a:1 c:1 d:0 ");
+	check_records(&merge, "a:1 c:1 d:0 ");
 	ADD(&merge, "x:1");
-	check(&merge, "a:1 c:1 d:0 ");
+	check_records(&merge, "a:1 c:1 d:0 ");
 	merge_finish(&merge);
 }
 
-static void test_bytes_not_text_are_compared(void)
+static void test_compares_bytes(void)
 {
 	struct merge merge;
 
 	merge_init(&merge, 4);
 	ADD(&merge, "Z:1", "a:1", "\xc3\xa9:1");
 	ADD(&merge, ":1", "aa:1");
-	check(&merge, ":1 Z:1 a:1 aa:1 ");
+	check_records(&merge, ":1 Z:1 a:1 aa:1 ");
 	merge_finish(&merge);
 }
 
-static void test_no_limit_no_records(void)
+static void test_limit_zero(void)
 {
 	struct merge merge;
 
@@ -108,7 +108,7 @@
 }
 
 /* Records are copied: the answer they came in is freed right after. */
-static void test_records_outlive_the_answer(void)
+static void test_records_are_copied(void)
 {
 	struct merge merge;
 	char text[] = "a:1";
@@ -117,17 +117,17 @@
 	merge_init(&merge, 1);
 	add(&merge, texts, 1);
 	memset(text, 'x', sizeof(text));
-	check(&merge, "a:1 ");
+	check_records(&merge, "a:1 ");
 	merge_finish(&merge);
 }
 
 static const struct unit_test tests[] = {
-	{"order over shards", test_order_over_shards},
+	{"order over shards", test_order_across_shards},
 	{"ties by key", test_ties_by_key},
-	{"limit keeps the first", test_limit_keeps_the_first},
-	{"bytes, not text, are compared", test_bytes_not_text_are_compared},
-	{"no limit, no records", test_no_limit_no_records},
-	{"records outlive the answer", test_records_outlive_the_answer},
+	{"limit keeps the first", test_keeps_first_records},
+	{"bytes, not text, are compared", test_compares_bytes},
+	{"no limit, no records", test_limit_zero},
+	{"records outlive the answer", test_records_are_copied},
 };
 
 UNIT_MAIN("merge", tests)
--- a/tests/test_outage.c
+++ b/tests/test_outage.c
@@ -7,14 +7,14 @@
 #define START MSEC(1000000)
 
 /* A service of two servers, and whether anybody listens at their addresses. */
-struct world {
+struct simulation {
 	struct clock clock;
 	struct registry registry;
 	struct outage outage;
-	bool listens;
-	int64_t answers_after; /* of a check; negative: never */
+	bool is_listening;
+	int64_t check_duration; /* of a check; negative: never */
 	struct outage_server *checks[64];
-	int64_t ends[64];
+	int64_t check_ends[64];
 	int n_checks;
 	int n_ended;
 	int n_changes;
@@ -25,23 +25,23 @@
 static void on_check(void *arg, struct registry_server *server,
 		     struct outage_server *check)
 {
-	struct world *world = arg;
+	struct simulation *simulation = arg;
 
 	(void)server;
-	world->checks[world->n_checks] = check;
-	world->ends[world->n_checks++] =
-		clock_now(&world->clock) + world->answers_after;
+	simulation->checks[simulation->n_checks] = check;
+	simulation->check_ends[simulation->n_checks++] =
+		clock_now(&simulation->clock) + simulation->check_duration;
 }
 
 static void on_changed(void *arg, const struct registry_server *server,
 		       bool lost, int64_t lost_for)
 {
-	struct world *world = arg;
+	struct simulation *simulation = arg;
 
 	(void)server;
 	(void)lost;
 	(void)lost_for;
-	world->n_changes++;
+	simulation->n_changes++;
 }
 
 static const struct outage_ops ops = {
@@ -55,73 +55,76 @@
 	(void)server;
 }
 
-static void add_server(struct world *world, const char *id)
+static void add_server(struct simulation *simulation, const char *id)
 {
 	struct server_entry entry = {.slots = 2};
 
 	snprintf(entry.id, sizeof(entry.id), "%s", id);
 	snprintf(entry.service, sizeof(entry.service), "s");
-	registry_put(&world->registry, &entry, 1);
+	registry_put(&simulation->registry, &entry, 1);
 }
 
-static void world_init(struct world *world)
+static void simulation_init(struct simulation *simulation)
 {
-	memset(world, 0, sizeof(*world));
-	clock_init_paused(&world->clock, START);
-	registry_init(&world->registry, STR("dc"), on_closing, NULL);
-	outage_init(&world->outage, &world->clock, &ops, world);
-	add_server(world, "a");
-	add_server(world, "b");
+	memset(simulation, 0, sizeof(*simulation));
+	clock_init_paused(&simulation->clock, START);
+	registry_init(&simulation->registry, STR("dc"), on_closing, NULL);
+	outage_init(&simulation->outage, &simulation->clock, &ops, simulation);
+	add_server(simulation, "a");
+	add_server(simulation, "b");
 }
 
-static void world_finish(struct world *world)
+static void simulation_finish(struct simulation *simulation)
 {
-	outage_finish(&world->outage);
-	registry_finish(&world->registry);
+	outage_finish(&simulation->outage);
+	registry_finish(&simulation->registry);
 }
 
-static void result(struct world *world, const char *id,
-		   enum server_result result)
+static void report_result(struct simulation *simulation, const char *id,
+			  enum server_result result)
 {
 	struct registry_server *server =
-		registry_find(&world->registry, str_from(id));
-	int64_t now = clock_now(&world->clock);
+		registry_find(&simulation->registry, str_from(id));
+	int64_t now = clock_now(&simulation->clock);
 
 	server_score_sent(&server->score, now);
 	server_score_result(&server->score, result, 0, now);
 }
 
-static bool hits(struct world *world)
+static bool is_affected(struct simulation *simulation)
 {
 	int64_t since;
 
-	return outage_hits(&world->outage,
-			   registry_service(&world->registry, STR("s")),
-			   &since);
+	return outage_affects(&simulation->outage,
+			      registry_service(&simulation->registry, STR("s")),
+			      &since);
 }
 
-static void lose_all(struct world *world)
+static void fail_all(struct simulation *simulation)
 {
-	result(world, "a", SERVER_UNREACHABLE);
-	result(world, "a", SERVER_UNREACHABLE);
-	result(world, "b", SERVER_UNREACHABLE);
-	result(world, "b", SERVER_UNREACHABLE);
+	report_result(simulation, "a", SERVER_UNREACHABLE);
+	report_result(simulation, "a", SERVER_UNREACHABLE);
+	report_result(simulation, "b", SERVER_UNREACHABLE);
+	report_result(simulation, "b", SERVER_UNREACHABLE);
 }
 
 /* A request a millisecond, and checks that end when the world says so. */
-static void play(struct world *world, int64_t ms)
+static void simulate(struct simulation *simulation, int64_t ms)
 {
 	for (; ms > 0; ms--) {
-		hits(world);
-		while (world->n_ended < world->n_checks &&
-		       world->answers_after >= 0 &&
-		       world->ends[world->n_ended] <= clock_now(&world->clock))
-			outage_checked(&world->outage,
-				       world->checks[world->n_ended++],
-				       world->listens);
-		if (outage_due(&world->outage) <= clock_now(&world->clock))
-			outage_tick(&world->outage);
-		clock_advance(&world->clock, MSEC(1));
+		is_affected(simulation);
+		while (simulation->n_ended < simulation->n_checks &&
+		       simulation->check_duration >= 0 &&
+		       simulation->check_ends[simulation->n_ended] <=
+			       clock_now(&simulation->clock))
+			outage_check_done(
+				&simulation->outage,
+				simulation->checks[simulation->n_ended++],
+				simulation->is_listening);
+		if (outage_due(&simulation->outage) <=
+		    clock_now(&simulation->clock))
+			outage_tick(&simulation->outage);
+		clock_advance(&simulation->clock, MSEC(1));
 	}
 }
 
@@ -131,18 +134,18 @@
  */
 static void test_one_failure_is_no_outage(void)
 {
-	struct world world;
-
-	world_init(&world);
-	result(&world, "a", SERVER_UNREACHABLE);
-	result(&world, "b", SERVER_UNREACHABLE);
-	CU_ASSERT(!hits(&world));
-	result(&world, "a", SERVER_ANSWERED);
-	result(&world, "a", SERVER_UNREACHABLE);
-	result(&world, "b", SERVER_UNREACHABLE);
-	CU_ASSERT(!hits(&world));
-	CU_ASSERT(!world.n_changes);
-	world_finish(&world);
+	struct simulation simulation;
+
+	simulation_init(&simulation);
+	report_result(&simulation, "a", SERVER_UNREACHABLE);
+	report_result(&simulation, "b", SERVER_UNREACHABLE);
+	CU_ASSERT(!is_affected(&simulation));
+	report_result(&simulation, "a", SERVER_ANSWERED);
+	report_result(&simulation, "a", SERVER_UNREACHABLE);
+	report_result(&simulation, "b", SERVER_UNREACHABLE);
+	CU_ASSERT(!is_affected(&simulation));
+	CU_ASSERT(!simulation.n_changes);
+	simulation_finish(&simulation);
 }
 
 /*
@@ -152,42 +155,42 @@
  */
 static void test_checked_not_tried(void)
 {
-	struct world world;
+	struct simulation simulation;
 	struct registry_service *service;
 	int64_t now;
 
-	world_init(&world);
-	service = registry_service(&world.registry, STR("s"));
-	result(&world, "a", SERVER_UNREACHABLE);
-	CU_ASSERT(!hits(&world));
-	play(&world, 60);
-	now = clock_now(&world.clock) + MSEC(10000);
-	result(&world, "b", SERVER_SILENT);
+	simulation_init(&simulation);
+	service = registry_service(&simulation.registry, STR("s"));
+	report_result(&simulation, "a", SERVER_UNREACHABLE);
+	CU_ASSERT(!is_affected(&simulation));
+	simulate(&simulation, 60);
+	now = clock_now(&simulation.clock) + MSEC(10000);
+	report_result(&simulation, "b", SERVER_SILENT);
 	CU_ASSERT(registry_pick(service, &anywhere, now) ==
-		  registry_find(&world.registry, STR("b")));
-	world.listens = true;
-	play(&world, 60);
-	result(&world, "b", SERVER_UNREACHABLE);
-	result(&world, "b", SERVER_UNREACHABLE);
+		  registry_find(&simulation.registry, STR("b")));
+	simulation.is_listening = true;
+	simulate(&simulation, 60);
+	report_result(&simulation, "b", SERVER_UNREACHABLE);
+	report_result(&simulation, "b", SERVER_UNREACHABLE);
 	CU_ASSERT(registry_pick(service, &anywhere, now) ==
-		  registry_find(&world.registry, STR("a")));
-	world_finish(&world);
+		  registry_find(&simulation.registry, STR("a")));
+	simulation_finish(&simulation);
 }
 
 /* A server that refuses for load lives; one that is silent may be paused. */
 static void test_refusal_and_silence(void)
 {
-	struct world world;
-
-	world_init(&world);
-	lose_all(&world);
-	CU_ASSERT(hits(&world));
-	result(&world, "b", SERVER_REFUSED);
-	CU_ASSERT(!hits(&world));
-	result(&world, "b", SERVER_SILENT);
-	result(&world, "b", SERVER_SILENT);
-	CU_ASSERT(!hits(&world));
-	world_finish(&world);
+	struct simulation simulation;
+
+	simulation_init(&simulation);
+	fail_all(&simulation);
+	CU_ASSERT(is_affected(&simulation));
+	report_result(&simulation, "b", SERVER_REFUSED);
+	CU_ASSERT(!is_affected(&simulation));
+	report_result(&simulation, "b", SERVER_SILENT);
+	report_result(&simulation, "b", SERVER_SILENT);
+	CU_ASSERT(!is_affected(&simulation));
+	simulation_finish(&simulation);
 }
 
 /*
@@ -197,23 +200,23 @@
  */
 static void test_back_within_60_ms(void)
 {
-	struct world world;
+	struct simulation simulation;
 	int ms;
 
-	world_init(&world);
-	lose_all(&world);
-	CU_ASSERT(hits(&world));
+	simulation_init(&simulation);
+	fail_all(&simulation);
+	CU_ASSERT(is_affected(&simulation));
 	for (ms = 0; ms < 600; ms += 100) {
-		play(&world, 100);
-		CU_ASSERT(world.n_checks <= 2 * (ms + 100) / 50 + 2);
+		simulate(&simulation, 100);
+		CU_ASSERT(simulation.n_checks <= 2 * (ms + 100) / 50 + 2);
 	}
-	CU_ASSERT(hits(&world));
-	world.listens = true;
-	for (ms = 0; hits(&world) && ms < 1000; ms++)
-		play(&world, 1);
+	CU_ASSERT(is_affected(&simulation));
+	simulation.is_listening = true;
+	for (ms = 0; is_affected(&simulation) && ms < 1000; ms++)
+		simulate(&simulation, 1);
 	CU_ASSERT(ms <= 60);
-	CU_ASSERT(world.n_changes >= 2);
-	world_finish(&world);
+	CU_ASSERT(simulation.n_changes >= 2);
+	simulation_finish(&simulation);
 }
 
 /*
@@ -223,51 +226,51 @@
  */
 static void test_no_answer(void)
 {
-	struct world world;
-
-	world_init(&world);
-	world.answers_after = -1;
-	lose_all(&world);
-	play(&world, 1000);
-	CU_ASSERT(world.n_checks == 10);
-	world_finish(&world);
+	struct simulation simulation;
+
+	simulation_init(&simulation);
+	simulation.check_duration = -1;
+	fail_all(&simulation);
+	simulate(&simulation, 1000);
+	CU_ASSERT(simulation.n_checks == 10);
+	simulation_finish(&simulation);
 }
 
 /* The last request for the shard was long ago: nobody needs the checks. */
 static void test_nobody_asks(void)
 {
-	struct world world;
+	struct simulation simulation;
 	int n;
 
-	world_init(&world);
-	lose_all(&world);
-	play(&world, 200);
-	clock_advance(&world.clock, MSEC(2100));
-	n = world.n_checks;
-	outage_tick(&world.outage);
-	CU_ASSERT(world.n_checks == n);
+	simulation_init(&simulation);
+	fail_all(&simulation);
+	simulate(&simulation, 200);
+	clock_advance(&simulation.clock, MSEC(2100));
+	n = simulation.n_checks;
+	outage_tick(&simulation.outage);
+	CU_ASSERT(simulation.n_checks == n);
 	/* And they begin anew with the next request. */
-	play(&world, 100);
-	CU_ASSERT(world.n_checks > n);
-	world_finish(&world);
+	simulate(&simulation, 100);
+	CU_ASSERT(simulation.n_checks > n);
+	simulation_finish(&simulation);
 }
 
 /* What is published counts too: a service may have no server at all. */
 static void test_no_server(void)
 {
-	struct world world;
-
-	world_init(&world);
-	result(&world, "a", SERVER_UNREACHABLE);
-	result(&world, "a", SERVER_UNREACHABLE);
-	CU_ASSERT(!hits(&world));
-	registry_remove(&world.registry, STR("b"), 2);
-	CU_ASSERT(hits(&world));
-	registry_remove(&world.registry, STR("a"), 3);
-	CU_ASSERT(hits(&world));
-	add_server(&world, "c");
-	CU_ASSERT(!hits(&world));
-	world_finish(&world);
+	struct simulation simulation;
+
+	simulation_init(&simulation);
+	report_result(&simulation, "a", SERVER_UNREACHABLE);
+	report_result(&simulation, "a", SERVER_UNREACHABLE);
+	CU_ASSERT(!is_affected(&simulation));
+	registry_remove(&simulation.registry, STR("b"), 2);
+	CU_ASSERT(is_affected(&simulation));
+	registry_remove(&simulation.registry, STR("a"), 3);
+	CU_ASSERT(is_affected(&simulation));
+	add_server(&simulation, "c");
+	CU_ASSERT(!is_affected(&simulation));
+	simulation_finish(&simulation);
 }
 
 /*
@@ -277,16 +280,16 @@
  */
 static void test_retry_after(void)
 {
-	struct world world;
+	struct simulation simulation;
 	int64_t since = START - MSEC(700);
 
-	world_init(&world);
-	CU_ASSERT(outage_retry_after(&world.outage, since) == 700);
-	CU_ASSERT(outage_retry_after(&world.outage, START) == 100);
-	CU_ASSERT(outage_retry_after(&world.outage, 0) == 100);
-	CU_ASSERT(outage_retry_after(&world.outage, START - MSEC(60000)) ==
+	simulation_init(&simulation);
+	CU_ASSERT(outage_retry_after(&simulation.outage, since) == 700);
+	CU_ASSERT(outage_retry_after(&simulation.outage, START) == 100);
+	CU_ASSERT(outage_retry_after(&simulation.outage, 0) == 100);
+	CU_ASSERT(outage_retry_after(&simulation.outage, START - MSEC(60000)) ==
 		  5000);
-	world_finish(&world);
+	simulation_finish(&simulation);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_peak.c
+++ b/tests/test_peak.c
@@ -10,7 +10,7 @@
  * for entries: 277 in place of 18. Its part of the retry budget and of a
  * server's connections must not stay so small for the life of the process.
  */
-static void test_comes_down(void)
+static void test_old_peak_expires(void)
 {
 	struct peak peak;
 
@@ -25,7 +25,7 @@
  * Half of the entries are cut off for a second. They still send what they have
  * begun, so that the others must not take over their part of the limits.
  */
-static void test_holds_for_a_span(void)
+static void test_peak_holds_for_span(void)
 {
 	struct peak peak;
 	int64_t t;
@@ -41,7 +41,7 @@
 }
 
 /* A process that was stopped for long goes by what it sees when it wakes. */
-static void test_long_silence(void)
+static void test_no_updates(void)
 {
 	struct peak peak;
 
@@ -50,9 +50,9 @@
 }
 
 static const struct unit_test tests[] = {
-	{"comes down", test_comes_down},
-	{"holds for a span", test_holds_for_a_span},
-	{"long silence", test_long_silence},
+	{"comes down", test_old_peak_expires},
+	{"holds for a span", test_peak_holds_for_span},
+	{"long silence", test_no_updates},
 };
 
 UNIT_MAIN("peak", tests)
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -9,7 +9,7 @@
 #define SEED 5
 
 /* 100 shards, two replicas each, at half load. */
-static const struct fake_config wide = {
+static const struct fake_config base_config = {
 	.groups = 100,
 	.replicas = 2,
 	.slots = 2,
@@ -18,10 +18,10 @@
 	.straggler_factor = 20,
 };
 
-static struct fake_config with(const struct policy_ops *ops,
-			       double straggler_ratio)
+static struct fake_config config_with(const struct policy_ops *ops,
+				      double straggler_ratio)
 {
-	struct fake_config config = wide;
+	struct fake_config config = base_config;
 
 	config.ops = ops;
 	config.straggler_ratio = straggler_ratio;
@@ -73,9 +73,9 @@
  */
 static void test_stragglers(void)
 {
-	struct fake_config calm = with(&policy_plain, 0);
-	struct fake_config plain = with(&policy_plain, 0.01);
-	struct fake_config adaptive = with(&policy_adaptive, 0.01);
+	struct fake_config calm = config_with(&policy_plain, 0);
+	struct fake_config plain = config_with(&policy_plain, 0.01);
+	struct fake_config adaptive = config_with(&policy_adaptive, 0.01);
 	struct measured base = measure_config(&calm, "calm");
 	struct measured before = measure_config(&plain, "stragglers");
 	struct measured after = measure_config(&adaptive, "stragglers");
@@ -90,10 +90,10 @@
  * Nothing is wrong with any server, and still a policy that hedges and
  * compares could cost callers time that a random choice would not.
  */
-static void test_calm(void)
+static void test_no_fault(void)
 {
-	struct fake_config plain = with(&policy_plain, 0);
-	struct fake_config adaptive = with(&policy_adaptive, 0);
+	struct fake_config plain = config_with(&policy_plain, 0);
+	struct fake_config adaptive = config_with(&policy_adaptive, 0);
 	struct measured before = measure_config(&plain, "calm");
 	struct measured after = measure_config(&adaptive, "calm");
 
@@ -111,7 +111,7 @@
 
 static struct measured measure_slow(const struct policy_ops *ops)
 {
-	struct fake_config config = with(ops, 0);
+	struct fake_config config = config_with(ops, 0);
 	struct fake_fleet fleet;
 	struct measured m;
 
@@ -149,7 +149,7 @@
 
 static struct measured measure_shedding(const struct policy_ops *ops)
 {
-	struct fake_config config = with(ops, 0);
+	struct fake_config config = config_with(ops, 0);
 	struct fake_fleet fleet;
 	struct measured m;
 
@@ -191,7 +191,7 @@
 static struct measured measure_outage(const struct policy_ops *ops,
 				      struct measured *later)
 {
-	struct fake_config config = with(ops, 0);
+	struct fake_config config = config_with(ops, 0);
 	struct fake_fleet fleet;
 	struct measured m;
 
@@ -229,9 +229,9 @@
  * first, it has nothing in flight, and a choice by latency or by requests in
  * flight sends it more and more: half the shards of its group go missing.
  */
-static void test_sinkhole(void)
+static void test_fast_failing_server(void)
 {
-	struct fake_config config = with(&policy_adaptive, 0);
+	struct fake_config config = config_with(&policy_adaptive, 0);
 	struct fake_fleet fleet;
 	struct measured m;
 	int i;
@@ -256,7 +256,7 @@
  */
 static void test_flapping(void)
 {
-	struct fake_config config = with(&policy_adaptive, 0);
+	struct fake_config config = config_with(&policy_adaptive, 0);
 	struct fake_fleet fleet;
 	uint64_t first = 0;
 	int i;
@@ -280,11 +280,11 @@
 
 static const struct unit_test tests[] = {
 	{"one request in 100 is 20 times slower", test_stragglers},
-	{"nothing is wrong", test_calm},
+	{"nothing is wrong", test_no_fault},
 	{"all servers slow at once", test_all_slow},
 	{"one server in five sheds", test_shedding},
 	{"a service is gone", test_outage},
-	{"a server fails fast", test_sinkhole},
+	{"a server fails fast", test_fast_failing_server},
 	{"a server flaps", test_flapping},
 };
 
--- a/tests/test_warmup.c
+++ b/tests/test_warmup.c
@@ -12,11 +12,11 @@
 #define SENT_MAX 100000
 
 /* What each of the instances believes of which of them live. */
-struct world {
+struct simulation {
 	struct clock clock;
 	struct warmup senders[SENDERS_MAX];
 	struct warmup_sends sends[SENDERS_MAX];
-	bool frozen[SENDERS_MAX];
+	bool suspended[SENDERS_MAX];
 	int n;
 	int64_t sent[SENT_MAX];
 	int n_sent;
@@ -25,13 +25,14 @@
 static const struct warmup_limit limit = {.cold_for = MSEC(3000),
 					  .bound = BOUND};
 
-static void name_of(char *out, int i)
+static void format_name(char *out, int i)
 {
 	snprintf(out, FLEET_NAME_SIZE, "n%d", i);
 }
 
 /* Sender @i holds those of the first @hubs for alive that @mask has. */
-static void believe(struct world *world, int i, int hubs, unsigned int mask)
+static void set_live_hubs(struct simulation *simulation, int i, int hubs,
+			  unsigned int mask)
 {
 	char names[HUBS_MAX][FLEET_NAME_SIZE];
 	int n = 0;
@@ -39,54 +40,56 @@
 
 	for (j = 0; j < hubs; j++) {
 		if (mask & 1u << j)
-			name_of(names[n++], j);
+			format_name(names[n++], j);
 	}
-	warmup_set_senders(&world->senders[i], names, n);
+	warmup_set_senders(&simulation->senders[i], names, n);
 }
 
-static void world_init(struct world *world, int n, int hubs)
+static void simulation_init(struct simulation *simulation, int n, int hubs)
 {
 	char name[FLEET_NAME_SIZE];
 	int i;
 
-	memset(world, 0, sizeof(*world));
-	clock_init_paused(&world->clock, MSEC(1000000));
-	world->n = n;
+	memset(simulation, 0, sizeof(*simulation));
+	clock_init_paused(&simulation->clock, MSEC(1000000));
+	simulation->n = n;
 	for (i = 0; i < n; i++) {
-		name_of(name, i);
-		warmup_init(&world->senders[i], &world->clock, name);
-		believe(world, i, hubs, ~0u);
+		format_name(name, i);
+		warmup_init(&simulation->senders[i], &simulation->clock, name);
+		set_live_hubs(simulation, i, hubs, ~0u);
 	}
-	clock_advance(&world->clock, MSEC(2000));
+	clock_advance(&simulation->clock, MSEC(2000));
 }
 
 /* Each would send as often as it may. */
-static void pass(struct world *world, int64_t ms)
+static void simulate(struct simulation *simulation, int64_t ms)
 {
-	int64_t end = clock_now(&world->clock) + MSEC(ms);
+	int64_t end = clock_now(&simulation->clock) + MSEC(ms);
 	int i;
 
-	while (clock_now(&world->clock) < end) {
-		for (i = 0; i < world->n; i++) {
-			if (!world->frozen[i] &&
-			    warmup_take(&world->senders[i], STR("server"),
-					&limit, &world->sends[i]))
-				world->sent[world->n_sent++] =
-					clock_now(&world->clock);
+	while (clock_now(&simulation->clock) < end) {
+		for (i = 0; i < simulation->n; i++) {
+			if (!simulation->suspended[i] &&
+			    warmup_try_send(&simulation->senders[i],
+					    STR("server"), &limit,
+					    &simulation->sends[i]))
+				simulation->sent[simulation->n_sent++] =
+					clock_now(&simulation->clock);
 		}
-		clock_advance(&world->clock, STEP);
+		clock_advance(&simulation->clock, STEP);
 	}
 }
 
 /* The most that arrive within any second. */
-static int most_in_a_second(const struct world *world)
+static int max_sends_per_second(const struct simulation *simulation)
 {
 	int most = 0;
 	int from = 0;
 	int i;
 
-	for (i = 0; i < world->n_sent; i++) {
-		while (world->sent[i] - world->sent[from] >= MSEC(1000))
+	for (i = 0; i < simulation->n_sent; i++) {
+		while (simulation->sent[i] - simulation->sent[from] >=
+		       MSEC(1000))
 			from++;
 		if (i - from + 1 > most)
 			most = i - from + 1;
@@ -94,9 +97,9 @@
 	return most;
 }
 
-static int first_of(struct world *world)
+static int first_sender(struct simulation *simulation)
 {
-	return atoi(warmup_sender(&world->senders[0], STR("server")) + 1);
+	return atoi(warmup_sender(&simulation->senders[0], STR("server")) + 1);
 }
 
 static void test_bound(void)
@@ -112,119 +115,120 @@
  * kept within what a server bears and all together sent it many times that, so
  * that it crashed again.
  */
-static void test_burst(int n, int hubs)
+static void check_burst(int n, int hubs)
 {
-	static struct world world;
+	static struct simulation simulation;
 
-	world_init(&world, n, hubs);
-	pass(&world, 5000);
-	CU_ASSERT(most_in_a_second(&world) <= BOUND);
+	simulation_init(&simulation, n, hubs);
+	simulate(&simulation, 5000);
+	CU_ASSERT(max_sends_per_second(&simulation) <= BOUND);
 	/* It is not left alone either: 7 in 1.3 s of the 6 a second it bears.
 	 */
-	CU_ASSERT(world.n_sent >= 5 * 5);
+	CU_ASSERT(simulation.n_sent >= 5 * 5);
 }
 
-static void test_two(void)
+static void test_two_senders(void)
 {
-	test_burst(2, 2);
+	check_burst(2, 2);
 }
 
-static void test_eight(void)
+static void test_eight_senders(void)
 {
-	test_burst(8, 8);
+	check_burst(8, 8);
 }
 
-static void test_sixty_six(void)
+static void test_sixty_six_senders(void)
 {
-	test_burst(66, 8);
+	check_burst(66, 8);
 }
 
 /* Each is cut off from all others and holds itself for the only one. */
-static void test_all_cut_off(void)
+static void test_isolated_senders(void)
 {
-	static struct world world;
+	static struct simulation simulation;
 	int i;
 
-	world_init(&world, HUBS_MAX, HUBS_MAX);
-	pass(&world, 500);
+	simulation_init(&simulation, HUBS_MAX, HUBS_MAX);
+	simulate(&simulation, 500);
 	for (i = 0; i < HUBS_MAX; i++)
-		believe(&world, i, HUBS_MAX, 1u << i);
-	pass(&world, 5000);
-	CU_ASSERT(most_in_a_second(&world) <= BOUND);
-	CU_ASSERT(world.n_sent > 20);
+		set_live_hubs(&simulation, i, HUBS_MAX, 1u << i);
+	simulate(&simulation, 5000);
+	CU_ASSERT(max_sends_per_second(&simulation) <= BOUND);
+	CU_ASSERT(simulation.n_sent > 20);
 }
 
 /*
  * The first stands still, another takes over, and the first wakes up with what
  * it believed before.
  */
-static void test_frozen(void)
+static void test_suspended_sender(void)
 {
-	static struct world world;
+	static struct simulation simulation;
 	int first;
 	int i;
 
-	world_init(&world, HUBS_MAX, HUBS_MAX);
-	first = first_of(&world);
-	pass(&world, 1000);
-	world.frozen[first] = true;
+	simulation_init(&simulation, HUBS_MAX, HUBS_MAX);
+	first = first_sender(&simulation);
+	simulate(&simulation, 1000);
+	simulation.suspended[first] = true;
 	for (i = 0; i < HUBS_MAX; i++) {
 		if (i != first)
-			believe(&world, i, HUBS_MAX, ~(1u << first));
+			set_live_hubs(&simulation, i, HUBS_MAX, ~(1u << first));
 	}
-	pass(&world, 2000);
-	CU_ASSERT(world.n_sent > 5);
-	world.frozen[first] = false;
-	pass(&world, 2000);
-	CU_ASSERT(most_in_a_second(&world) <= BOUND);
+	simulate(&simulation, 2000);
+	CU_ASSERT(simulation.n_sent > 5);
+	simulation.suspended[first] = false;
+	simulate(&simulation, 2000);
+	CU_ASSERT(max_sends_per_second(&simulation) <= BOUND);
 }
 
 /* All are killed and start again: what they sent before still counts. */
-static void test_start_of_all(void)
+static void test_simultaneous_restarts(void)
 {
-	static struct world world;
+	static struct simulation simulation;
 	char name[FLEET_NAME_SIZE];
 	int i;
 
-	world_init(&world, 8, 8);
-	pass(&world, 1000);
-	memset(world.sends, 0, sizeof(world.sends));
+	simulation_init(&simulation, 8, 8);
+	simulate(&simulation, 1000);
+	memset(simulation.sends, 0, sizeof(simulation.sends));
 	for (i = 0; i < 8; i++) {
-		name_of(name, i);
-		warmup_init(&world.senders[i], &world.clock, name);
-		believe(&world, i, 8, 1u << i);
+		format_name(name, i);
+		warmup_init(&simulation.senders[i], &simulation.clock, name);
+		set_live_hubs(&simulation, i, 8, 1u << i);
 	}
-	pass(&world, 200);
+	simulate(&simulation, 200);
 	for (i = 0; i < 8; i++)
-		believe(&world, i, 8, ~0u);
-	pass(&world, 3000);
-	CU_ASSERT(most_in_a_second(&world) <= BOUND);
+		set_live_hubs(&simulation, i, 8, ~0u);
+	simulate(&simulation, 3000);
+	CU_ASSERT(max_sends_per_second(&simulation) <= BOUND);
 }
 
 /* Whoever is no hub, or is not the first, sends nothing. */
-static void test_others(void)
+static void test_other_instances(void)
 {
-	static struct world world;
+	static struct simulation simulation;
 	int i;
 
-	world_init(&world, 12, HUBS_MAX);
+	simulation_init(&simulation, 12, HUBS_MAX);
 	for (i = 0; i < 12; i++) {
-		bool first = i == first_of(&world);
+		bool first = i == first_sender(&simulation);
 
-		CU_ASSERT(warmup_take(&world.senders[i], STR("server"), &limit,
-				      &world.sends[i]) == first);
+		CU_ASSERT(warmup_try_send(&simulation.senders[i], STR("server"),
+					  &limit,
+					  &simulation.sends[i]) == first);
 	}
 }
 
 static const struct unit_test tests[] = {
 	{"bound", test_bound},
-	{"burst of two", test_two},
-	{"burst of eight", test_eight},
-	{"burst of sixty-six", test_sixty_six},
-	{"all cut off", test_all_cut_off},
-	{"frozen", test_frozen},
-	{"start of all", test_start_of_all},
-	{"others", test_others},
+	{"burst of two", test_two_senders},
+	{"burst of eight", test_eight_senders},
+	{"burst of sixty-six", test_sixty_six_senders},
+	{"all cut off", test_isolated_senders},
+	{"frozen", test_suspended_sender},
+	{"start of all", test_simultaneous_restarts},
+	{"others", test_other_instances},
 };
 
 UNIT_MAIN("warmup", tests)
--- a/top_k.c
+++ b/top_k.c
@@ -14,19 +14,19 @@
 	return NULL;
 }
 
-static struct top_k_entry *least(struct top_k *top)
+static struct top_k_entry *find_smallest(struct top_k *top)
 {
-	struct top_k_entry *found = &top->entries[0];
+	struct top_k_entry *smallest = &top->entries[0];
 	int i;
 
 	for (i = 1; i < top->n; i++) {
-		if (top->entries[i].count < found->count)
-			found = &top->entries[i];
+		if (top->entries[i].count < smallest->count)
+			smallest = &top->entries[i];
 	}
-	return found;
+	return smallest;
 }
 
-static struct top_k_entry *put(struct top_k *top, struct str key)
+static struct top_k_entry *insert(struct top_k *top, struct str key)
 {
 	struct top_k_entry *entry;
 
@@ -34,7 +34,7 @@
 		entry = &top->entries[top->n++];
 		memset(entry, 0, sizeof(*entry));
 	} else {
-		entry = least(top);
+		entry = find_smallest(top);
 		entry->error = entry->count;
 	}
 	str_copy(entry->key, sizeof(entry->key), key);
@@ -50,7 +50,7 @@
 		key.len = TOP_K_KEY_SIZE - 1;
 	entry = find(top, key);
 	if (!entry)
-		entry = put(top, key);
+		entry = insert(top, key);
 	entry->count += count;
 	entry->error += error;
 	entry->code = code;
--- a/upstream_limits.c
+++ b/upstream_limits.c
@@ -27,7 +27,7 @@
 		return false;
 	if (!server->cold_sends)
 		server->cold_sends = mem_zalloc(sizeof(*server->cold_sends));
-	return warmup_take(upstream->limits.warmup, str_from(server->entry.id),
+	return warmup_try_send(upstream->limits.warmup, str_from(server->entry.id),
 			   &server->service->warmup, server->cold_sends);
 }
 
--- a/warmup.c
+++ b/warmup.c
@@ -6,13 +6,13 @@
  * The bound holds in any second. A send may wait for its connection, up to
  * 250 ms, so that two of them may arrive so much closer than they were counted.
  */
-#define WINDOW MSEC(1300)
+#define SEND_WINDOW MSEC(1300)
 /*
  * A hub that is not known to live any more may be cut off and still send. It
  * keeps its place for so long, longer than a cut lasts that is not taken for
  * its end; its part of the bound is lost meanwhile.
  */
-#define SENDER_KEPT MSEC(30000)
+#define SENDER_MEMORY MSEC(30000)
 
 int warmup_bound(double per_s, double overrun, double slack)
 {
@@ -86,62 +86,63 @@
 	}
 }
 
-uint64_t warmup_score(struct str server, const char *instance)
+uint64_t warmup_hash(struct str server, const char *instance)
 {
 	return str_hash_mix(str_hash(server), str_hash(str_from(instance)));
 }
 
-static bool is_kept(const struct warmup *warmup,
-		    const struct warmup_sender *sender)
+static bool is_remembered(const struct warmup *warmup,
+			  const struct warmup_sender *sender)
 {
 	return sender->alive ||
-	       clock_now(warmup->clock) - sender->seen_at < SENDER_KEPT;
+	       clock_now(warmup->clock) - sender->seen_at < SENDER_MEMORY;
 }
 
 const char *warmup_sender(const struct warmup *warmup, struct str server)
 {
-	const struct warmup_sender *best = NULL;
-	uint64_t least = 0;
+	const struct warmup_sender *first = NULL;
+	uint64_t lowest_hash = 0;
 	int i;
 
 	for (i = 0; i < warmup->n; i++) {
 		const struct warmup_sender *sender = &warmup->senders[i];
-		uint64_t score = warmup_score(server, sender->instance);
+		uint64_t hash = warmup_hash(server, sender->instance);
 
-		if (!sender->alive || (best && score >= least))
+		if (!sender->alive || (first && hash >= lowest_hash))
 			continue;
-		least = score;
-		best = sender;
+		lowest_hash = hash;
+		first = sender;
 	}
-	return best ? best->instance : NULL;
+	return first ? first->instance : NULL;
 }
 
 /* Those that are before this instance, dead or not. */
 static int rank_of(const struct warmup *warmup, struct str server)
 {
-	uint64_t own = warmup_score(server, warmup->instance);
+	uint64_t own = warmup_hash(server, warmup->instance);
 	int rank = 0;
 	int i;
 
 	for (i = 0; i < warmup->n; i++) {
 		const struct warmup_sender *sender = &warmup->senders[i];
 
-		if (is_kept(warmup, sender) &&
-		    warmup_score(server, sender->instance) < own)
+		if (is_remembered(warmup, sender) &&
+		    warmup_hash(server, sender->instance) < own)
 			rank++;
 	}
 	return rank;
 }
 
-bool warmup_take(const struct warmup *warmup, struct str server,
-		 const struct warmup_limit *limit, struct warmup_sends *sends)
+bool warmup_try_send(const struct warmup *warmup, struct str server,
+		     const struct warmup_limit *limit,
+		     struct warmup_sends *sends)
 {
 	const char *sender = warmup_sender(warmup, server);
 	int64_t now = clock_now(warmup->clock);
 	uint64_t share;
 
 	if (!sender || strcmp(sender, warmup->instance) ||
-	    now - warmup->started_at < WINDOW)
+	    now - warmup->started_at < SEND_WINDOW)
 		return false;
 	share = (uint64_t)limit->bound >> (1 + rank_of(warmup, server));
 	if (share > WARMUP_SENDS_MAX)
@@ -149,7 +150,8 @@
 	if (!share)
 		return false;
 	if (sends->n >= share &&
-	    now - sends->at[(sends->n - share) % WARMUP_SENDS_MAX] < WINDOW)
+	    now - sends->at[(sends->n - share) % WARMUP_SENDS_MAX] <
+		    SEND_WINDOW)
 		return false;
 	sends->at[sends->n++ % WARMUP_SENDS_MAX] = now;
 	return true;
