--- a/admission.c
+++ b/admission.c
@@ -24,10 +24,10 @@
 #define RETRY_MAX_MS 10000
 #define LATENCY_QUANTILE 0.95
 #define LATENCY_QUANTILE_STEP 0.1
-/* The mean latency follows the last tens of requests. */
+/* The mean latency covers the last tens of requests. */
 #define MEAN_LATENCY_WEIGHT 0.05
 
-/* Requests of one workspace of one service that wait, oldest first. */
+/* Queued requests of one workspace of one service, oldest first. */
 struct admission_workspace {
 	uint64_t name;
 	struct admission_request *requests;
@@ -37,8 +37,8 @@
 };
 
 /*
- * The workspaces that wait take turns; one that was served goes to the end.
- * finish is the virtual time by which the service had its share.
+ * Workspaces with queued requests are served round-robin. virtual_finish is the
+ * virtual finish time of the service's last start in weighted fair queueing.
  */
 struct admission_service {
 	uint64_t name;
@@ -49,8 +49,7 @@
 	struct admission_workspace *workspaces;
 	int n_waiting;
 	double virtual_finish;
-	double latency_quantile; /* nearly all take less from start to answer,
-				    us */
+	double latency_quantile; /* from start to answer, microseconds */
 	double mean_latency;	 /* from start to answer, microseconds */
 	int64_t last_used;
 	UT_hash_handle hh;
@@ -75,10 +74,10 @@
 }
 
 /*
- * The least wait within a window is the queue that never drained. While there
- * is one above the target, the limit shrinks in proportion; while there is
- * none and the limit was reached, it grows. The least, not the mean, so that a
- * burst or one slow server is not taken for overload.
+ * The minimum wait within a window shows the standing queue. While it exceeds
+ * the target, the limit is decreased in proportion; otherwise the limit is
+ * increased if it was reached. The minimum is used instead of the mean, because
+ * a burst or one slow server is not overload.
  */
 static void limit_adjust(struct admission_limit *limit, int64_t target,
 			 int64_t max)
@@ -131,7 +130,10 @@
 	return service;
 }
 
-/* The table may have changed since; waiting requests keep their place. */
+/*
+ * The routing table may have changed since the last request. Queued requests
+ * keep their position.
+ */
 static void update_service(struct admission *admission,
 			   struct admission_service *service,
 			   const struct admission_request *request)
@@ -168,10 +170,10 @@
 }
 
 /*
- * The time a request needs once started, as far as known. A service whose
- * servers are all slow answers at the deadline with what it has. Its requests
- * must still get in, or nothing would ever show that the servers are quick
- * again: at most half of what a request came with is asked of it.
+ * Estimated time from start to answer. If all servers of a service are slow,
+ * its requests take until their deadline. They must still be admitted, or the
+ * estimate would never recover when the servers do: it is therefore at most
+ * half of the time between entry and deadline.
  */
 static int64_t expected_duration(const struct admission_service *service,
 				 const struct admission_request *request)
@@ -225,9 +227,9 @@
 }
 
 /*
- * Until the queue is worked off, longer the more were refused for each one
- * started, and at random over that time again, so that those refused together
- * don't come back together.
+ * The delay covers the expected queueing time and grows with the number of
+ * refusals per start. It is randomised between half and one and a half times
+ * that value, so that callers refused together do not retry together.
  */
 static uint32_t retry_after(struct admission *admission, int64_t wait)
 {
@@ -263,7 +265,7 @@
 	struct admission_service *service = request->service_state;
 	double now = admission->virtual_time[service->priority];
 
-	/* An idle service saves up nothing. */
+	/* An idle service accumulates no credit. */
 	if (!service->n_waiting && service->virtual_finish < now)
 		service->virtual_finish = now;
 	request->workspace_queue =
@@ -314,7 +316,7 @@
 	update_refusal_rate(admission, request->started_at);
 }
 
-/* Of one priority: the service furthest behind its share that may start. */
+/* The service of a priority with the smallest virtual finish time. */
 static struct admission_service *pick_service(const struct admission *admission,
 					      int priority)
 {
@@ -335,8 +337,8 @@
 }
 
 /*
- * The highest priority goes first, but for a small part of the starts, which
- * goes to the lowest that waits.
+ * The highest priority is served first, except for the fraction of the starts
+ * that is reserved for the lowest priority with queued requests.
  */
 static struct admission_service *pick_next_service(struct admission *admission)
 {
@@ -363,7 +365,7 @@
 	       request->deadline;
 }
 
-/* The workspace served goes to the end of the line, and the service pays. */
+/* Advance the service's virtual finish time and rotate its workspaces. */
 static void charge(struct admission *admission,
 		   struct admission_service *service)
 {
@@ -390,7 +392,10 @@
 	request->start(request);
 }
 
-/* Whoever is started or refused may enter or leave: no deeper call pumps. */
+/*
+ * The callbacks may call admission_enter() and admission_leave(): a nested call
+ * does nothing.
+ */
 static void start_waiting(struct admission *admission)
 {
 	struct admission_service *service;
@@ -404,13 +409,13 @@
 	admission->starting_requests = false;
 }
 
-/* How much more than its share a service has waiting. */
+/* Queued requests of a service in proportion to its weight. */
 static double backlog(const struct admission_service *service)
 {
 	return (double)service->n_waiting / (double)service->weight;
 }
 
-/* Of the lowest priority that waits, the service with most waiting. */
+/* The service with the largest backlog at the lowest queued priority. */
 static struct admission_service *
 find_largest_backlog(const struct admission *admission)
 {
@@ -443,10 +448,10 @@
 }
 
 /*
- * The instance is full: the newest request of who has most waiting at the
- * lowest priority makes room.
+ * The instance is full: refuse the newest queued request of the service and
+ * workspace with the largest backlog at the lowest priority.
  *
- * Return: whether room was made for a request of @service.
+ * Return: whether there is room for a request of @service now.
  */
 static bool evict_request(struct admission *admission,
 			  const struct admission_service *service)
@@ -493,15 +498,15 @@
 void admission_set_tunables(struct admission *admission,
 			    const struct admission_tunables *tunables)
 {
-	/* Without word of lag the instance may start all. */
+	/* The limit starts at the maximum until the event loop is late. */
 	if (!admission->tunables.queue_max)
 		admission->instance_limit.limit = (double)tunables->queue_max;
 	admission->tunables = *tunables;
 }
 
 /*
- * Whoever would have to wait beyond the service's latency target is refused
- * at once: a longer queue answers no more requests, it only answers them later.
+ * A request that would be queued beyond the service's latency target is refused
+ * at once: a longer queue does not increase throughput, only latency.
  */
 static bool is_too_late(const struct admission_service *service,
 			const struct admission_request *request, int64_t wait)
@@ -539,7 +544,7 @@
 	return ADMISSION_QUEUED;
 }
 
-/* A quantile, followed by large steps up and small ones down. */
+/* Stochastic estimate of a quantile: large steps up, small steps down. */
 static void follow_quantile(double *quantile, double value)
 {
 	double step = *quantile * LATENCY_QUANTILE_STEP + 1;
--- a/admission.h
+++ b/admission.h
@@ -1,8 +1,9 @@
 /*
- * Admission at the entry instance: which searches start now, which wait, and
- * which are refused early as not run. One concurrency limit for each service
- * follows what the service's backend servers can serve; one for the instance
- * follows its own event loop. See docs/design/overload.md.
+ * Admission control at the entry instance: decides which searches start at
+ * once, which are queued, and which are refused early without having run. An
+ * adaptive concurrency limit per service follows the capacity of the service's
+ * backend servers; another one for the whole instance follows the delay of its
+ * event loop. See docs/design/overload.md.
  */
 #ifndef ADMISSION_H
 #define ADMISSION_H
@@ -19,14 +20,13 @@
 #define ADMISSION_PRIORITIES 10
 
 /**
- * struct admission_tunables - from the table
- * @queue_max: requests waiting and started together, the instance
- * @wait_target_ratio: standing queue at the homes that is accepted, as a part
- * of the service's latency target
- * @floor: part of the starts given to the lowest priority that waits, so that
- * none starves
- * @lag_target: delay of the instance's event loop that is accepted,
- * microseconds
+ * struct admission_tunables - settings from the routing table
+ * @queue_max: maximum number of queued and started requests of the instance
+ * @wait_target_ratio: accepted queueing time at the home instances, as a
+ *	fraction of the service's latency target
+ * @floor: fraction of the starts reserved for the lowest priority that has
+ *	requests queued, so that no priority starves
+ * @lag_target: accepted delay of the instance's event loop, microseconds
  */
 struct admission_tunables {
 	int64_t queue_max;
@@ -36,16 +36,24 @@
 };
 
 /**
- * struct admission_request - one request; owned by the caller until it left
- * @service: name; borrowed during admission_enter()
- * @workspace: of the request's where; may be empty; borrowed likewise
+ * struct admission_request - one request; owned by the caller, who keeps it
+ *	until admission_leave(), or until it is refused
+ * @service: service name; only read during admission_enter()
+ * @workspace: workspace that the request searches; may be empty; only read
+ *	during admission_enter()
  * @priority: 0 is the most urgent
- * @weight: of the service
+ * @weight: weight of the service in fair queueing
  * @slo_latency: latency target of the service, microseconds
- * @deadline: on the clock, microseconds
- * @start: called when a request that waited starts
- * @refuse: called when a request that waited is refused; it did not run and
- * has left
+ * @deadline: absolute time on the clock, microseconds
+ * @start: called when a queued request starts
+ * @refuse: called when a queued request is refused; it did not run, and
+ *	admission_leave() is not needed
+ * @service_state: private: state of the service; NULL once the request left
+ * @workspace_queue: private: queue that holds the request; NULL if not queued
+ * @entered_at: private: time of admission_enter(), microseconds
+ * @started_at: private: start time, microseconds; 0 while queued
+ * @prev: private
+ * @next: private
  */
 struct admission_request {
 	struct str service;
@@ -57,7 +65,7 @@
 	void (*start)(struct admission_request *request);
 	void (*refuse)(struct admission_request *request, int code,
 		       uint32_t retry_after_ms);
-	/* Of the module. */
+	/* Private to the module. */
 	struct admission_service *service_state;
 	struct admission_workspace *workspace_queue;
 	int64_t entered_at;
@@ -67,10 +75,10 @@
 };
 
 /**
- * struct admission_sample - what was seen of a request that started
- * @wait: mean time its parts were queued at homes, microseconds
- * @shed: a home or server refused a part for load
- * @failed: no server answered at all
+ * struct admission_sample - measurements of a request that was started
+ * @wait: mean queueing time of its parts at home instances, microseconds
+ * @shed: a home instance or server refused a part because of load
+ * @failed: no server answered
  */
 struct admission_sample {
 	int64_t wait;
@@ -79,12 +87,13 @@
 };
 
 /**
- * struct admission_limit - how many may be in progress, adapted
- * @limit: at least 1
- * @window_end: when the samples are judged, microseconds
- * @min_wait: of the window's samples
- * @n_samples: samples in the window
- * @was_full: the limit was reached in the window
+ * struct admission_limit - adaptive concurrency limit
+ * @limit: maximum number of requests in progress, at least 1
+ * @in_flight: requests in progress
+ * @window_end: earliest time of the next adjustment, microseconds
+ * @min_wait: minimum wait in the samples of the window, microseconds
+ * @n_samples: number of samples in the window
+ * @was_full: the limit was reached during the window
  */
 struct admission_limit {
 	double limit;
@@ -96,13 +105,23 @@
 };
 
 /**
- * struct admission - the state of one instance
- * @services: by hash of the name
- * @instance_limit: limit of the instance
- * @n_queued: waiting, by priority
+ * struct admission - admission state of one instance
+ * @clock: time source
+ * @random: source of random numbers
+ * @tunables: current settings
+ * @services: hash table, keyed by hash of the service name
+ * @instance_limit: concurrency limit of the whole instance
+ * @n_queued: number of queued requests, by priority
  * @n_waiting: sum of @n_queued
- * @floor_credit: starts owed to the lowest priority
- * @refusals: since @rate_window_start, for the spread of returns
+ * @virtual_time: virtual time of weighted fair queueing, by priority
+ * @floor_credit: starts reserved so far for the lowest queued priority
+ * @starting_requests: queued requests are being started; guards against
+ *	recursion through callbacks
+ * @rate_window_start: start of the window of @refusals and @starts,
+ *	microseconds
+ * @refusals: refused requests since @rate_window_start
+ * @starts: started requests since @rate_window_start
+ * @refusals_per_start: ratio of the two in the previous window
  */
 struct admission {
 	const struct clock *clock;
@@ -121,7 +140,7 @@
 	double refusals_per_start;
 };
 
-/* What admission_enter() decided. */
+/* Result of admission_enter(). */
 enum admission_decision {
 	ADMISSION_STARTED = 1,
 	ADMISSION_QUEUED,
@@ -131,58 +150,68 @@
 		    uint64_t (*random)(void));
 
 /**
- * admission_finish() - free the services; nothing may wait or be started
+ * admission_finish() - free the state; no request may be queued or started
  */
 void admission_finish(struct admission *admission);
 void admission_set_tunables(struct admission *admission,
 			    const struct admission_tunables *tunables);
 
 /**
- * admission_enter() - offer a request
+ * admission_enter() - start, queue or refuse a request
  * @request: see struct admission_request
- * @retry_after_ms: set on failure: spread, so that not all come back at once
+ * @retry_after_ms: set on failure; randomised, so that refused callers do not
+ *	retry at the same time
  *
- * Return: an enum admission_decision; or ERR_OVERLOAD, with the request left.
- * It may refuse another request that waits, of a lower priority or of who has
- * most waiting.
+ * May refuse another queued request to make room: one of a lower priority, or
+ * of the service with the largest backlog.
+ *
+ * Return: an enum admission_decision, or ERR_OVERLOAD if @request is refused;
+ * admission_leave() is not needed then.
  */
 int admission_enter(struct admission *admission,
 		    struct admission_request *request,
 		    uint32_t *retry_after_ms);
 
 /**
- * admission_leave() - a started request is answered, or a waiting one is gone
- * @sample: NULL if nothing was seen
+ * admission_leave() - a started request ended, or a queued one was cancelled
+ * @request: ignored if it has left already
+ * @sample: measurements of the request; NULL if there are none
  */
 void admission_leave(struct admission *admission,
 		     struct admission_request *request,
 		     const struct admission_sample *sample);
 
 /**
- * admission_overloaded() - whether a new request of a service would not start
+ * admission_overloaded() - whether a new request of a service would be queued
+ *	or refused
+ * @service: service name
  * @retry_after_ms: set if so
  *
- * For work that is bounded elsewhere, as the issue of tickets.
+ * For work that is limited elsewhere, such as issuing tickets.
  */
 bool admission_overloaded(struct admission *admission, struct str service,
 			  uint32_t *retry_after_ms);
 
 /**
- * admission_add_lag() - the event loop was late by @lag microseconds
+ * admission_add_lag() - record a delay of the event loop
+ * @lag: microseconds
  */
 void admission_add_lag(struct admission *admission, int64_t lag);
 
 /**
- * admission_tick() - refuse what can't finish any more, drop idle services
+ * admission_tick() - refuse requests that can no longer meet their deadline,
+ *	free idle services, start queued requests
  *
- * To be called about every 50 ms.
+ * Call about every 50 ms.
  */
 void admission_tick(struct admission *admission);
 
 /**
- * admission_service_limit() - the limit in force, for status pages and tests
+ * admission_service_limit() - current concurrency limit of a service, for
+ *	status pages and tests
+ * @service: service name
  *
- * Return: requests; 0 for a service that had none lately.
+ * Return: requests; 0 for a service without recent requests.
  */
 int admission_service_limit(const struct admission *admission,
 			    struct str service);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -28,7 +28,7 @@
 	return ((double)(next_random() >> 11) + 0.5) / 9007199254740992.0;
 }
 
-/* Single decisions, with requests that only note what happened to them. */
+/* Requests that record what happens to them, to test single decisions. */
 struct test_request {
 	struct admission_request base;
 	int started;
@@ -105,7 +105,7 @@
 
 #define N_REQUESTS 40
 
-/* One request runs and holds all the room there is; others wait behind it. */
+/* Start one request that uses the whole instance limit; others are queued. */
 static void block_instance(struct fixture *f, struct test_request *blocker)
 {
 	setup(f, 1000);
@@ -123,7 +123,7 @@
 	admission_finish(&f->admission);
 }
 
-/* Start all that wait, one after the other. */
+/* Run all queued requests one after the other. */
 static void serve_all(struct fixture *f, struct test_request *blocker,
 		      struct test_request *requests, int n)
 {
@@ -142,8 +142,8 @@
 }
 
 /*
- * Reporting floods an instance while a call-centre agent looks up a burst
- * pipe. What is urgent starts first, whenever it came.
+ * Guards against urgent requests that are queued behind a flood of less urgent
+ * ones, such as reporting. Starts must follow priority, not order of arrival.
  */
 static void test_priority(void)
 {
@@ -163,7 +163,10 @@
 	leave_all(&f, requests, 3);
 }
 
-/* Of two services of one priority the one of weight 3 gets 3 of 4 starts. */
+/*
+ * Two services of the same priority, one with three times the weight of the
+ * other: it gets 3 of 4 starts.
+ */
 static void test_weights(void)
 {
 	struct test_request requests[N_REQUESTS];
@@ -184,8 +187,8 @@
 }
 
 /*
- * One workspace sends forty searches at once, another one. The one does not
- * wait behind the forty.
+ * Guards against one workspace delaying another: a single search of one must
+ * not be queued behind 39 of the other.
  */
 static void test_workspaces(void)
 {
@@ -204,8 +207,8 @@
 }
 
 /*
- * Urgent work alone fills the instance for minutes. The rest still gets its
- * small part of the starts.
+ * Guards against starvation: urgent requests alone use the whole instance, and
+ * the lowest priority still gets its reserved fraction of the starts.
  */
 static void test_floor(void)
 {
@@ -229,8 +232,9 @@
 }
 
 /*
- * The instance is full of searches of one workspace. An urgent search makes
- * room for itself, one of a small service does, one more of the large does not.
+ * The queue is full with searches of one service. An urgent search and one of a
+ * service with a smaller backlog evict a queued one; another search of the same
+ * service is refused.
  */
 static void test_full_instance(void)
 {
@@ -265,8 +269,8 @@
 }
 
 /*
- * A search waits until it can't be answered in time any more. It is refused
- * then, as not run, not at its deadline.
+ * A queued search is refused as soon as it can no longer be answered in time,
+ * not only at its deadline.
  */
 static void test_refused_before_deadline(void)
 {
@@ -291,7 +295,7 @@
 	leave_all(&f, &blocker, 1);
 }
 
-/* Those refused together must not come back together. */
+/* Guards against callers refused together that retry together. */
 static void test_retry_after_is_random(void)
 {
 	struct test_request blocker;
@@ -321,7 +325,7 @@
 	leave_all(&f, &blocker, 1);
 }
 
-/* The event loop is late all the time: the instance starts less. */
+/* The instance limit falls while the event loop is late, and recovers. */
 static void test_lag(void)
 {
 	struct fixture f;
@@ -344,9 +348,9 @@
 }
 
 /*
- * A model of the fleet: entries with admission, before pools of slots with a
- * queue each, one for each service; searches come at random and take a random
- * time. The plain way has neither admission nor deadlines in its queue.
+ * A model of the fleet: entries with admission control, and one pool of slots
+ * with a queue per service. Searches arrive at random and take a random time.
+ * The baseline has neither admission control nor deadlines in its queues.
  */
 #define ENTRIES 4
 #define POOLS 2
@@ -372,7 +376,7 @@
 	int64_t arrived_at;
 	int64_t service_time;
 	int64_t ends_at;
-	bool waits; /* in admission */
+	bool waits; /* queued by admission control */
 	struct job *prev;
 	struct job *next;
 };
@@ -399,10 +403,10 @@
 	struct admission entries[ENTRIES];
 	struct pool pools[POOLS];
 	struct count is_measured[POOLS];
-	double rate[POOLS]; /* a second */
+	double rate[POOLS]; /* arrivals per second */
 	int64_t next_arrival[POOLS];
 	bool baseline;
-	bool shared; /* all services on the first pool */
+	bool shared; /* all services use the first pool */
 };
 
 static struct pool *pool_of(struct model *model, const struct job *job)
@@ -480,7 +484,7 @@
 	struct job *job;
 
 	while (pool->busy < SLOTS && (job = take_job(model, pool))) {
-		job->item.pushed = now - job->item.pushed; /* now its wait */
+		job->item.pushed = now - job->item.pushed; /* queueing time */
 		job->service_time =
 			SERVE_MIN +
 			(int64_t)(unit_random() * (SERVE_MAX - SERVE_MIN));
@@ -653,7 +657,7 @@
 	}
 }
 
-/* No more come; those in progress end. */
+/* Stop arrivals and run all jobs to their end. */
 static void model_finish(struct model *model)
 {
 	int i;
@@ -689,8 +693,8 @@
 }
 
 struct result {
-	double goodput;	 /* part of the capacity of a pool */
-	double answered; /* in time, of those that ended */
+	double goodput;	 /* as a fraction of the capacity of a pool */
+	double answered; /* fraction of offered jobs answered in time */
 	int64_t p99;
 };
 
@@ -727,10 +731,9 @@
 }
 
 /*
- * On a cold morning the desks ask for ten times what the servers can answer.
- * Queues grow until every answer is late, so that nobody gets one. With
- * admission, as many as ever are answered, in time, and the others are told at
- * once when to come back.
+ * Guards against congestion collapse: at ten times the capacity, queues would
+ * grow until every answer is late. With admission control the goodput stays
+ * near capacity and answers are in time; other requests are refused at once.
  */
 static void check_overload(void)
 {
@@ -757,8 +760,8 @@
 	seed = 1;
 }
 
-/* The plain way does collapse in this model, or the above would show little. */
-static void test_overload_plain(void)
+/* Checks that the model collapses without admission control. */
+static void test_overload_baseline(void)
 {
 	struct result results[POOLS];
 
@@ -766,7 +769,7 @@
 	CU_ASSERT(results[0].goodput < 0.5);
 }
 
-/* Below capacity admission is not noticed. */
+/* Below capacity, admission control refuses next to nothing. */
 static void test_half_load(void)
 {
 	struct result results[POOLS];
@@ -775,7 +778,7 @@
 	CU_ASSERT(results[0].answered > 0.999);
 }
 
-/* One service floods its servers; the other, on its own, sees nothing. */
+/* An overloaded service does not affect another one with its own servers. */
 static void test_other_service(void)
 {
 	struct result results[POOLS];
@@ -786,8 +789,8 @@
 }
 
 /*
- * Reporting floods what it shares with the urgent desks. The desks get all
- * they ask for as long as they alone fit.
+ * Guards against a less urgent service that takes capacity from an urgent one
+ * on the same servers: the urgent one is served as long as it fits by itself.
  */
 static void test_shared(void)
 {
@@ -808,12 +811,12 @@
 	{"weights", test_weights},
 	{"workspaces", test_workspaces},
 	{"floor", test_floor},
-	{"make room", test_full_instance},
-	{"late", test_refused_before_deadline},
-	{"spread", test_retry_after_is_random},
-	{"lag", test_lag},
+	{"full instance", test_full_instance},
+	{"refused before deadline", test_refused_before_deadline},
+	{"random retry delay", test_retry_after_is_random},
+	{"event loop lag", test_lag},
 	{"half load", test_half_load},
-	{"overload, plain", test_overload_plain},
+	{"overload, baseline", test_overload_baseline},
 	{"overload", test_overload},
 	{"other service", test_other_service},
 	{"shared", test_shared},
