--- a/budget.c
+++ b/budget.c
@@ -19,9 +19,9 @@
 }
 
 /*
- * Tokens saved under high load could feed a retry storm after it: the capacity
- * shrinks with the request rate, down to the burst, or to the reserve if the
- * limit has a decay time.
+ * Tokens saved under high load could cause a retry storm later. The capacity
+ * therefore falls with the request rate, down to the burst, or to the reserve
+ * if the limit has a decay time.
  */
 double budget_capacity(const struct budget *budget,
 		       const struct budget_limit *limit)
@@ -44,7 +44,7 @@
 	if (limit->decay_time)
 		budget->decayed_needed *= exp(-age / (double)limit->decay_time);
 	budget->updated_at = now;
-	/* With a decay time, the capacity also bounds what time grants. */
+	/* With a decay time, the capacity also limits tokens from time. */
 	if (limit->decay_time)
 		budget->tokens += age * limit->per_second / USEC_PER_SEC;
 	else
--- a/budget.h
+++ b/budget.h
@@ -1,6 +1,6 @@
 /*
- * A budget of extra requests: a part of those needed, so that hedges and
- * retries cannot grow with the trouble they answer to.
+ * A budget for extra requests (hedges and retries): a fraction of the requests
+ * needed, so that extra requests do not amplify an overload or outage.
  */
 #ifndef BUDGET_H
 #define BUDGET_H
@@ -8,21 +8,23 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Requests needed within about this time bound what may be saved up. */
+/* Time constant of the average that limits the tokens saved up. */
 #define BUDGET_WINDOW_US 200000
 
 /**
- * struct budget - a token bucket filled by requests needed; all zero is new
- * @tokens: extra requests that may be sent now
- * @time_tokens: of these, those granted by time alone
- * @recent_needed: requests needed lately, fading with BUDGET_WINDOW_US
+ * struct budget - a token bucket filled by requests needed
+ * @tokens: extra requests that may be sent now, without @time_tokens
+ * @time_tokens: further ones, granted by time alone
+ * @recent_needed: requests needed, decaying with BUDGET_WINDOW_US
  * @decayed_needed: requests needed, decaying with the limit's @decay_time
- * @updated_at: time of the last change, microseconds
- * @needed: all that were ever needed
- * @spent: all extra requests ever granted
- * @refused: all that were refused
+ * @updated_at: time of the last update, microseconds
+ * @needed: total number of requests needed
+ * @spent: total number of extra requests granted
+ * @refused: total number of extra requests refused
  * @uncharged: extra requests that took no token because no earlier send had
  *	reached a server
+ *
+ * All zero is a valid empty budget.
  */
 struct budget {
 	double tokens;
@@ -37,14 +39,14 @@
 };
 
 /**
- * struct budget_limit - how much a budget grants
- * @ratio: extra requests for each one needed
+ * struct budget_limit - parameters of a budget
+ * @ratio: extra requests for each one needed; 0 allows none
  * @burst: extra requests granted on top, and after idle time
  * @per_second: extra requests granted by time alone, at most @burst at once
- * @decay_time: if not 0, a new budget has @initial, and its capacity, which
- *then also bounds tokens from @per_second, is what requests of about this time
- *	earned, microseconds; at most @burst, unless those of BUDGET_WINDOW_US
- *	earned more
+ * @decay_time: microseconds; if not 0, a new budget has @initial tokens, and
+ *	its capacity, which then also limits tokens from @per_second, is what
+ *	requests within about this time earned: at most @burst, unless those of
+ *	BUDGET_WINDOW_US earned more
  * @reserve: with @decay_time, minimum capacity; tokens up to it do not decay
  * @initial: with @decay_time, tokens of a new budget
  */
@@ -58,20 +60,25 @@
 };
 
 /**
- * budget_init() - a budget with its burst, or @initial with a decay time
+ * budget_init() - start with the burst, or with @initial if there is a decay
+ *	time
+ * @now: microseconds
  */
 void budget_init(struct budget *budget, const struct budget_limit *limit,
 		 int64_t now);
 
 /**
- * budget_count_needed() - count requests that were needed
+ * budget_count_needed() - count requests needed, which earn tokens
+ * @n: number of requests
+ * @now: microseconds
  */
 void budget_count_needed(struct budget *budget,
 			 const struct budget_limit *limit, int n, int64_t now);
 
 /**
- * budget_take() - ask for one extra request
- * @cost: tokens it takes, at least 1; 1 while time alone grants it
+ * budget_take() - take tokens for one extra request
+ * @cost: tokens it takes, at least 1; always 1 if taken from @time_tokens
+ * @now: microseconds
  *
  * Over any stretch of time the extra requests granted are at most the ratio
  * of those needed, plus the burst, plus the ratio of those needed within
@@ -93,15 +100,16 @@
 		       const struct budget_limit *limit);
 
 /**
- * budget_is_half_full() - whether half of what can be saved up is there
+ * budget_is_half_full() - whether at least half of the capacity is available
+ * @now: microseconds
  *
- * For requests that matter less than others of the same budget.
+ * For extra requests that are less important than others of the same budget.
  */
 bool budget_is_half_full(struct budget *budget,
 			 const struct budget_limit *limit, int64_t now);
 
 /**
- * budget_refund() - an extra request that was granted was never made
+ * budget_refund() - return the token of an extra request that was not sent
  */
 void budget_refund(struct budget *budget);
 
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -21,8 +21,8 @@
 }
 
 /*
- * Every request fails and each failure asks for a retry. What is sent in all
- * stays below 1.1 times what callers needed, whatever happens.
+ * Guards against retry storms: every request fails and each failure asks for a
+ * retry. The total stays below 1.1 times the requests needed.
  */
 static void test_outage(void)
 {
@@ -44,8 +44,8 @@
 }
 
 /*
- * A quiet hour saves up nothing: with tokens of all the traffic before it, the
- * first fault after it would be answered by a storm.
+ * Guards against tokens kept over an idle hour, which would allow a retry storm
+ * at the first fault after it.
  */
 static void test_idle_saves_nothing(void)
 {
@@ -62,7 +62,7 @@
 	CU_ASSERT_EQUAL(take_all(&budget, now), 1);
 }
 
-/* A busy second may be followed by what its traffic allows, and no more. */
+/* Guards against saving more than the traffic of BUDGET_WINDOW_US earns. */
 static void test_saved_tokens(void)
 {
 	struct budget budget;
@@ -72,11 +72,11 @@
 	budget_init(&budget, &limit, now);
 	for (i = 0; i < 1000; i++)
 		budget_count_needed(&budget, &limit, 10, now += 1000);
-	/* 10,000 a second within a window of 0.2 s: 200 tokens. */
+	/* 10,000 requests per second over 0.2 s at a ratio of 0.1. */
 	CU_ASSERT(take_all(&budget, now) <= 5 + 200);
 }
 
-/* A service that answers little pays more for each retry. */
+/* A retry of a higher cost takes more tokens. */
 static void test_cost(void)
 {
 	struct budget budget;
@@ -89,9 +89,9 @@
 }
 
 /*
- * A small service loses one of its two servers. It has few requests, and so
- * next to no budget; each of them that meets the lost server would be lost,
- * although the other could answer it.
+ * Guards against lost requests in a small service that loses one of its two
+ * servers: so few requests earn next to no tokens, although the other server
+ * could answer the retries.
  */
 static void test_few_requests(void)
 {
@@ -111,7 +111,7 @@
 			n += budget_take(&budget, &small, 10, now);
 	}
 	CU_ASSERT_EQUAL(n, 50);
-	/* An idle hour saves up no more than the burst. */
+	/* An idle hour saves no more than the burst. */
 	now += 3600LL * SECOND;
 	for (n = 0; budget_take(&budget, &small, 10, now); n++)
 		;
@@ -190,8 +190,8 @@
 
 static const struct unit_test tests[] = {
 	{"outage", test_outage},
-	{"after idle", test_idle_saves_nothing},
-	{"saved up", test_saved_tokens},
+	{"idle time saves nothing", test_idle_saves_nothing},
+	{"saved tokens", test_saved_tokens},
 	{"cost", test_cost},
 	{"few requests", test_few_requests},
 	{"starts empty", test_starts_empty},
