--- a/forecast.c
+++ b/forecast.c
@@ -4,24 +4,24 @@
 #include <stdlib.h>
 
 /*
- * Of the goal, less the lag: what is expected later is refused. At the least
- * such a share is let through, whatever the lag was.
+ * A request is refused if it is expected later than this fraction of the goal,
+ * less the lag; but never before the minimum fraction, whatever the lag is.
  */
 #define GOAL_SHARE 0.9
 #define GOAL_SHARE_MIN 0.35
 /*
- * Of the goal: so much may be ahead of a part even where it cannot be in time.
- * Servers that are slow and not busy are worth asking.
+ * Accepted queueing time as a fraction of the goal, even for a part that will
+ * be late: servers that are slow but not busy are worth asking.
  */
 #define QUEUE_WAIT_SHARE 0.15
-/* A part is clearly late at so many times the goal: estimates are rough. */
+/* A part is late beyond this multiple of the goal: estimates are rough. */
 #define LATE_FACTOR 1.2
-/* Of the parts, to spare for those that fail. */
+/* Fraction of the parts sent in addition, in case others fail. */
 #define RESERVE_SHARE 0.02
 
 int forecast_needed(int n_parts, double coverage_min)
 {
-	/* A rounding error must not ask for one part more. */
+	/* Guards against a rounding error that adds a part. */
 	int needed = (int)ceil(n_parts * (coverage_min - 1e-9));
 
 	return needed > 0 ? needed : 1;
@@ -40,7 +40,7 @@
 	return (left > right) - (left < right);
 }
 
-/* When a part must be in to be worth what it costs others. */
+/* Latest answer time at which a part is worth the server time. */
 static int64_t latest_useful_time(const struct forecast *forecast,
 				  const struct forecast_part *part, int64_t due)
 {
@@ -61,7 +61,7 @@
 	forecast->n_in_time = i;
 }
 
-/* Other instances send meanwhile, and the slowest of many parts decides. */
+/* Leaves a margin: others send meanwhile, and the slowest part counts. */
 static int64_t latest_admitted_time(const struct forecast *forecast)
 {
 	double goal = (double)forecast->goal;
@@ -87,7 +87,7 @@
 	return true;
 }
 
-/* An answer that is late all the same waits for its other parts. */
+/* If the answer is late anyway, parts may take as long as the answer. */
 static int64_t late_threshold(const struct forecast *forecast)
 {
 	int64_t due = forecast_answer_time(forecast->last_needed);
--- a/forecast.h
+++ b/forecast.h
@@ -1,9 +1,8 @@
 /*
- * Whether a request to many shards will be answered in time, and which of its
- * parts are worth sending. The load that this answers is more requests than the
- * servers can bear, or servers that are slow for a while: parts wait in queues,
- * and one whose answer comes too late for its caller has taken the time of one
- * that would not have. Decides by numbers alone.
+ * Predicts whether a request to many shards will be answered in time, and which
+ * of its parts are worth sending. If servers are overloaded or slow for a
+ * while, parts wait in queues, and a part that is answered too late for its
+ * caller uses server time that another part could have used. Does no I/O.
  */
 #ifndef FORECAST_H
 #define FORECAST_H
@@ -12,10 +11,11 @@
 #include <stdint.h>
 
 /**
- * struct forecast_part - a part that can be sent; microseconds
- * @queue_wait: until its server takes it up
- * @run_time: from then until its answer is here
- * @reported_at: when its server's queue was told of last; 0: never
+ * struct forecast_part - a part that can be sent
+ * @queue_wait: expected time until its server starts it, microseconds
+ * @run_time: expected time from then until the answer arrives, microseconds
+ * @reported_at: when its server's queue was last reported, microseconds; 0:
+ *	never
  * @index: of the part in its request
  * @left_out: set by forecast_decide(): not worth sending
  */
@@ -28,20 +28,21 @@
 };
 
 /**
- * struct forecast - what is expected of a request
- * @parts: those that can be sent, @n of them; the owner's
- * @needed: so many make an answer; @n at most
+ * struct forecast - input and result of the prediction for one request
+ * @parts: parts that can be sent; owned by the caller
+ * @n: number of @parts
+ * @needed: number of parts needed for an answer, at most @n
  * @goal: time left until an answer is worth less, microseconds
- * @deadline: time left until it is worth nothing, microseconds
- * @lag: so much later than expected enough parts come lately, microseconds
- * @promised: it is sent if it can be answered by its deadline at all
+ * @deadline: time left until an answer is worthless, microseconds
+ * @lag: recent mean delay of answers beyond their expected time, microseconds
+ * @promised: a caller was promised capacity for it; it is only refused if it
+ *	cannot be answered by its deadline
  * @probe: it is sent in any case
- * @n_in_time: parts that are expected by the goal
- * @n_left_out: parts that are not worth sending
- * @refused: none is
- * @capacity_in: with @refused: one more request fits after so long,
- * microseconds
- * @last_needed: the last part that is needed
+ * @n_in_time: number of parts expected by the goal
+ * @n_left_out: number of parts not worth sending
+ * @refused: no part is worth sending
+ * @capacity_in: with @refused: time until one more request fits, microseconds
+ * @last_needed: the part expected last among those needed
  */
 struct forecast {
 	struct forecast_part *parts;
@@ -60,21 +61,25 @@
 };
 
 /**
- * forecast_needed() - parts that make an answer
- * @n_parts: of the request, lost ones included
- * @coverage_min: least share of them
+ * forecast_needed() - number of parts needed for an answer
+ * @n_parts: parts of the request, including lost ones
+ * @coverage_min: minimum fraction of parts, 0 to 1
+ *
+ * Return: at least 1.
  */
 int forecast_needed(int n_parts, double coverage_min);
 
 /**
- * forecast_answer_time() - when the answer of a part is expected, from now
+ * forecast_answer_time() - expected time until a part is answered
+ *
+ * Return: microseconds from now.
  */
 int64_t forecast_answer_time(const struct forecast_part *part);
 
 /**
- * forecast_decide() - set what follows @probe from what comes before
+ * forecast_decide() - compute the fields after @probe from those before
  *
- * Sorts the parts by the times that are expected.
+ * Sorts the parts by their expected answer times.
  */
 void forecast_decide(struct forecast *forecast);
 
--- a/tests/test_forecast.c
+++ b/tests/test_forecast.c
@@ -9,14 +9,13 @@
 #define PARTS 90
 #define GOAL MSEC(150)
 #define DEADLINE MSEC(1000)
-/* Of 0.95 of the parts. */
+/* 0.95 of the parts. */
 #define NEEDED 86
 
 static struct forecast_part parts[PARTS];
 static struct forecast forecast;
 
-/* A request whose first @n_busy parts meet a queue; runs of all take @run_time.
- */
+/* A request whose first @n_busy parts are queued for @queue_wait. */
 static void init_forecast(int n_busy, int64_t queue_wait, int64_t run_time)
 {
 	int i;
@@ -43,8 +42,7 @@
 	CU_ASSERT(forecast_needed(4, 0) == 1);
 }
 
-/* Guards against a request that burdens all servers and is late all the same.
- */
+/* Guards against requests that load all servers and are late anyway. */
 static void test_refused_for_queues(void)
 {
 	init_forecast(NEEDED, MSEC(400), MSEC(10));
@@ -64,7 +62,7 @@
 	CU_ASSERT(forecast.refused && forecast.capacity_in == MSEC(210));
 }
 
-/* Guards against refusing callers whose servers are slow and not busy. */
+/* Guards against refusing requests to servers that are slow but not busy. */
 static void test_slow_is_sent(void)
 {
 	init_forecast(PARTS, 0, MSEC(400));
@@ -75,13 +73,13 @@
 	forecast_decide(&forecast);
 	CU_ASSERT(!forecast.refused);
 
-	/* Work that waits is late as well, and the more the later. */
+	/* Queued work is late as well. */
 	init_forecast(PARTS, MSEC(60), MSEC(400));
 	forecast_decide(&forecast);
 	CU_ASSERT(forecast.refused);
 }
 
-/* Guards against a few busy shards that hold up a caller until its goal. */
+/* Guards against a few busy shards that delay a request until its goal. */
 static void test_left_out(void)
 {
 	int i;
@@ -92,12 +90,12 @@
 	for (i = 0; i < PARTS; i++)
 		CU_ASSERT(parts[i].left_out == (parts[i].index < 2));
 
-	/* One is kept in reserve for parts that fail. */
+	/* One late part is sent in reserve in case another fails. */
 	init_forecast(4, MSEC(300), MSEC(10));
 	forecast_decide(&forecast);
 	CU_ASSERT(!forecast.refused && forecast.n_left_out == 3);
 
-	/* Nearly in time, or with nobody waiting: n_sent as ever. */
+	/* Parts nearly in time, or slow without a queue, are still sent. */
 	init_forecast(2, MSEC(150), MSEC(10));
 	forecast_decide(&forecast);
 	CU_ASSERT(!forecast.n_left_out);
@@ -107,7 +105,7 @@
 	CU_ASSERT(!forecast.refused && !forecast.n_left_out);
 }
 
-/* The play: entries that hear of the queues some time after they changed. */
+/* A simulation of entries that get delayed reports of the servers' queues. */
 #define REPLICAS 3
 #define SLOTS 2
 #define ENTRIES 6
@@ -133,7 +131,7 @@
 	 .needed = NEEDED},
 };
 
-/* Work that waits at a server, by level; urgent work goes first. */
+/* Queued work at a server, by level; urgent work is served first. */
 typedef int64_t queues[PARTS][REPLICAS][LEVELS];
 
 static queues actual_work;
@@ -185,7 +183,7 @@
 	return (*left > *right) - (*left < *right);
 }
 
-/* Return: the share of its worth that a caller gets. */
+/* Return: the value of the answer for its caller, 0 to 1. */
 static double send_request(int entry, enum level level, bool left_out)
 {
 	const struct kind *kind = &kinds[level];
@@ -233,7 +231,7 @@
 		       : (double)n_in_goal * n_in_goal / PARTS / PARTS;
 }
 
-/* A burst beside slow servers; worth of each kind, of requests n_sent. */
+/* A burst on slow servers; sets the mean value of an answer by level. */
 static void simulate(bool left_out, double value[LEVELS])
 {
 	int n_sent[LEVELS] = {0};
@@ -267,7 +265,7 @@
 		value[level] /= n_sent[level];
 }
 
-/* Guards against servers that work on what is late while a burst lasts. */
+/* Guards against servers busy with late work during a burst. */
 static void test_burst_beside_slow_servers(void)
 {
 	const double fleet_capacity = 1000.0 * REPLICAS * SLOTS;
@@ -275,7 +273,7 @@
 	double with[LEVELS];
 	double without[LEVELS];
 
-	/* What the servers can do in a second, over what is n_sent of them. */
+	/* Capacity left for patient work, as a fraction of its demand. */
 	capacity_ratio = fleet_capacity - kinds[URGENT].per_s * 12;
 	capacity_ratio /= kinds[PATIENT].per_s * 32;
 	simulate(true, with);
