--- a/load_limit.c
+++ b/load_limit.c
@@ -7,44 +7,43 @@
 
 /* Additive increase, multiplicative decrease: see docs/LOAD-AND-FAULTS.md. */
 #define DECREASE_FACTOR 0.5
-/* Servers that refuse have no queue to work off. */
+/* Smaller decrease for servers that refuse: they have no queue to drain. */
 #define DECREASE_FACTOR_FULL 0.9
 #define FULL_PERIOD MSEC(100)
-/* Whatever happens, so many are sent, and show when the load is over. */
+/* Minimum limit: some requests must be sent to detect that load is over. */
 #define LIMIT_MIN_REQUESTS 2.0
-/* Above this many under way nothing is limited any more. */
+/* The limit is removed when it exceeds this number of requests. */
 #define LIMIT_MAX_REQUESTS 256.0
-/* What was seen fades: an exponential average over so long. */
+/* Time constant of the exponentially decaying averages. */
 #define AVERAGE_TIME MSEC(1000)
-/* Requests whose work makes the average one. */
+/* The mean cost covers about this number of requests. */
 #define MEAN_COST_SAMPLES 16
-/* More urgent requests come in groups; room is kept for somewhat more. */
+/* Reserve above the peak of more urgent requests, which arrive in groups. */
 #define URGENT_NEED_MARGIN 1.25
-/* Share of what is sent that the less urgent get, so that none starves. */
+/* Fraction of admitted work for less urgent levels, so that none starves. */
 #define ADMITTED_FLOOR 0.1
-/* They have more than that under way: they are what is refused first. */
+/* Less urgent levels with more than this fraction in progress yield first. */
 #define IN_PROGRESS_FLOOR 0.1
-/* Nobody waits longer. */
 #define EXCESS_TIME_MAX MSEC(30000)
-/* Limits of the same servers differ this much by chance. */
+/* Limits of instances with the same servers differ this much by chance. */
 #define ADOPT_RATIO_MIN 2.0
 
 static void decay(struct load_limit *load, int64_t now)
 {
-	double left =
+	double factor =
 		exp(-(double)(now - load->updated_at) / (double)AVERAGE_TIME);
 	int i;
 
 	load->updated_at = now;
-	load->served_rate *= left;
+	load->served_rate *= factor;
 	for (i = 0; i < OUTLOOK_LEVELS; i++) {
-		load->levels[i].demand *= left;
-		load->levels[i].admitted *= left;
-		load->levels[i].peak_in_progress *= left;
+		load->levels[i].demand *= factor;
+		load->levels[i].admitted *= factor;
+		load->levels[i].peak_in_progress *= factor;
 	}
 }
 
-/* What one request adds to an average by the second. */
+/* Contribution of one request to a decaying rate. */
 static double per_second(int64_t cost)
 {
 	return (double)cost * USEC_PER_SEC / (double)AVERAGE_TIME;
@@ -68,12 +67,12 @@
 
 static double total_demand(const struct load_limit *load)
 {
-	double asked = 0;
+	double demand = 0;
 	int i;
 
 	for (i = 0; i < OUTLOOK_LEVELS; i++)
-		asked += load->levels[i].demand;
-	return asked;
+		demand += load->levels[i].demand;
+	return demand;
 }
 
 void load_limit_count_request(struct load_limit *load, int level, int64_t cost,
@@ -117,33 +116,34 @@
 }
 
 /*
- * The part of the limit that more urgent requests need by what callers ask of
- * all instances, this one's room by what it is asked for taken for that of all.
+ * Part of the limit needed for more urgent requests, from the demand of all
+ * instances. Assumes that all instances get the same fraction of their demand
+ * served as this one.
  */
 static double fleet_urgent_need(const struct load_limit *load, int level,
-				const struct peer_load *view)
+				const struct peer_load *peers)
 {
 	double own = total_demand(load);
 	double urgent = 0;
 	double all = 0;
-	double room;
+	double capacity;
 	int i;
 
-	if (!view || !own || !load->served_rate)
+	if (!peers || !own || !load->served_rate)
 		return 0;
 	for (i = 0; i < OUTLOOK_LEVELS; i++) {
-		double asked = load->levels[i].demand + view->demand[i];
+		double demand = load->levels[i].demand + peers->demand[i];
 
-		all += asked;
-		urgent += i < level ? asked : 0;
+		all += demand;
+		urgent += i < level ? demand : 0;
 	}
-	room = all * fmin(1, load->served_rate / own);
-	return load->limit * fmin(1, urgent / room);
+	capacity = all * fmin(1, load->served_rate / own);
+	return load->limit * fmin(1, urgent / capacity);
 }
 
-/* Work under way that more urgent requests than these have or will have. */
+/* Work in progress expected of levels more urgent than @level. */
 static double urgent_need(const struct load_limit *load, int level,
-			  const struct peer_load *view)
+			  const struct peer_load *peers)
 {
 	double need;
 
@@ -151,22 +151,27 @@
 		return 0;
 	need = fmax(load->levels[level - 1].peak_in_progress *
 			    URGENT_NEED_MARGIN,
-		    fleet_urgent_need(load, level, view));
+		    fleet_urgent_need(load, level, peers));
 	return fmin(need, load->limit);
 }
 
-/* What the less urgent have under way ends before these are refused. */
+/*
+ * Whether less urgent levels have so much work in progress that a request of
+ * this level is admitted beyond the limit, until their work ends.
+ */
 static bool is_used_by_less_urgent(const struct load_limit *load, int level)
 {
-	int64_t rest = load->in_progress - in_progress_up_to(load, level);
+	int64_t less_urgent =
+		load->in_progress - in_progress_up_to(load, level);
 
-	return (double)rest > (double)load->in_progress * IN_PROGRESS_FLOOR;
+	return (double)less_urgent >
+	       (double)load->in_progress * IN_PROGRESS_FLOOR;
 }
 
 static bool is_within_limit(const struct load_limit *load, int level,
-			    const struct peer_load *view)
+			    const struct peer_load *peers)
 {
-	double need = urgent_need(load, level, view);
+	double need = urgent_need(load, level, peers);
 	int64_t above = level ? in_progress_up_to(load, level - 1) : 0;
 
 	if (need + (double)(load->in_progress - above) < load->limit)
@@ -180,32 +185,32 @@
 }
 
 /*
- * A level may have its part of the floor while no more urgent one is served
- * less of what it asked.
+ * Whether a level gets less than its minimum share. It may only claim that
+ * while no more urgent level has a smaller fraction of its demand admitted.
  */
 static bool is_below_floor(const struct load_limit *load, int level,
 			   int64_t now)
 {
-	double rest = 0;
+	double less_urgent = 0;
 	double all = 0;
 	int i;
 
 	for (i = 0; i < OUTLOOK_LEVELS; i++) {
 		all += load->levels[i].admitted;
-		rest += i >= level ? load->levels[i].admitted : 0;
+		less_urgent += i >= level ? load->levels[i].admitted : 0;
 		if (i < level && is_recent(&load->levels[i], now) &&
 		    admitted_ratio(&load->levels[i]) <
 			    admitted_ratio(&load->levels[level]))
 			return false;
 	}
-	return rest <= all * ADMITTED_FLOOR;
+	return less_urgent <= all * ADMITTED_FLOOR;
 }
 
 bool load_limit_admit(struct load_limit *load, int level, int64_t cost,
-		      const struct peer_load *view, int64_t now)
+		      const struct peer_load *peers, int64_t now)
 {
 	decay(load, now);
-	if (load->limit && !is_within_limit(load, level, view) &&
+	if (load->limit && !is_within_limit(load, level, peers) &&
 	    (!level || !is_below_floor(load, level, now)))
 		return false;
 	load_limit_admit_always(load, level, cost, now);
@@ -213,21 +218,21 @@
 }
 
 double load_limit_capacity(const struct load_limit *load, int level,
-			   const struct peer_load *view, int64_t now)
+			   const struct peer_load *peers, int64_t now)
 {
-	double left =
+	double factor =
 		exp(-(double)(now - load->updated_at) / (double)AVERAGE_TIME);
 	double own = total_demand(load);
-	double room = load->served_rate;
+	double capacity = load->served_rate;
 	double all = own;
 	int i;
 
 	for (i = 0; i < level; i++)
-		room -= load->levels[i].admitted;
-	for (i = 0; view && i < OUTLOOK_LEVELS; i++)
-		all += view->demand[i];
-	room = fmax(room, load->served_rate * ADMITTED_FLOOR) * left;
-	return own > 0 ? room * all / own : room;
+		capacity -= load->levels[i].admitted;
+	for (i = 0; peers && i < OUTLOOK_LEVELS; i++)
+		all += peers->demand[i];
+	capacity = fmax(capacity, load->served_rate * ADMITTED_FLOOR) * factor;
+	return own > 0 ? capacity * all / own : capacity;
 }
 
 void load_limit_count_served(struct load_limit *load, int64_t cost, int64_t now)
@@ -239,12 +244,12 @@
 int64_t load_limit_excess_time(const struct load_limit *load, int64_t now)
 {
 	double excess = (double)load->in_progress - load->limit;
-	double room = load_limit_capacity(load, 0, NULL, now);
+	double capacity = load_limit_capacity(load, 0, NULL, now);
 	double wait;
 
-	if (!load->limit || excess <= 0 || room <= 0)
+	if (!load->limit || excess <= 0 || capacity <= 0)
 		return 0;
-	wait = excess * USEC_PER_SEC / room;
+	wait = excess * USEC_PER_SEC / capacity;
 	return wait < EXCESS_TIME_MAX ? (int64_t)wait : EXCESS_TIME_MAX;
 }
 
@@ -292,14 +297,14 @@
 	return true;
 }
 
-bool load_limit_adopt(struct load_limit *load, const struct peer_load *view,
+bool load_limit_adopt(struct load_limit *load, const struct peer_load *peers,
 		      int64_t now)
 {
 	double limit;
 
 	decay(load, now);
-	limit = view->limit_per_demand * total_demand(load);
-	if (!view->n_limited || view->n_limited * 2 < view->n_instances ||
+	limit = peers->limit_per_demand * total_demand(load);
+	if (!peers->n_limited || peers->n_limited * 2 < peers->n_instances ||
 	    !limit)
 		return false;
 	if (load->limit && load->limit <= limit * ADOPT_RATIO_MIN)
--- a/load_share.c
+++ b/load_share.c
@@ -5,13 +5,13 @@
 
 #include "str.h"
 
-/* Limits are told again before what was told last is too old. */
+/* Limits are sent again well before the last report expires. */
 #define REPORT_PERIOD MSEC(200)
-/* A caller that repeats at once is at another instance within about this. */
+/* A caller that retries at once may reach another instance this soon. */
 #define RETURNS_DELAY_MAX MSEC(15)
-/* A limit that fell longer ago may only be one that nothing raised. */
+/* A limit lowered longer ago may be obsolete: nothing raised it since. */
 #define LOWERED_RECENTLY MSEC(3000)
-/* An instance that was demand for next to nothing knows no ratio. */
+/* With less demand, the ratio of limit to demand is meaningless. */
 #define DEMAND_MIN 1.0
 
 #define NEVER INT64_MAX
@@ -53,8 +53,6 @@
 	share->returns[share->n_returns++] = *entry;
 }
 
-/* Telling. */
-
 static uint32_t to_u32(double n)
 {
 	if (n <= 0)
@@ -62,7 +60,7 @@
 	return n < UINT32_MAX ? (uint32_t)n : UINT32_MAX;
 }
 
-/* One service in a message, and what it points to. */
+/* One service in a message, with the array it points to. */
 struct packed_load {
 	Peer__ServiceLoad message;
 	uint32_t demand[OUTLOOK_LEVELS];
@@ -98,7 +96,7 @@
 	message->taken = entry->taken;
 }
 
-/* Services whose limit is not needed any more are not told again. */
+/* Remove services that have no limit any more. */
 static void drop_unlimited(struct load_share *share)
 {
 	int n = 0;
@@ -163,8 +161,6 @@
 	return due;
 }
 
-/* Hearing. */
-
 static struct load_share_peer *get_peer(struct load_share *share,
 					const char *instance)
 {
--- a/load_share.h
+++ b/load_share.h
@@ -1,11 +1,11 @@
 /*
- * What instances that take callers tell each other of servers that are short:
- * limits, what callers ask for, and promises to callers that were refused. So
- * all refuse the same kinds, and a caller that was promised room finds it at
- * any of them. Decides without sockets.
+ * Exchange of overload information between the instances that accept callers:
+ * load limits, demand, and capacity promised to refused callers. All instances
+ * thus refuse the same levels, and a caller that was promised capacity gets it
+ * at any of them. Does no I/O.
  *
- * What is older than LOAD_SHARE_MAX_AGE is not believed: an instance that hears
- * nothing goes by its own limits.
+ * Reports older than LOAD_SHARE_MAX_AGE are ignored: an instance without
+ * reports uses its own limits only.
  */
 #ifndef LOAD_SHARE_H
 #define LOAD_SHARE_H
@@ -20,16 +20,16 @@
 #include "return_schedule.h"
 
 #define LOAD_SHARE_MAX_AGE MSEC(1000)
-/* Others that are listened to. */
+/* Maximum number of instances whose reports are kept. */
 #define LOAD_SHARE_PEERS_MAX 32
-/* Bounds of a message. */
+/* Maximum number of entries in a message. */
 #define LOAD_SHARE_SERVICES_MAX 8
 #define LOAD_SHARE_RETURNS_MAX 64
 
 /**
- * struct load_share_ops - what the module wants done
- * @send: to all others that take callers; may be lost
- * @adopted: this instance took the others' limit, for the log; may be NULL
+ * struct load_share_ops - callbacks
+ * @send: send a message to all other instances that accept callers; may be lost
+ * @adopted: the limit of the others was adopted, for the log; may be NULL
  */
 struct load_share_ops {
 	void (*send)(void *arg, const Peer__LoadShare *message);
@@ -39,8 +39,11 @@
 };
 
 /**
- * struct service_report - what one told of a service
- * @lowered_at: its limit, last; microseconds
+ * struct service_report - reported load of one service at another instance
+ * @service: hash of the name
+ * @limit: microseconds of work in progress; 0: unlimited
+ * @lowered_at: when its limit was last lowered, microseconds
+ * @demand: work that callers requested by level, microseconds per second
  */
 struct service_report {
 	uint64_t service;
@@ -49,6 +52,13 @@
 	double demand[OUTLOOK_LEVELS];
 };
 
+/**
+ * struct load_share_peer - last report of another instance
+ * @instance: name of the instance
+ * @received_at: microseconds
+ * @services: its limited services
+ * @n: number of @services
+ */
 struct load_share_peer {
 	char instance[FLEET_NAME_SIZE];
 	int64_t received_at;
@@ -57,11 +67,20 @@
 };
 
 /**
- * struct load_share - the state of one instance
- * @n_others: instances that take callers, but for this one; set by the owner
- * @peers: that told something
+ * struct load_share - state of one instance
+ * @clock: time source
+ * @ops: callbacks
+ * @arg: passed to @ops
+ * @schedule: returns of refused callers; outlives the module
+ * @n_others: number of other instances that accept callers; set by the owner
+ * @peers: instances that sent a report
+ * @n_peers: number of @peers
  * @limits: services of this instance that have a limit
- * @returns: promises that are not told yet, @told_at is when they were made
+ * @n_limits: number of @limits
+ * @returns: scheduled returns that are not sent yet
+ * @n_returns: number of @returns
+ * @sent_at: time of the last message, microseconds
+ * @first_return_at: when the oldest of @returns was added, microseconds
  */
 struct load_share {
 	const struct clock *clock;
@@ -87,47 +106,52 @@
 		     struct return_schedule *schedule);
 
 /**
- * load_share_add_limit() - a service of this instance has a limit
+ * load_share_add_limit() - report the limit of a service of this instance
+ * @service: hash of the name
  * @load: outlives the module
  */
 void load_share_add_limit(struct load_share *share, uint64_t service,
 			  const struct load_limit *load);
 
 /**
- * load_share_add_return() - tell a promise that was given or used here
+ * load_share_add_return() - report a return that was scheduled or used here
  */
 void load_share_add_return(struct load_share *share,
 			   const struct scheduled_return *entry);
 
 /**
- * load_share_receive() - another instance told of its limits and promises
+ * load_share_receive() - process a message from another instance
+ * @instance: name of the sender
  */
 void load_share_receive(struct load_share *share, const char *instance,
 			const Peer__LoadShare *message);
 
 /**
- * load_share_peer_load() - what is believed of the others
+ * load_share_peer_load() - summarise the current reports of other instances
+ * @service: hash of the name
  * @out: set
  */
 void load_share_peer_load(const struct load_share *share, uint64_t service,
 			  struct peer_load *out);
 
 /**
- * load_share_adopt() - take the limit that most others have, if there is one
+ * load_share_adopt() - adopt the limit of most other instances, if any
+ * @service: name of the service
+ * @load: limit of this instance
  * @out: set as by load_share_peer_load()
  */
 void load_share_adopt(struct load_share *share, const char *service,
 		      struct load_limit *load, struct peer_load *out);
 
 /**
- * load_share_tick() - tell what is due
+ * load_share_tick() - send a message if one is due
  */
 void load_share_tick(struct load_share *share);
 
 /**
- * load_share_due() - when to call load_share_tick(), microseconds
+ * load_share_due() - when to call load_share_tick()
  *
- * Return: INT64_MAX if nothing is to be told.
+ * Return: time in microseconds; INT64_MAX if there is nothing to send.
  */
 int64_t load_share_due(const struct load_share *share);
 
--- a/tests/test_load_limit.c
+++ b/tests/test_load_limit.c
@@ -19,23 +19,23 @@
 #define JOBS_MAX (SLOTS + QUEUE_MAX)
 #define OPEN_MAX 512
 
-/* One request at a server of the model. */
+/* One request at a simulated server. */
 struct job {
 	struct dispatch_send *send;
 	int left_ms;
 };
 
-/* A server: runs @SLOTS requests at a time, queues some, refuses the rest. */
+/* A server that runs SLOTS requests at a time, queues some, refuses others. */
 struct model_server {
 	char id[REGISTRY_NAME_SIZE];
 	struct job jobs[JOBS_MAX];
 	int n_jobs;
 	struct dispatch_send *refused[OPEN_MAX];
 	int n_refused;
-	bool crashed; /* connections to it are not made */
+	bool crashed; /* connections are refused */
 };
 
-/* One instance, all shards behind it, and the callers that it takes. */
+/* One instance, the servers of all shards, and its callers. */
 struct simulation {
 	struct clock clock;
 	struct registry registry;
@@ -45,12 +45,12 @@
 	struct dispatch_limits limits;
 	struct model_server servers[SHARDS * 2];
 	struct rng rng;
-	double refusing; /* share that the first server of a shard refuses */
+	double refusing; /* fraction refused by the first server of a shard */
 	struct dispatch *open[OPEN_MAX];
 	int n_open;
 	bool without_limit;
 	int n_stamps;
-	int served[2]; /* in the goal, by route */
+	int served[2]; /* within the goal, by route */
 	int refused;
 	int refused_late;
 	int late;
@@ -66,7 +66,7 @@
 	return &simulation->servers[i];
 }
 
-/* From a half to one and a half times the mean. */
+/* Uniform between half and one and a half times the mean. */
 static int random_work_ms(struct simulation *simulation)
 {
 	return (int)(MEAN_WORK_MS * (0.5 + rng_unit(&simulation->rng)) + 0.5);
@@ -95,7 +95,7 @@
 	return 0;
 }
 
-/* Given up here, but run to its end: closing in time is not modelled. */
+/* The server still runs the abandoned request; closing is not modelled. */
 static void on_abandon(void *arg, struct dispatch_send *send)
 {
 	struct model_server *server = server_of(arg, send);
@@ -116,7 +116,7 @@
 	.abandon = on_abandon,
 };
 
-/* Never answered: who crashed stays away. */
+/* Checks get no result: crashed servers do not come back. */
 static void on_check(void *arg, struct registry_server *server,
 		     struct outage_server *check)
 {
@@ -287,7 +287,7 @@
 	}
 }
 
-/* Callers at an even pace, a quarter of them of the less urgent route. */
+/* Requests at a constant rate, a quarter of them for the less urgent route. */
 static void simulate(struct simulation *simulation, int ms, int per_s)
 {
 	int due = 0;
@@ -323,8 +323,9 @@
 }
 
 /*
- * The shards can bear 266 requests a second: 4 slots and 15 ms each. At 200, no
- * caller is refused, and nearly all are served in time.
+ * Guards against refusals below capacity, which is 266 requests a second: 4
+ * slots and 15 ms each. At 200, no request is refused and nearly all are
+ * answered in time.
  */
 static void test_usual_load(void)
 {
@@ -337,8 +338,10 @@
 	simulation_finish(&simulation);
 }
 
-/* Two seconds at three times the usual rate; one server of each pair refuses
- * half of what comes. */
+/*
+ * Two seconds at three times the usual rate; one server of each pair refuses
+ * half of the requests.
+ */
 static void simulate_burst(struct simulation *simulation, bool without_limit)
 {
 	simulation_init(simulation);
@@ -351,11 +354,11 @@
 }
 
 /*
- * Callers come three times as often as usual. All of them sent, each gets some
- * of its parts in time and few get enough. With the limit more are served in
- * time, the others are told at once that nothing ran, and neither route is
- * starved for the other. Of 1,200 callers served in time: 109 without, 283
- * with.
+ * Guards against late answers under overload, at three times the usual rate. If
+ * all requests are sent, each gets some of its parts in time and few get
+ * enough. With the limit more are answered in time, others are refused at once
+ * without having run, and neither route starves. Of 1,200 requests answered in
+ * time: 109 without the limit, 283 with it.
  */
 static void test_burst(void)
 {
@@ -369,11 +372,11 @@
 	CU_ASSERT(simulation.served[0] + simulation.served[1] >=
 		  2 * without_limit);
 	CU_ASSERT(simulation.served[0] + simulation.served[1] >= 240);
-	/* Of 900 and 300 callers. */
+	/* Of 900 and 300 requests. */
 	CU_ASSERT(simulation.served[0] * 2 >= simulation.served[1] * 3);
 	CU_ASSERT(simulation.served[1] * 6 >= simulation.served[0]);
 	CU_ASSERT(simulation.refused_late == 0);
-	/* A second after the burst nobody is refused any more. */
+	/* One second after the burst, no request is refused any more. */
 	simulate(&simulation, 1000, 200);
 	clear_counts(&simulation);
 	simulate(&simulation, 1000, 200);
@@ -383,8 +386,8 @@
 }
 
 /*
- * One shard of eight is ten times slower, and the routes can miss it. That is
- * no reason to refuse callers: the other shards have room.
+ * Guards against refusals because of one slow shard: one of eight is ten times
+ * slower, the routes can answer without it, and the others have capacity.
  */
 static void test_one_slow_shard(void)
 {
@@ -394,7 +397,7 @@
 
 	simulation_init(&simulation);
 	for (ms = 0; ms < 2000; ms++) {
-		/* A slow server gets one tenth of each millisecond. */
+		/* Slow servers only progress every tenth millisecond. */
 		for (i = 0; i < SLOTS && ms % 10; i++) {
 			simulation.servers[0].jobs[i].left_ms++;
 			simulation.servers[1].jobs[i].left_ms++;
@@ -407,9 +410,10 @@
 }
 
 /*
- * All servers of two of eight shards crash, and a route needs seven: its
- * requests fail at once, with few parts in. The other six have room, and the
- * callers of the route that can do with them, 50 in a second, are served.
+ * Guards against taking lost shards for overload: all servers of two of eight
+ * shards crash, and requests of a route that needs seven fail at once with few
+ * parts. The other six have capacity, and the route that can do with them, at
+ * 50 requests a second, is served.
  */
 static void test_lost_shards_are_no_load(void)
 {
@@ -420,7 +424,7 @@
 	simulate(&simulation, 500, 200);
 	for (i = 0; i < 4; i++)
 		simulation.servers[i].crashed = true;
-	/* Until this instance knows. */
+	/* Until the instance detects the crashes. */
 	simulate(&simulation, 200, 200);
 	clear_counts(&simulation);
 	simulate(&simulation, 1000, 200);
@@ -443,7 +447,7 @@
 		CU_ASSERT(admit_one(&load));
 	load_limit_lower(&load, MSEC(60), START_TIME);
 	CU_ASSERT(load.limit == 50);
-	/* Those that were admitted before are late as well. */
+	/* Requests admitted before the decrease are late as well. */
 	load_limit_lower(&load, MSEC(60), START_TIME + MSEC(59));
 	CU_ASSERT(load.limit == 50);
 	CU_ASSERT(!admit_one(&load));
@@ -457,14 +461,14 @@
 	CU_ASSERT(!admit_one(&load));
 	for (i = 0; i < 41; i++)
 		load_limit_release(&load, 0, 1);
-	/* One is always sent: it shows whether the load is over. */
+	/* The minimum limit shows whether the overload is over. */
 	CU_ASSERT(admit_one(&load));
 	for (i = 0; i < 40000; i++)
 		load_limit_raise(&load, 1, 1);
 	CU_ASSERT(load.limit == 0);
 }
 
-/* A server that refuses one kind alone must not lower what is sent to it */
+/* Guards against a lower limit where all requests have the same level. */
 static void test_full_server(void)
 {
 	struct load_limit load = {0};
--- a/tests/test_load_share.c
+++ b/tests/test_load_share.c
@@ -19,25 +19,25 @@
 #define PATIENCE MSEC(400)
 #define REPEAT_PERIOD MSEC(20)
 #define TRIES_MAX 12
-#define REPEATING_RATIO 0.5 /* share of the callers */
-/* Servers, all together: so many requests run at a time. */
+#define REPEATING_RATIO 0.5 /* fraction of the callers */
+/* Requests that all servers together run at a time. */
 #define SLOTS 6
 
-/* Work of a kind's request, and when its answer is worth most. */
+/* A kind of request: its work, goal and rate per second. */
 struct kind {
 	int64_t work;
 	int64_t goal;
 	int per_s;
 };
 
-/* The first is the urgent one. */
+/* The first one is the urgent one. */
 static const struct kind kinds[KINDS] = {
 	{MSEC(10), MSEC(60), 75},
 	{MSEC(30), MSEC(200), 175},
 };
 
 enum caller_state {
-	CALLER_AWAY, /* until @at */
+	CALLER_AWAY, /* waits until @at */
 	CALLER_SENT,
 	CALLER_SERVED,
 	CALLER_LATE,
@@ -46,13 +46,13 @@
 
 struct caller {
 	int kind;
-	bool repeats; /* at once, whatever it is told */
+	bool repeats; /* retries at once, ignoring the retry delay */
 	int tries;
 	int refusals;
 	int entry;
 	int64_t at;
 	int64_t sent_at;
-	int64_t left; /* work */
+	int64_t left; /* remaining work */
 	enum caller_state state;
 };
 
@@ -64,7 +64,7 @@
 	size_t len;
 };
 
-/* The decision code of an instance that takes callers. */
+/* An instance that accepts callers. */
 struct entry {
 	struct simulation *simulation;
 	int id;
@@ -81,11 +81,11 @@
 	int n_entries;
 	struct caller callers[CALLERS_MAX];
 	int n_callers;
-	int queue[CALLERS_MAX]; /* before the servers, in order */
+	int queue[CALLERS_MAX]; /* of the servers, in order */
 	int n_queue;
 	struct message messages[MESSAGES_MAX];
 	int n_messages;
-	double loss_ratio; /* share of the messages */
+	double loss_ratio; /* fraction of messages lost */
 	bool returns;
 	size_t bytes;
 	size_t largest;
@@ -178,7 +178,7 @@
 	simulation->n_messages = n;
 }
 
-/* The urgent go before those that do not run yet, as with server_queue. */
+/* Urgent requests precede others that do not run yet, as in server_queue. */
 static void queue_request(struct simulation *simulation, struct caller *caller)
 {
 	int at = simulation->n_queue++;
@@ -194,7 +194,7 @@
 	simulation->queue[at] = (int)(caller - simulation->callers);
 }
 
-/* A caller waits as it is told, or goes away if that is too long. */
+/* A patient caller retries after @wait, or gives up if that is too long. */
 static void refuse_caller(struct simulation *simulation, struct caller *caller,
 			  int64_t wait)
 {
@@ -231,7 +231,7 @@
 		out);
 }
 
-/* As gateway_load_arrive() and dispatch_load do. */
+/* Same sequence as gateway_load_arrive() and dispatch_load. */
 static void send_request(struct simulation *simulation, struct caller *caller)
 {
 	struct entry *entry = &simulation->entries[caller->entry];
@@ -292,7 +292,7 @@
 	load_limit_release(&entry->load, caller->kind, kind->work);
 }
 
-/* The first of the queue run. */
+/* The first SLOTS requests of the queue run. */
 static void run_servers(struct simulation *simulation)
 {
 	int n = 0;
@@ -321,7 +321,7 @@
 	caller->at = clock_now(&simulation->clock);
 }
 
-/* @times: what comes, by what the servers bear with both kinds */
+/* @times: load as a multiple of the servers' capacity for both kinds. */
 static void simulate(struct simulation *simulation, int ms, double times)
 {
 	int i;
@@ -342,7 +342,7 @@
 			if (caller->state != CALLER_AWAY ||
 			    caller->at > clock_now(&simulation->clock))
 				continue;
-			/* Another one each time, as the directory says. */
+			/* A random entry, as given by the directory. */
 			caller->entry = (int)(rng_next(&simulation->rng) %
 					      (uint64_t)simulation->n_entries);
 			send_request(simulation, caller);
@@ -355,7 +355,7 @@
 struct caller_counts {
 	int asked;
 	int served;
-	int refused_once; /* at least */
+	int refused_once; /* callers refused at least once */
 	int refusals;
 };
 
@@ -376,6 +376,7 @@
 		counts->refusals += caller->refusals;
 	}
 }
+
 static double ratio(int n, int of)
 {
 	return of ? (double)n / of : 0;
@@ -392,8 +393,7 @@
 	return simulation;
 }
 
-/* Four times what servers bear: the urgent are served, the others not starved
- */
+/* At four times the capacity, urgent requests are served, no kind starves. */
 static void check_kinds(const struct simulation *simulation)
 {
 	struct caller_counts counts;
@@ -407,7 +407,9 @@
 	}
 }
 
-/* A shortage refuses the less urgent, each about once; repeating gains nothing
+/*
+ * Guards against repeated refusals of the same caller under overload, and
+ * against an advantage for callers that retry at once.
  */
 static void test_overload(void)
 {
@@ -426,7 +428,7 @@
 	simulation_free(simulation);
 }
 
-/* Without promises as well */
+/* Urgent requests are served without scheduled returns, too. */
 static void test_overload_without_returns(void)
 {
 	struct simulation *simulation = simulate_overload(false, 0);
@@ -435,7 +437,7 @@
 	simulation_free(simulation);
 }
 
-/* Every second message is lost */
+/* Half of the messages between the entries are lost. */
 static void test_lost_messages(void)
 {
 	struct simulation *simulation = simulate_overload(true, 0.5);
@@ -447,7 +449,7 @@
 	simulation_free(simulation);
 }
 
-/* Half of what servers bear: nobody is refused, and nothing is told */
+/* At half the capacity, no caller is refused and no message is sent. */
 static void test_no_overload(void)
 {
 	struct simulation *simulation = simulation_new(ENTRIES, true);
@@ -463,7 +465,7 @@
 	simulation_free(simulation);
 }
 
-/* An instance that starts in a shortage knows of it within half a second */
+/* An instance started during overload adopts a limit within 0.5 s. */
 static void test_start_during_overload(void)
 {
 	struct simulation *simulation = simulation_new(ENTRIES - 1, true);
@@ -479,7 +481,7 @@
 	simulation_free(simulation);
 }
 
-/* One that is cut off believes nothing old, and goes on by its own limit */
+/* An isolated instance ignores old reports and uses its own limit. */
 static void test_isolated_instance(void)
 {
 	struct simulation *simulation = simulation_new(ENTRIES, true);
@@ -498,12 +500,12 @@
 }
 
 static const struct unit_test tests[] = {
-	{"shortage", test_overload},
-	{"shortage without returns", test_overload_without_returns},
+	{"overload", test_overload},
+	{"overload without returns", test_overload_without_returns},
 	{"lost messages", test_lost_messages},
-	{"no shortage", test_no_overload},
-	{"starts in shortage", test_start_during_overload},
-	{"cut off", test_isolated_instance},
+	{"no overload", test_no_overload},
+	{"start during overload", test_start_during_overload},
+	{"isolated instance", test_isolated_instance},
 };
 
 UNIT_MAIN("load share", tests)
