--- a/outage.c
+++ b/outage.c
@@ -8,18 +8,19 @@
 #include "mem.h"
 
 /*
- * Between checks of a server. A shard that is back is used within this and the
- * way there, 60 ms in all; one instance opens 20 connections a second to each
- * server that is lost, which cost nothing there, for nobody listens.
+ * Interval between checks of a server. A recovered shard is used again within
+ * this time plus the round trip, 60 ms in total. Each instance opens 20
+ * connections a second to each lost server, which are cheap while nothing
+ * listens there.
  */
 #define CHECK_PERIOD MSEC(50)
-/* At an address that does not answer, a check ends after 250 ms. */
+/* A check of an address that does not answer takes 250 ms. */
 #define OPEN_CHECKS_MAX 5
-/* Nobody asked for the service for so long: its servers are left alone. */
+/* Servers are not checked after this time without requests for them. */
 #define CHECK_UNUSED_TIMEOUT MSEC(2000)
 /*
- * An outage of which no end is known lasts about as long again as it has
- * lasted: within these bounds that is when a caller is told to come back.
+ * The expected remaining duration of an outage is the time it has lasted so
+ * far. Within these bounds, this is when callers are told to retry.
  */
 #define RETRY_AFTER_MIN MSEC(100)
 #define RETRY_AFTER_MAX MSEC(5000)
@@ -27,10 +28,15 @@
 #define NEVER INT64_MAX
 
 /**
- * struct outage_server - a server that is checked
- * @next_at: when the next check is due; NEVER once it is not checked any more
- * @n_open: checks that have no result yet
- * @reported_lost: what was said of it last
+ * struct outage_server - a server being checked
+ * @server: the server; holds a reference
+ * @next_at: when the next check is due, microseconds; NEVER if it is not
+ *	checked any more
+ * @needed_until: when checking ends without further requests, microseconds
+ * @n_open: number of checks without a result yet
+ * @reported_lost: the state last passed to the changed callback
+ * @prev: previous in the list
+ * @next: next in the list
  */
 struct outage_server {
 	struct registry_server *server;
@@ -76,7 +82,7 @@
 	return NULL;
 }
 
-/* Says it once if the server came to be taken for lost, or not any more. */
+/* Report once when the server is lost or reachable again. */
 static void report_change(struct outage *outage, struct outage_server *check)
 {
 	const struct server_score *score = &check->server->score;
@@ -146,7 +152,6 @@
 		remove_check(outage, check);
 }
 
-/* Return: whether it need not be checked any more. */
 static bool needs_no_check(const struct outage_server *check, int64_t now)
 {
 	return now >= check->needed_until || !registry_is_open(check->server) ||
--- a/outage.h
+++ b/outage.h
@@ -1,14 +1,14 @@
 /*
- * Backend servers that cannot be reached. Once a connection to one is not made,
- * the server is checked, not tried by callers' requests, until somebody listens
- * there, so that it is used again at once. A request that needs more services
- * without a live server than its route can miss is refused before anything is
- * sent, and others go out without them: the load that this answers is that of
- * requests that cannot succeed, on the servers that live, and of callers who
- * wait for them. Decides without sockets.
+ * Detects backend servers that are unreachable. After a failed connection, a
+ * server is checked in the background, instead of by callers' requests, until
+ * its address accepts connections again. A request whose route cannot do
+ * without as many services as have no reachable server is refused before
+ * anything is sent; others are sent without these services. This saves the
+ * reachable servers from requests that cannot succeed, and callers from waiting
+ * for them. Does no I/O.
  *
- * Only connections that were not made count: a server that is silent on an open
- * one may be paused, and a request that it refuses shows that it lives.
+ * Only failed connections count: a server that is silent on an open connection
+ * may be paused, and one that refuses a request is alive.
  */
 #ifndef OUTAGE_H
 #define OUTAGE_H
@@ -19,15 +19,15 @@
 #include "clock.h"
 #include "registry.h"
 
-/* A server that is checked, until it listens or nobody asks for its service. */
+/* A server being checked. */
 struct outage_server;
 
 /**
- * struct outage_ops - what the module wants done
- * @check: find out whether anybody listens at a server's address, and call
- *	outage_check_done() with @check, now or later
- * @changed: a server is taken for lost, or not any more, for the log; may be
- *	NULL
+ * struct outage_ops - callbacks
+ * @check: try to connect to the server's address, and call outage_check_done()
+ *	with @check, now or later
+ * @changed: a server is lost, or reachable again, for the log; @lost_for is in
+ *	microseconds; may be NULL
  */
 struct outage_ops {
 	void (*check)(void *arg, struct registry_server *server,
@@ -36,6 +36,13 @@
 			bool lost, int64_t lost_for);
 };
 
+/**
+ * struct outage - outage detection of one instance
+ * @clock: time source
+ * @ops: callbacks
+ * @arg: passed to @ops
+ * @servers: servers being checked
+ */
 struct outage {
 	const struct clock *clock;
 	const struct outage_ops *ops;
@@ -47,40 +54,47 @@
 		 const struct outage_ops *ops, void *arg);
 
 /**
- * outage_finish() - forget all; checks that are open must not be answered
+ * outage_finish() - free the state; open checks must not call
+ *	outage_check_done() any more
  */
 void outage_finish(struct outage *outage);
 
 /**
- * outage_affects() - whether no server of a service can be reached
- * @since: since when, if so, microseconds
+ * outage_affects() - whether no server of a service is reachable
+ * @service: the service
+ * @since: set to when the last of its servers was lost, microseconds; 0 if none
+ *	is
  *
- * Those of its servers that a connection was not made to are checked from now
- * on, for as long as requests ask for the service.
+ * Servers of the service with failed connections are checked from now on, as
+ * long as requests for the service arrive.
  */
 bool outage_affects(struct outage *outage,
 		    const struct registry_service *service, int64_t *since);
 
 /**
- * outage_check_done() - a check ended
+ * outage_check_done() - report the result of a check
+ * @check: as passed to the check callback
+ * @listens: whether the address accepts connections
  */
 void outage_check_done(struct outage *outage, struct outage_server *check,
 		       bool listens);
 
 /**
- * outage_tick() - time passed; starts the checks that are due
+ * outage_tick() - start the checks that are due
  */
 void outage_tick(struct outage *outage);
 
 /**
- * outage_due() - when to call outage_tick() at the latest, microseconds;
- * INT64_MAX: only after outage_affects()
+ * outage_due() - when to call outage_tick() at the latest
+ *
+ * Return: time in microseconds; INT64_MAX: not before outage_affects().
  */
 int64_t outage_due(const struct outage *outage);
 
 /**
- * outage_retry_after() - when to come back after a refusal
- * @since: of the outage that ended last before
+ * outage_retry_after() - when a refused caller should retry
+ * @since: start of the most recent outage that affects the request,
+ *	microseconds
  *
  * Return: milliseconds.
  */
--- a/tests/test_outage.c
+++ b/tests/test_outage.c
@@ -6,13 +6,13 @@
 
 #define START MSEC(1000000)
 
-/* A service of two servers, and whether anybody listens at their addresses. */
+/* A service of two servers, whose addresses accept connections or not. */
 struct simulation {
 	struct clock clock;
 	struct registry registry;
 	struct outage outage;
 	bool is_listening;
-	int64_t check_duration; /* of a check; negative: never */
+	int64_t check_duration; /* microseconds; negative: no result */
 	struct outage_server *checks[64];
 	int64_t check_ends[64];
 	int n_checks;
@@ -108,7 +108,7 @@
 	report_result(simulation, "b", SERVER_UNREACHABLE);
 }
 
-/* A request a millisecond, and checks that end when the world says so. */
+/* One request per millisecond; checks end after check_duration. */
 static void simulate(struct simulation *simulation, int64_t ms)
 {
 	for (; ms > 0; ms--) {
@@ -129,8 +129,8 @@
 }
 
 /*
- * One packet to each server is lost, or one connection too many is refused. The
- * shard lives, and must not be left out of callers' answers for that.
+ * Guards against taking a shard for lost after one failed connection to each of
+ * its servers, caused by a lost packet or too many connections.
  */
 static void test_one_failure_is_no_outage(void)
 {
@@ -149,9 +149,9 @@
 }
 
 /*
- * One of two servers crashed. A request that found out is answered by the other
- * one; the next ones must not each try the dead one first. One failed check
- * more, and it is left alone until it listens.
+ * Guards against requests that each try a crashed server first, although the
+ * other one of the shard works. After one more failed check, the crashed server
+ * gets no requests until it accepts connections.
  */
 static void test_checked_not_tried(void)
 {
@@ -177,7 +177,7 @@
 	simulation_finish(&simulation);
 }
 
-/* A server that refuses for load lives; one that is silent may be paused. */
+/* Refusals for load and silent servers, maybe paused, are no outage. */
 static void test_refusal_and_silence(void)
 {
 	struct simulation simulation;
@@ -194,9 +194,10 @@
 }
 
 /*
- * Both servers of a shard are down for 3 s and refuse connections. Requests
- * come all the while. Once one is back, requests go there within 60 ms, and
- * until then each server saw no more than 20 connections a second.
+ * Guards against a slow return and a flood of checks: both servers of a shard
+ * are down and refuse connections while requests arrive. Once they accept
+ * connections, requests are sent within 60 ms; until then each server gets no
+ * more than 20 connections a second.
  */
 static void test_back_within_60_ms(void)
 {
@@ -220,9 +221,9 @@
 }
 
 /*
- * The servers lost power: packets to them get no answer, and a check ends after
- * 250 ms. Others are started meanwhile, so that their return is seen as soon,
- * but no more than five are open at a time.
+ * Guards against late detection and a pile of open checks where servers lost
+ * power: packets get no answer and a check ends after 250 ms. Further checks
+ * start meanwhile, but no more than five are open at a time.
  */
 static void test_no_answer(void)
 {
@@ -236,7 +237,7 @@
 	simulation_finish(&simulation);
 }
 
-/* The last request for the shard was long ago: nobody needs the checks. */
+/* Checks stop some time after the last request for the service. */
 static void test_nobody_asks(void)
 {
 	struct simulation simulation;
@@ -249,13 +250,13 @@
 	n = simulation.n_checks;
 	outage_tick(&simulation.outage);
 	CU_ASSERT(simulation.n_checks == n);
-	/* And they begin anew with the next request. */
+	/* They start again with the next request. */
 	simulate(&simulation, 100);
 	CU_ASSERT(simulation.n_checks > n);
 	simulation_finish(&simulation);
 }
 
-/* What is published counts too: a service may have no server at all. */
+/* A service without any published server is affected, too. */
 static void test_no_server(void)
 {
 	struct simulation simulation;
@@ -274,9 +275,8 @@
 }
 
 /*
- * An outage of unknown length: told to come back at once, callers would come in
- * vain again and again; told to come back in a minute, they would stay away
- * long after a restart of two seconds.
+ * Guards against retry delays that are too short, so that callers are refused
+ * again and again, or so long that they stay away after a restart of 2 s.
  */
 static void test_retry_after(void)
 {
