--- a/policy.c
+++ b/policy.c
@@ -7,7 +7,7 @@
 
 #define RETRY_DELAY_US MSEC(5)
 #define RETRY_DOUBLINGS_MAX 6
-/* When a budget is used up and there is time: how soon to ask it again. */
+/* Interval at which an exhausted budget is tried again. */
 #define BUDGET_RETRY_DELAY_US MSEC(20)
 #define RETRY_COST_MAX 10.0
 #define UNAVAILABLE_RATIO 0.5
@@ -45,8 +45,8 @@
 }
 
 /*
- * A service of few requests needs more than its ratio when a server fails,
- * and a few retries a second are no storm.
+ * A service with few requests needs more retries than its ratio when a server
+ * fails, and a few retries per second are no storm.
  */
 static struct budget_limit retry_limit(const struct policy *policy,
 				       const struct service *service)
@@ -113,9 +113,9 @@
 }
 
 /*
- * All replicas of a shard shed. While others of the service answer it is worth
- * the wait; when the service is gone, the caller is told at once and not held
- * until its deadline.
+ * If all replicas of a shard shed, waiting is worthwhile while others of the
+ * service answer. If the service as a whole is unavailable, the caller is told
+ * at once instead of at its deadline.
  */
 static int adaptive_choose(struct policy *policy,
 			   const struct replica *replicas, int n, bool urgent,
@@ -141,9 +141,9 @@
 }
 
 /*
- * Behind a straggler others wait for its slot, and are late as well. They must
- * not use up what is needed to free them: the first half of the budget is for
- * requests that are known to run.
+ * Requests queued behind a slow one for its slot are late as well. They must
+ * not use up the budget needed to hedge the slow one: the first half of the
+ * budget is reserved for requests that are known to run.
  */
 static bool adaptive_hedge(struct policy *policy, const struct service *service,
 			   const struct replica *target, int attempts,
@@ -161,7 +161,7 @@
 	return budget_take(&stats->hedges, &limit, 1, now);
 }
 
-/* Whether asking again can bring another answer. */
+/* Whether a retry may succeed. */
 static bool is_retryable(int code)
 {
 	switch (code) {
@@ -177,9 +177,9 @@
 }
 
 /*
- * Another replica is asked at once, but only the first time: instances that
- * go on in step would hit the servers in waves, so later waits have chance in
- * them. Servers that shed are left out by the choice, not by this wait.
+ * The first retry is sent at once to another replica. Later ones are delayed at
+ * random, because instances that retry in step would hit the servers in waves.
+ * Servers that shed are excluded by the choice of replicas, not by this delay.
  */
 static int64_t retry_delay(struct policy *policy,
 			   const struct policy_failure *failure)
@@ -197,9 +197,9 @@
 }
 
 /*
- * What no server worked on costs no server anything. A silent connection is
- * closed and a lost home is not asked again, so that each can cost only one
- * request in flight. None of these needs the budget.
+ * Retries of requests that no server worked on cost no server time. Silent
+ * connections are closed and lost home instances are not asked again, so that
+ * each can cost only one request in flight. None of these need the budget.
  */
 static bool needs_no_budget(const struct policy_failure *failure)
 {
@@ -215,8 +215,8 @@
 }
 
 /*
- * The less a service answers, the less a retry helps, and the more each one
- * costs: when all of it is gone, next to none are made.
+ * The fewer requests a service answers, the less likely a retry succeeds and
+ * the more it costs. If the service is unavailable, next to none are sent.
  */
 static double retry_cost(const struct observe_service *stats)
 {
@@ -226,8 +226,9 @@
 }
 
 /*
- * The budget fills again with the next searches. It is worth the wait, unless
- * the service as a whole is gone: then the answer is given at once.
+ * The budget is refilled by the next searches, which is worth waiting for,
+ * unless the service as a whole is unavailable: then the search answers at
+ * once.
  */
 static int out_of_budget(const struct service *service,
 			 const struct observe_service *stats,
--- a/policy.h
+++ b/policy.h
@@ -1,8 +1,8 @@
 /*
- * How a search meets slow, refusing and lost servers: which replica it asks,
- * when it hedges, retries, and answers with less than everything.
+ * How a search handles slow, refusing and lost servers: choice of replicas,
+ * hedging, retries, and answers with partial coverage.
  *
- * Two tables of functions: policy_adaptive, and policy_plain, the baseline of
+ * There are two policies: policy_adaptive, and policy_plain as the baseline for
  * experiments (tunable search_policy).
  */
 #ifndef POLICY_H
@@ -18,10 +18,10 @@
 struct policy;
 
 /**
- * struct policy_failure - a shard that was asked for in vain
- * @code: why
- * @sent: the server may have got the request
- * @attempts: times the shard was asked for, this one included
+ * struct policy_failure - a failed request for a shard
+ * @code: error code
+ * @sent: the server may have received the request
+ * @attempts: number of requests for the shard, including this one
  * @deadline: of the search, microseconds
  */
 struct policy_failure {
@@ -32,20 +32,22 @@
 };
 
 /**
- * struct policy_ops - what varies between policies
- * @choose: which replica and home to ask. Return: 0, ERR_NO_REPLICA, or
- *	ERR_SHED with @when set: all asked not to be called before; INT64_MAX:
- *	not in this search
- * @hedge_delay: when to hedge. Return: microseconds from sending; INT64_MAX:
- *	never
- * @hedge: whether a hedge to @target may go out now, after @attempts for the
- *	shard; if so it is paid for. @reported_slow: its home told that it runs
- *too long, so that it is known to hold a slot
- * @retry: whether and when to ask again. Return: 0 with @when set; ERR_BUDGET
- *	with @when set to when this may be asked again, INT64_MAX: not in this
- *	search; ERR_TOO_LATE, or the code itself, if it is final
- * @answer_after: when a search answers at min_coverage, microseconds from its
- *	start
+ * struct policy_ops - functions of a policy
+ * @name: name of the policy
+ * @choose: choose the replica and home instance to ask. Return: 0;
+ *	ERR_NO_REPLICA; or ERR_SHED, with @when set to the time before which all
+ *	replicas asked not to be called, INT64_MAX: not in this search
+ * @hedge_delay: when to hedge a request to @asked; @again: the request is a
+ *	hedge itself. Return: microseconds from sending; INT64_MAX: never
+ * @hedge: whether a hedge to @target may be sent now, after @attempts requests
+ *	for the shard; takes it from the hedge budget if so. @reported_slow: the
+ *	home instance reported that the request runs too long, so it is known to
+ *	occupy a slot
+ * @retry: whether and when to retry. Return: 0 with @when set; ERR_BUDGET with
+ *	@when set to when to call this again, INT64_MAX: not in this search;
+ *	ERR_TOO_LATE, or the code of the failure, if it is final
+ * @answer_after: when a search may answer at min_coverage. Return: microseconds
+ *	from its start
  */
 struct policy_ops {
 	const char *name;
@@ -70,9 +72,10 @@
 extern const struct policy_ops policy_plain;
 
 /**
- * struct policy - decisions of one instance
- * @ops: as the tunable search_policy says
- * @observe: what they rest on; kept up by either policy
+ * struct policy - policy state of one instance
+ * @ops: selected by the tunable search_policy
+ * @observe: statistics about servers; updated under either policy
+ * @rng: random number generator
  */
 struct policy {
 	const struct policy_ops *ops;
@@ -81,51 +84,58 @@
 };
 
 /**
- * policy_init() - start with nothing known
- * @seed: of its random choices
+ * policy_init() - start without statistics, with the adaptive policy
+ * @seed: for random choices
  */
 void policy_init(struct policy *policy, const struct clock *clock,
 		 uint64_t seed);
 void policy_finish(struct policy *policy);
 
 /**
- * policy_set_table() - take another table and the policy it names
+ * policy_set_table() - use another routing table and the policy it selects
  */
 void policy_set_table(struct policy *policy, const struct table *table);
 
 /**
- * policy_count_needed() - a search begins, with that many requests to servers
+ * policy_count_needed() - count the first requests of a search that begins
+ * @n: number of requests to servers
  *
- * Budgets of extra requests are filled by these alone.
+ * Only these earn tokens in the budgets for extra requests.
  */
 void policy_count_needed(struct policy *policy, const struct service *service,
 			 int n);
 
 /**
- * policy_request_sent() - a request goes out to a server
- * @instance: hash of the home's name
+ * policy_request_sent() - count a request sent to a server
+ * @instance: hash of the home instance's name
  */
 void policy_request_sent(struct policy *policy, struct observe_server *server,
 			 uint64_t instance);
 
 /**
- * policy_request_done() - it is over; every policy_request_sent() needs one
+ * policy_request_done() - record the result of a request
+ * @instance: hash of the home instance's name
  * @was_late: observe_late() was called for it
+ * @result: result of the request
+ *
+ * Call once for each policy_request_sent().
  */
 void policy_request_done(struct policy *policy, struct observe_server *server,
 			 uint64_t instance, bool was_late,
 			 const struct observe_result *result);
 
 /**
- * policy_hedge_cancelled() - a hedge was cancelled before any server was asked
+ * policy_hedge_cancelled() - refund a hedge that no server was asked for
  */
 void policy_hedge_cancelled(struct policy *policy,
 			    const struct service *service);
 
 /**
- * policy_search_done() - a search reached full coverage, or was late
+ * policy_search_done() - record the duration of a search that reached full
+ *	coverage or its deadline
+ * @elapsed_us: microseconds
  *
- * Not to be called for one that failed at once: failures are no speed.
+ * Not for searches that failed at once: these would distort the latency.
  */
 void policy_search_done(struct policy *policy, const struct service *service,
 			int64_t elapsed_us);
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -67,16 +67,16 @@
 }
 
 /*
- * A caller waits 80 ms for an answer whose shards take 4 ms each: at 100
- * shards nearly two searches in three meet a request that takes 20 times as
- * long, and the slowest shard is the answer's time.
+ * Guards against stragglers that determine the latency of a search. At 100
+ * shards that take 4 ms each, nearly two searches in three include a request
+ * that takes 20 times as long, 80 ms.
  */
 static void test_stragglers(void)
 {
 	struct fake_config calm = config_with(&policy_plain, 0);
 	struct fake_config plain = config_with(&policy_plain, 0.01);
 	struct fake_config adaptive = config_with(&policy_adaptive, 0.01);
-	struct measured base = measure_config(&calm, "calm");
+	struct measured base = measure_config(&calm, "no fault");
 	struct measured before = measure_config(&plain, "stragglers");
 	struct measured after = measure_config(&adaptive, "stragglers");
 
@@ -87,15 +87,15 @@
 }
 
 /*
- * Nothing is wrong with any server, and still a policy that hedges and
- * compares could cost callers time that a random choice would not.
+ * Guards against a policy whose hedges and comparisons make searches slower
+ * than a random choice while no server is faulty.
  */
 static void test_no_fault(void)
 {
 	struct fake_config plain = config_with(&policy_plain, 0);
 	struct fake_config adaptive = config_with(&policy_adaptive, 0);
-	struct measured before = measure_config(&plain, "calm");
-	struct measured after = measure_config(&adaptive, "calm");
+	struct measured before = measure_config(&plain, "no fault");
+	struct measured after = measure_config(&adaptive, "no fault");
 
 	CU_ASSERT(after.p99 <= before.p99);
 	CU_ASSERT(after.load <= 1.05);
@@ -126,9 +126,9 @@
 }
 
 /*
- * A shared disk is busy and every server takes five times as long. Each
- * request is now late by what was usual: hedging them all would double the
- * load on servers that are at their limit, and no answer would come any more.
+ * Guards against hedging all requests when every server is five times slower,
+ * for example because of a shared disk. All requests are late by the usual
+ * latency, and hedges would double the load on servers that are at their limit.
  */
 static void test_all_slow(void)
 {
@@ -166,9 +166,9 @@
 }
 
 /*
- * One server in five refuses everything, at once and politely. Each refusal
- * is asked again elsewhere: without a memory of who refused, a tenth of all
- * requests are made twice.
+ * Guards against repeated requests to servers that shed. One server in five
+ * refuses everything at once; a policy that does not remember it sends a tenth
+ * of all requests twice.
  */
 static void test_shedding(void)
 {
@@ -209,8 +209,8 @@
 }
 
 /*
- * A service is gone for a while. Each shard is asked for again and again, and
- * when the servers come back they are met by three times the usual load.
+ * Guards against retries during an outage of a service, which would meet the
+ * servers with three times the usual load when they come back.
  */
 static void test_outage(void)
 {
@@ -225,9 +225,10 @@
 }
 
 /*
- * One server of each ten breaks every connection at once. Its "answers" come
- * first, it has nothing in flight, and a choice by latency or by requests in
- * flight sends it more and more: half the shards of its group go missing.
+ * Guards against preferring a server that fails fast. One in ten servers breaks
+ * every connection at once: it responds first and has nothing in flight, so
+ * that a choice by latency or requests in flight sends it ever more requests,
+ * and half the shards of its group are lost.
  */
 static void test_fast_failing_server(void)
 {
@@ -241,7 +242,7 @@
 	fake_fleet_run(&fleet, 200);
 	for (i = 0; i < fleet.n_servers; i += 10)
 		fleet.servers[i].down = true;
-	m = measure(&fleet, "sinkhole", 1000);
+	m = measure(&fleet, "fails fast", 1000);
 	CU_ASSERT(m.coverage > 0.999);
 	CU_ASSERT(m.load <= 1.06);
 	for (i = 0; i < fleet.n_servers; i += 10)
@@ -251,8 +252,8 @@
 }
 
 /*
- * A server falls over and comes back every second. Each return looks like
- * health and gets it full traffic, just in time to lose it again.
+ * Guards against a server that fails and recovers every second: each recovery
+ * would get it full traffic just before it fails again.
  */
 static void test_flapping(void)
 {
@@ -272,7 +273,7 @@
 			first = fleet.servers[0].received;
 	}
 	CU_ASSERT(fake_fleet_coverage(&fleet) > 0.999);
-	/* Its ejections grow: it gets less the longer it goes on. */
+	/* Ejections get longer, so that it gets fewer and fewer requests. */
 	CU_ASSERT(fleet.servers[0].received - first < 4 * first);
 	CU_ASSERT(fleet.servers[0].received < fleet.servers[1].received / 4);
 	fake_fleet_finish(&fleet);
@@ -280,10 +281,10 @@
 
 static const struct unit_test tests[] = {
 	{"one request in 100 is 20 times slower", test_stragglers},
-	{"nothing is wrong", test_no_fault},
+	{"no fault", test_no_fault},
 	{"all servers slow at once", test_all_slow},
 	{"one server in five sheds", test_shedding},
-	{"a service is gone", test_outage},
+	{"a service is unavailable", test_outage},
 	{"a server fails fast", test_fast_failing_server},
 	{"a server flaps", test_flapping},
 };
