--- a/return_schedule.c
+++ b/return_schedule.c
@@ -5,16 +5,16 @@
 
 #include "mem.h"
 
-/* New requests need capacity as well, and are better served at once. */
+/* The rest is kept for new requests, which are better served at once. */
 #define PROMISED_CAPACITY_SHARE 0.2
-/* Without any knowledge. */
+/* Used while the capacity is unknown. */
 #define WAIT_DEFAULT MSEC(100)
-/* Sooner, nothing has changed; later, what was seen now says nothing. */
+/* Any sooner, the load is still the same; any later, it is unpredictable. */
 #define WAIT_MIN MSEC(20)
 #define WAIT_MAX MSEC(5000)
-/* A caller's clock and the way to it are not exact. */
+/* Accounts for the caller's clock and network delay. */
 #define EARLY_TOLERANCE MSEC(10)
-/* A caller may need a new connection first, and meet a slow link. */
+/* A caller may need a new connection over a slow link. */
 #define LATE_TOLERANCE MSEC(500)
 #define CLEANUP_PERIOD MSEC(200)
 
@@ -94,7 +94,7 @@
 	return queue;
 }
 
-/* The less urgent come after it; promises they have already are kept. */
+/* Delays less urgent levels, too, except promises already made to them. */
 static void reserve_capacity(struct return_queue *queue, int level,
 			     int64_t cost, int64_t now)
 {
@@ -130,7 +130,7 @@
 	return entry;
 }
 
-/* Until the capacity that this request needs is not promised to others. */
+/* Time until the capacity for this request is not promised to others. */
 static int64_t time_until_capacity(const struct return_queue *queue,
 				   const struct return_request *request,
 				   int64_t now)
--- a/return_schedule.h
+++ b/return_schedule.h
@@ -1,9 +1,9 @@
 /*
- * Callers that were refused for load, and when there will be room for them.
- * Room is a rate: each promise is booked behind those to requests that are as
- * urgent or more, and what nobody comes back for is there for others. Answers
- * callers that are refused again and again, and those that repeat at once:
- * these gain nothing. Decides without sockets.
+ * Schedules when callers that were refused for load should return. Capacity is
+ * a rate: each promise is scheduled after those to requests of the same or a
+ * higher urgency, and capacity that is not claimed is free for others. This
+ * guards against refusing the same callers repeatedly, and gives no advantage
+ * to callers that retry at once. Does no I/O.
  */
 #ifndef RETURN_SCHEDULE_H
 #define RETURN_SCHEDULE_H
@@ -16,19 +16,21 @@
 #include "clock.h"
 #include "server_outlook.h"
 
-/* Callers that are remembered at a time. */
+/* Maximum number of scheduled returns. */
 #define RETURN_SCHEDULE_MAX 2048
-/* Services whose promises are counted. */
+/* Maximum number of services with a queue. */
 #define RETURN_QUEUES_MAX 64
 
 /**
- * struct scheduled_return - a request that was refused
- * @fingerprint: the same when it comes again
- * @service: hash of the name of the one that is short
- * @due: before that it is refused again, microseconds
+ * struct scheduled_return - a refused request that may return
+ * @fingerprint: identifies the request; the same when it returns
+ * @service: hash of the name of the overloaded service
+ * @due: it is refused again before this time, microseconds
  * @cost: its work, microseconds
- * @promised: there is room for it from then on
- * @taken: for other instances: it came back
+ * @level: level of urgency, 0 is the highest
+ * @promised: capacity is reserved for it from @due on
+ * @taken: in reports to other instances: it has returned
+ * @hh: hash table entry
  */
 struct scheduled_return {
 	uint64_t fingerprint;
@@ -42,9 +44,13 @@
 };
 
 /**
- * struct return_queue - promises of a service
- * @next_free_at: by level: from when on room is not promised
- * @capacity: by level: work a second that is promised at most; 0: not known
+ * struct return_queue - capacity promised for one service
+ * @service: hash of the name
+ * @capacity: by level: work that may be promised, microseconds per second; 0:
+ *	unknown
+ * @next_free_at: by level: time from which capacity is not promised yet,
+ *	microseconds
+ * @used_at: time of the last use, microseconds
  */
 struct return_queue {
 	uint64_t service;
@@ -53,6 +59,14 @@
 	int64_t used_at;
 };
 
+/**
+ * struct return_schedule - scheduled returns of all services
+ * @clock: time source
+ * @entries: hash table, keyed by fingerprint
+ * @queues: one per service
+ * @n_queues: number of @queues
+ * @cleaned_at: when expired entries were last removed, microseconds
+ */
 struct return_schedule {
 	const struct clock *clock;
 	struct scheduled_return *entries;
@@ -62,11 +76,15 @@
 };
 
 /**
- * struct return_request - a request that is refused for load
- * @capacity: work a second that all instances serve of the service; 0: not
- * known
- * @capacity_in: there is none before, microseconds; 0: not known
- * @patience: the caller waits so long at most, microseconds
+ * struct return_request - a request refused for load
+ * @fingerprint: identifies the request
+ * @service: hash of the name of the overloaded service
+ * @level: level of urgency, 0 is the highest
+ * @cost: its work, microseconds
+ * @capacity: work of the service that all instances can get served,
+ *	microseconds per second; 0: unknown
+ * @capacity_in: time until there is any capacity, microseconds; 0: unknown
+ * @patience: maximum time that the caller waits, microseconds
  */
 struct return_request {
 	uint64_t fingerprint;
@@ -79,9 +97,9 @@
 };
 
 enum return_state {
-	RETURN_NONE,  /* nothing is known of the request */
-	RETURN_EARLY, /* it is to be refused again */
-	RETURN_DUE,   /* there is room for it */
+	RETURN_NONE,  /* not scheduled, or without a promise */
+	RETURN_EARLY, /* before its time: refuse it again */
+	RETURN_DUE,   /* capacity is reserved for it */
 };
 
 void return_schedule_init(struct return_schedule *schedule,
@@ -89,42 +107,46 @@
 void return_schedule_finish(struct return_schedule *schedule);
 
 /**
- * return_schedule_offer() - when a refused request may come back
- * @out: set; @out->kept says whether it is a promise
+ * return_schedule_offer() - schedule the return of a refused request
+ * @request: the request
+ * @out: set; @out->promised says whether capacity is reserved for it
  *
- * A caller that will not wait so long is promised nothing.
+ * There is no promise if the wait exceeds the caller's patience.
  *
- * Return: after how many microseconds there is room.
+ * Return: time until there is capacity, microseconds.
  */
 int64_t return_schedule_offer(struct return_schedule *schedule,
 			      const struct return_request *request,
 			      struct scheduled_return *out);
 
 /**
- * return_schedule_find() - what is known of a request that came
+ * return_schedule_find() - find the scheduled return of a request
+ * @fingerprint: identifies the request
  *
- * Return: NULL if nothing, or it came too late.
+ * Return: valid until the schedule changes; NULL if there is none or it has
+ * expired.
  */
 const struct scheduled_return *
 return_schedule_find(struct return_schedule *schedule, uint64_t fingerprint);
 
 /**
- * return_schedule_check() - whether it comes at its time
- * @entry: may be NULL
+ * return_schedule_check() - whether a request returns at its time
+ * @entry: its scheduled return; may be NULL
  */
 enum return_state return_schedule_check(const struct return_schedule *schedule,
 					const struct scheduled_return *entry);
 
 /**
- * return_schedule_remove() - the request is let in, or needs no promise any
- * more
+ * return_schedule_remove() - remove a return that was used or is not needed
+ * @fingerprint: identifies the request
  */
 void return_schedule_remove(struct return_schedule *schedule,
 			    uint64_t fingerprint);
 
 /**
- * return_schedule_receive() - another instance gave a promise, or it was used
- * there
+ * return_schedule_receive() - add a return scheduled by another instance, or
+ *	remove one that was used there
+ * @entry: copied
  */
 void return_schedule_receive(struct return_schedule *schedule,
 			     const struct scheduled_return *entry);
--- a/tests/test_return_schedule.c
+++ b/tests/test_return_schedule.c
@@ -11,12 +11,12 @@
 		.service = SERVICE,
 		.level = level,
 		.cost = MSEC(10),
-		.capacity = 1000000, /* 20 promises a second */
+		.capacity = 1000000, /* allows 20 promises per second */
 		.patience = MSEC(300),
 	};
 }
 
-/* Promises to all who are refused at once would only move the crowd */
+/* Guards against promising the same time to all callers refused at once. */
 static void test_promises_are_spread(void)
 {
 	struct clock clock;
@@ -37,14 +37,14 @@
 	CU_ASSERT(return_schedule_offer(&schedule, &request, &entry) ==
 		  MSEC(350));
 	CU_ASSERT(!entry.promised);
-	/* The more urgent come first, and the others after them. */
+	/* More urgent requests are scheduled first, others after them. */
 	request = make_request(8, 0);
 	CU_ASSERT(return_schedule_offer(&schedule, &request, &entry) ==
 		  MSEC(50));
 	request = make_request(9, 1);
 	CU_ASSERT(return_schedule_offer(&schedule, &request, &entry) ==
 		  MSEC(400));
-	/* It was told by whom it asked that there is none before. */
+	/* There is no capacity before this time. */
 	request = make_request(10, 0);
 	request.capacity_in = MSEC(120);
 	CU_ASSERT(return_schedule_offer(&schedule, &request, &entry) ==
@@ -60,7 +60,7 @@
 							  fingerprint));
 }
 
-/* Early is refused, in time let in, late forgotten; used up elsewhere too */
+/* Returns before, at and after their time, and one used at another instance. */
 static void test_return_in_time(void)
 {
 	const struct return_request one = make_request(1, 0);
@@ -91,7 +91,7 @@
 	return_schedule_finish(&schedule);
 }
 
-/* A crowd of refused callers must not take an instance's memory */
+/* Guards against unbounded memory for many refused callers. */
 static void test_schedule_is_bounded(void)
 {
 	struct clock clock;
@@ -117,7 +117,7 @@
 static const struct unit_test tests[] = {
 	{"promises are spread", test_promises_are_spread},
 	{"return in time", test_return_in_time},
-	{"book is bounded", test_schedule_is_bounded},
+	{"schedule is bounded", test_schedule_is_bounded},
 };
 
-UNIT_MAIN("return book", tests)
+UNIT_MAIN("return schedule", tests)
