--- a/tests/test_warmup.c
+++ b/tests/test_warmup.c
@@ -1,4 +1,4 @@
-/* Many instances that send to one cold server, on the paused clock. */
+/* Simulates many instances that send to one cold server. */
 #include <stdio.h>
 #include <string.h>
 
@@ -11,7 +11,7 @@
 #define BOUND 14
 #define SENT_MAX 100000
 
-/* What each of the instances believes of which of them live. */
+/* The instances, each with its own view of the live hubs. */
 struct simulation {
 	struct clock clock;
 	struct warmup senders[SENDERS_MAX];
@@ -30,7 +30,7 @@
 	snprintf(out, FLEET_NAME_SIZE, "n%d", i);
 }
 
-/* Sender @i holds those of the first @hubs for alive that @mask has. */
+/* Set the hubs that sender @i takes for alive: the bits of @mask. */
 static void set_live_hubs(struct simulation *simulation, int i, int hubs,
 			  unsigned int mask)
 {
@@ -61,7 +61,7 @@
 	clock_advance(&simulation->clock, MSEC(2000));
 }
 
-/* Each would send as often as it may. */
+/* Every instance sends as often as it may. */
 static void simulate(struct simulation *simulation, int64_t ms)
 {
 	int64_t end = clock_now(&simulation->clock) + MSEC(ms);
@@ -80,7 +80,7 @@
 	}
 }
 
-/* The most that arrive within any second. */
+/* Maximum number of sends within any second. */
 static int max_sends_per_second(const struct simulation *simulation)
 {
 	int most = 0;
@@ -111,9 +111,9 @@
 }
 
 /*
- * A data centre's servers come back together, cold, in a burst. Each instance
- * kept within what a server bears and all together sent it many times that, so
- * that it crashed again.
+ * Guards against crashes of servers that restart together during a burst. If
+ * each instance only limits its own sends, all together send many times what a
+ * cold server can bear.
  */
 static void check_burst(int n, int hubs)
 {
@@ -122,7 +122,7 @@
 	simulation_init(&simulation, n, hubs);
 	simulate(&simulation, 5000);
 	CU_ASSERT(max_sends_per_second(&simulation) <= BOUND);
-	/* It is not left alone either: 7 in 1.3 s of the 6 a second it bears.
+	/* Guards against starving the server: 7 in 1.3 s, it bears 6 a second.
 	 */
 	CU_ASSERT(simulation.n_sent >= 5 * 5);
 }
@@ -142,7 +142,7 @@
 	check_burst(66, 8);
 }
 
-/* Each is cut off from all others and holds itself for the only one. */
+/* Every hub is isolated and takes itself for the only one. */
 static void test_isolated_senders(void)
 {
 	static struct simulation simulation;
@@ -158,8 +158,8 @@
 }
 
 /*
- * The first stands still, another takes over, and the first wakes up with what
- * it believed before.
+ * Guards against exceeding the limit when the first hub is suspended, another
+ * one takes over, and the first resumes with its old view of the hubs.
  */
 static void test_suspended_sender(void)
 {
@@ -182,7 +182,7 @@
 	CU_ASSERT(max_sends_per_second(&simulation) <= BOUND);
 }
 
-/* All are killed and start again: what they sent before still counts. */
+/* All hubs restart: sends of their previous processes still count. */
 static void test_simultaneous_restarts(void)
 {
 	static struct simulation simulation;
@@ -204,7 +204,7 @@
 	CU_ASSERT(max_sends_per_second(&simulation) <= BOUND);
 }
 
-/* Whoever is no hub, or is not the first, sends nothing. */
+/* Instances that are not the first hub send nothing. */
 static void test_other_instances(void)
 {
 	static struct simulation simulation;
@@ -225,10 +225,10 @@
 	{"burst of two", test_two_senders},
 	{"burst of eight", test_eight_senders},
 	{"burst of sixty-six", test_sixty_six_senders},
-	{"all cut off", test_isolated_senders},
-	{"frozen", test_suspended_sender},
-	{"start of all", test_simultaneous_restarts},
-	{"others", test_other_instances},
+	{"isolated senders", test_isolated_senders},
+	{"suspended sender", test_suspended_sender},
+	{"simultaneous restarts", test_simultaneous_restarts},
+	{"other instances", test_other_instances},
 };
 
 UNIT_MAIN("warmup", tests)
--- a/warmup.c
+++ b/warmup.c
@@ -3,14 +3,14 @@
 #include <string.h>
 
 /*
- * The bound holds in any second. A send may wait for its connection, up to
- * 250 ms, so that two of them may arrive so much closer than they were counted.
+ * The limit applies to any second. A send may wait up to 250 ms for its
+ * connection, so that two may arrive closer together than they were counted.
  */
 #define SEND_WINDOW MSEC(1300)
 /*
- * A hub that is not known to live any more may be cut off and still send. It
- * keeps its place for so long, longer than a cut lasts that is not taken for
- * its end; its part of the bound is lost meanwhile.
+ * A hub that seems dead may be partitioned and still send. It keeps its rank
+ * for this time, longer than any partition that is not taken for the end of the
+ * hub. Its fraction of the limit is unused meanwhile.
  */
 #define SENDER_MEMORY MSEC(30000)
 
@@ -46,7 +46,7 @@
 	return NULL;
 }
 
-/* Where there is no room the one goes that was seen longest ago. */
+/* If there is no room, replaces the hub seen least recently. */
 static struct warmup_sender *add(struct warmup *warmup, const char *instance)
 {
 	struct warmup_sender *sender = &warmup->senders[0];
@@ -116,7 +116,7 @@
 	return first ? first->instance : NULL;
 }
 
-/* Those that are before this instance, dead or not. */
+/* Number of hubs that rank before this instance, dead or alive. */
 static int rank_of(const struct warmup *warmup, struct str server)
 {
 	uint64_t own = warmup_hash(server, warmup->instance);
--- a/warmup.h
+++ b/warmup.h
@@ -1,19 +1,18 @@
 /*
- * How many requests a backend server gets while it is cold, and from whom. A
- * server that has just started crashes at a rate well above what it bears, and
- * the bound on it counts the sends of all instances, whatever each of them
- * knows of the others. So one instance sends to it: the first, by a hash of
- * both names, of the hubs of its data centre that live. Decides without
- * sockets.
+ * Limits the requests sent to a backend server that has just started. A cold
+ * server crashes at a rate well above its capacity, and the limit applies to
+ * the sends of all instances, whatever each of them knows of the others. Only
+ * one instance therefore sends to a cold server: the first live hub of its data
+ * centre, ranked by a hash of both names. Does no I/O.
  *
- * The worst case. In one second a server is sent no more than its bound: the
- * first of all its hubs, dead or alive, sends half of the bound, the second,
- * should it hold the first for dead, a quarter, the third an eighth, and so on.
- * Whoever is cut off, frozen, or sees others than its neighbours do, these add
- * up to less than the bound. A hub that starts waits until what its earlier
- * process sent is over. Not covered: a newcomer that ranks before the others
- * and is not known to them yet, together with two more that hold each other for
- * dead in the same second.
+ * In the worst case, a server is still sent no more than its limit in any
+ * second. The first of all hubs, dead or alive, sends at most half of the
+ * limit; the second, if it takes the first for dead, a quarter; the third an
+ * eighth, and so on. If hubs are partitioned, suspended or disagree about the
+ * membership, these fractions add up to less than the limit. A hub that starts
+ * waits until the sends of its previous process have expired. Not covered: a
+ * new hub that ranks before the others and is not known to them yet, together
+ * with two more that take each other for dead in the same second.
  */
 #ifndef WARMUP_H
 #define WARMUP_H
@@ -25,15 +24,15 @@
 #include "fleet.h"
 #include "str.h"
 
-/* Hubs of a data centre that are remembered, dead ones included. */
+/* Maximum number of hubs of a data centre, including dead ones. */
 #define WARMUP_SENDERS_MAX 16
-/* Sends to one server that are remembered: no more go out in a window. */
+/* Maximum number of sends to one server in a window. */
 #define WARMUP_SENDS_MAX 32
 
 /**
- * struct warmup_limit - what the servers of a service bear while they are cold
- * @cold_for: after a start, microseconds
- * @bound: requests in any second from all instances; 0: not bounded
+ * struct warmup_limit - limit for the cold servers of a service
+ * @cold_for: duration of the cold phase after a start, microseconds
+ * @bound: maximum requests in any second from all instances; 0: unlimited
  */
 struct warmup_limit {
 	int64_t cold_for;
@@ -42,6 +41,8 @@
 
 /**
  * struct warmup_sends - times of the last sends to a cold server
+ * @at: ring buffer, microseconds
+ * @n: total number of sends
  */
 struct warmup_sends {
 	int64_t at[WARMUP_SENDS_MAX];
@@ -50,7 +51,9 @@
 
 /**
  * struct warmup_sender - a hub of the own data centre
- * @seen_at: when it was last known to live, unless @alive
+ * @instance: name of the instance
+ * @seen_at: when it was last known to be alive, unless @alive; microseconds
+ * @alive: it is currently alive
  */
 struct warmup_sender {
 	char instance[FLEET_NAME_SIZE];
@@ -59,8 +62,12 @@
 };
 
 /**
- * struct warmup - the state of one instance
- * @started_at: microseconds
+ * struct warmup - warm-up state of one instance
+ * @clock: time source
+ * @instance: name of this instance
+ * @started_at: start time of this instance, microseconds
+ * @senders: known hubs of the own data centre
+ * @n: number of @senders
  */
 struct warmup {
 	const struct clock *clock;
@@ -71,12 +78,12 @@
 };
 
 /**
- * warmup_bound() - requests in any second that a cold server may get
- * @per_s: that it bears; 0: it has no bound
- * @overrun: times that
- * @slack: and so many more
+ * warmup_bound() - maximum requests to a cold server in any second
+ * @per_s: rate that the server can bear; 0: unlimited
+ * @overrun: factor by which that rate may be exceeded
+ * @slack: requests allowed in addition
  *
- * Return: at least 1; 0 if it has none.
+ * Return: at least 1; 0 if unlimited.
  */
 int warmup_bound(double per_s, double overrun, double slack);
 
@@ -84,28 +91,37 @@
 		 const char *instance);
 
 /**
- * warmup_set_senders() - the hubs of the own data centre that live
+ * warmup_set_senders() - set the live hubs of the own data centre
+ * @instances: their names
+ * @n: number of @instances
  */
 void warmup_set_senders(struct warmup *warmup,
 			char (*instances)[FLEET_NAME_SIZE], int n);
 
 /**
- * warmup_sender() - who may send to a server while it is cold
+ * warmup_sender() - which instance may send to a cold server
+ * @server: id of the server
  *
  * Return: an instance of the own data centre, or NULL.
  */
 const char *warmup_sender(const struct warmup *warmup, struct str server);
 
 /**
- * warmup_hash() - an instance's place for a server, the least is the first
+ * warmup_hash() - rendezvous hash of a server and an instance
+ * @server: id of the server
+ * @instance: name of the instance
+ *
+ * The instance with the lowest value ranks first for the server.
  */
 uint64_t warmup_hash(struct str server, const char *instance);
 
 /**
- * warmup_try_send() - one more send to a cold server
- * @sends: of that server
+ * warmup_try_send() - ask to send one more request to a cold server
+ * @server: id of the server
+ * @limit: limit of its service
+ * @sends: previous sends of this instance to the server
  *
- * Return: whether it may go out; it counts then.
+ * Return: whether it may be sent; it is counted then.
  */
 bool warmup_try_send(const struct warmup *warmup, struct str server,
 		     const struct warmup_limit *limit,
