--- a/merge.c
+++ b/merge.c
@@ -74,7 +74,7 @@
 	merge->n++;
 }
 
-/* The first place from @from on whose record comes after @in. */
+/* The first index, starting with @from, whose record sorts after @in. */
 static int find_position(const struct merge *merge, int from,
 			 const Backend__Record *in)
 {
--- a/merge.h
+++ b/merge.h
@@ -1,20 +1,29 @@
-/* The first records by sort key out of many sorted lists. */
+/* Merges sorted lists of records and keeps the first ones by sort key. */
 #ifndef MERGE_H
 #define MERGE_H
 
 #include "backend.pb-c.h"
 #include "str.h"
 
+/**
+ * struct merge_record - a copied record
+ * @sort: sort key
+ * @key: key
+ * @body: body
+ * @buffer: holds the bytes of the three
+ */
 struct merge_record {
 	struct str sort;
 	struct str key;
 	struct str body;
-	char *buffer; /* the three of them */
+	char *buffer;
 };
 
 /**
- * struct merge - the records kept so far, ordered by (sort, key)
- * @limit: most records kept
+ * struct merge - the first records so far, ordered by (sort, key)
+ * @records: @n records; room for @limit; NULL before the first merge_add()
+ * @n: number of @records
+ * @limit: maximum number of records kept
  */
 struct merge {
 	struct merge_record *records;
@@ -26,14 +35,16 @@
 void merge_finish(struct merge *merge);
 
 /**
- * merge_compare() - the order of two records: by (sort, key), as bytes
+ * merge_compare() - compare two records by (sort, key) as bytes
  *
- * Return: below, equal to or above zero, as memcmp().
+ * Return: less than, equal to or greater than 0, as memcmp().
  */
 int merge_compare(const Backend__Record *a, const Backend__Record *b);
 
 /**
- * merge_add() - take one shard's sorted records
+ * merge_add() - merge the records of one shard
+ * @records: sorted by (sort, key); owned by the caller
+ * @n: number of @records
  *
  * Records are copied only if they are among the first @limit.
  */
--- a/peak.c
+++ b/peak.c
@@ -11,8 +11,7 @@
 int peak_add(struct peak *peak, int value, int64_t now)
 {
 	if (now - peak->span_start >= peak->span) {
-		/* Nothing was said for more than a span: nothing older holds.
-		 */
+		/* No older value holds after a gap of more than a span. */
 		peak->previous = now - peak->span_start < 2 * peak->span
 					 ? peak->current
 					 : value;
--- a/peak.h
+++ b/peak.h
@@ -1,6 +1,6 @@
 /*
- * The greatest value of the last while: a bound that must hold for what was
- * begun under an earlier value, and comes down once that is over.
+ * Maximum over a sliding time window: a bound that also covers work started
+ * under an earlier value, and falls once that work has ended.
  */
 #ifndef PEAK_H
 #define PEAK_H
@@ -8,11 +8,11 @@
 #include <stdint.h>
 
 /**
- * struct peak - the greatest value of the last @span to twice @span
+ * struct peak - maximum of the last @span to twice @span
  * @span: microseconds
- * @span_start: of @current, microseconds
- * @current: the greatest since then
- * @previous: the greatest of the span before
+ * @span_start: start of the current span, microseconds
+ * @current: maximum since @span_start
+ * @previous: maximum of the span before
  */
 struct peak {
 	int64_t span;
@@ -21,12 +21,20 @@
 	int previous;
 };
 
+/**
+ * peak_init() - start with a value that holds for at least one span
+ * @span: microseconds
+ * @value: initial maximum
+ * @now: microseconds
+ */
 void peak_init(struct peak *peak, int64_t span, int value, int64_t now);
 
 /**
- * peak_add() - a value holds now
+ * peak_add() - add the current value
+ * @value: current value
+ * @now: microseconds
  *
- * Return: the greatest.
+ * Return: the maximum.
  */
 int peak_add(struct peak *peak, int value, int64_t now);
 
--- a/retry_share.h
+++ b/retry_share.h
@@ -56,10 +56,17 @@
 	struct budget_limit limit;
 };
 
+/**
+ * retry_share_init() - start with the minimum number of entries
+ * @now: microseconds
+ */
 void retry_share_init(struct retry_share *share, int64_t now);
 
 /**
  * retry_share_update() - recompute the limit from settings and membership
+ * @settings: of the fleet
+ * @membership: as currently known
+ * @now: microseconds
  */
 void retry_share_update(struct retry_share *share,
 			const struct retry_settings *settings,
--- a/tests/test_merge.c
+++ b/tests/test_merge.c
@@ -6,7 +6,7 @@
 #include "merge.h"
 #include "unit.h"
 
-/* Adds one shard's records, "sort:key" each. */
+/* Add the records of one shard, each in the form "sort:key". */
 static void add(struct merge *merge, const char *const *texts, int n)
 {
 	Backend__Record *records = mem_zalloc((size_t)n * sizeof(*records));
@@ -107,7 +107,7 @@
 	merge_finish(&merge);
 }
 
-/* Records are copied: the answer they came in is freed right after. */
+/* Guards against references into the answer, which is freed right after. */
 static void test_records_are_copied(void)
 {
 	struct merge merge;
@@ -122,12 +122,12 @@
 }
 
 static const struct unit_test tests[] = {
-	{"order over shards", test_order_across_shards},
+	{"order across shards", test_order_across_shards},
 	{"ties by key", test_ties_by_key},
-	{"limit keeps the first", test_keeps_first_records},
-	{"bytes, not text, are compared", test_compares_bytes},
-	{"no limit, no records", test_limit_zero},
-	{"records outlive the answer", test_records_are_copied},
+	{"limit keeps first records", test_keeps_first_records},
+	{"compares bytes", test_compares_bytes},
+	{"limit of 0", test_limit_zero},
+	{"records are copied", test_records_are_copied},
 };
 
 UNIT_MAIN("merge", tests)
--- a/tests/test_peak.c
+++ b/tests/test_peak.c
@@ -6,9 +6,9 @@
 #define START MSEC(1000000)
 
 /*
- * An instance that starts knows small instances first and takes all of them
- * for entries: 277 in place of 18. Its part of the retry budget and of a
- * server's connections must not stay so small for the life of the process.
+ * Guards against a peak that never falls. An instance that starts may take all
+ * instances for entries at first, 277 instead of 18, and its share of the retry
+ * budget and of a server's connections must not stay that small.
  */
 static void test_old_peak_expires(void)
 {
@@ -22,8 +22,9 @@
 }
 
 /*
- * Half of the entries are cut off for a second. They still send what they have
- * begun, so that the others must not take over their part of the limits.
+ * Guards against a peak that falls too early. While half of the entries are cut
+ * off for a second, they still send what they started, and the others must not
+ * take over their share of the limits.
  */
 static void test_peak_holds_for_span(void)
 {
@@ -34,13 +35,13 @@
 	peak_add(&peak, 18, START);
 	for (t = 0; t < SPAN; t += MSEC(1000))
 		CU_ASSERT(peak_add(&peak, 9, START + t) == 18);
-	/* Also where the last greater value came just before a new span. */
+	/* The higher value may come just before a new span. */
 	peak_add(&peak, 20, START + SPAN - 1);
 	for (t = SPAN; t < 2 * SPAN; t += MSEC(1000))
 		CU_ASSERT(peak_add(&peak, 9, START + t) == 20);
 }
 
-/* A process that was stopped for long goes by what it sees when it wakes. */
+/* A process that was stopped for long ignores values from before. */
 static void test_no_updates(void)
 {
 	struct peak peak;
@@ -50,9 +51,9 @@
 }
 
 static const struct unit_test tests[] = {
-	{"comes down", test_old_peak_expires},
-	{"holds for a span", test_peak_holds_for_span},
-	{"long silence", test_no_updates},
+	{"old peak expires", test_old_peak_expires},
+	{"peak holds for a span", test_peak_holds_for_span},
+	{"no updates", test_no_updates},
 };
 
 UNIT_MAIN("peak", tests)
--- a/top_k.h
+++ b/top_k.h
@@ -1,7 +1,7 @@
 /*
- * The most frequent of many keys in bounded memory (space-saving counters,
- * Metwally and others 2005): a count is never too low, and too high by at most
- * its error.
+ * The most frequent of many keys in bounded memory (space-saving algorithm,
+ * Metwally et al. 2005). A count is never too low, and too high by at most its
+ * error.
  */
 #ifndef TOP_K_H
 #define TOP_K_H
@@ -14,9 +14,11 @@
 #define TOP_K_KEY_SIZE 65
 
 /**
- * struct top_k_entry - one key
+ * struct top_k_entry - counter of one key
+ * @key: NUL-terminated, truncated if longer
+ * @count: upper bound of the count
  * @error: how much of @count may belong to keys that were replaced
- * @code: of the last addition
+ * @code: error code of the last addition
  */
 struct top_k_entry {
 	char key[TOP_K_KEY_SIZE];
@@ -31,10 +33,11 @@
 };
 
 /**
- * top_k_add() - count a key
- * @count: how often
- * @error: of @count, when it comes from another struct top_k
- * @code: why, kept of the last
+ * top_k_add() - add to the count of a key
+ * @key: copied
+ * @count: number of occurrences
+ * @error: error of @count, if it comes from another struct top_k
+ * @code: error code; only the last one is kept
  */
 void top_k_add(struct top_k *top, struct str key, uint64_t count,
 	       uint64_t error, int code);
