--- a/sketch.c
+++ b/sketch.c
@@ -3,7 +3,7 @@
 #include <math.h>
 
 #define BUCKET_MIN_US 64.0
-/* Weights are rescaled after this number of half-lives, to keep precision. */
+/* After this many half-lives, weights are rescaled to 1 to keep precision. */
 #define RESCALE_HALVINGS 16.0
 
 static int bucket_of(int64_t usec)
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -72,7 +72,7 @@
 	budget_init(&budget, &limit, now);
 	for (i = 0; i < 1000; i++)
 		budget_count_needed(&budget, &limit, 10, now += 1000);
-	/* 10,000 requests per second over 0.2 s at a ratio of 0.1. */
+	/* 10,000 a second over 0.2 s at a ratio of 0.1: 200 tokens. */
 	CU_ASSERT(take_all(&budget, now) <= 5 + 200);
 }
 
--- a/tests/test_warmup.c
+++ b/tests/test_warmup.c
@@ -122,8 +122,7 @@
 	simulation_init(&simulation, n, hubs);
 	simulate(&simulation, 5000);
 	CU_ASSERT(max_sends_per_second(&simulation) <= BOUND);
-	/* Guards against starving the server: 7 in 1.3 s, it bears 6 a second.
-	 */
+	/* The server must not starve: 7 in 1.3 s, it bears 6 a second. */
 	CU_ASSERT(simulation.n_sent >= 5 * 5);
 }
 
