--- a/admission.c
+++ b/admission.c
@@ -83,11 +83,13 @@
 			 int64_t max)
 {
 	if (limit->min_wait > target) {
-		double part = (double)target / (double)limit->min_wait;
+		double factor = (double)target / (double)limit->min_wait;
 
-		part = part < DECREASE_FACTOR_MIN ? DECREASE_FACTOR_MIN : part;
-		part = part > DECREASE_FACTOR_MAX ? DECREASE_FACTOR_MAX : part;
-		limit->limit *= part;
+		factor = factor < DECREASE_FACTOR_MIN ? DECREASE_FACTOR_MIN
+						      : factor;
+		factor = factor > DECREASE_FACTOR_MAX ? DECREASE_FACTOR_MAX
+						      : factor;
+		limit->limit *= factor;
 	} else if (limit->was_full) {
 		limit->limit += 1 + limit->limit * LIMIT_GROWTH;
 	}
@@ -208,10 +210,10 @@
 	int64_t wait = queueing_time(&service->limit, service->n_waiting,
 				     service->mean_latency);
 	int n = count_queued_up_to(admission, service->priority);
-	int64_t whole = queueing_time(&admission->instance_limit, n,
-				      service->mean_latency);
+	int64_t instance_wait = queueing_time(&admission->instance_limit, n,
+					      service->mean_latency);
 
-	return wait > whole ? wait : whole;
+	return wait > instance_wait ? wait : instance_wait;
 }
 
 static void update_refusal_rate(struct admission *admission, int64_t now)
--- a/load_limit.c
+++ b/load_limit.c
@@ -123,22 +123,22 @@
 static double fleet_urgent_need(const struct load_limit *load, int level,
 				const struct peer_load *peers)
 {
-	double own = total_demand(load);
-	double urgent = 0;
-	double all = 0;
+	double own_demand = total_demand(load);
+	double urgent_demand = 0;
+	double fleet_demand = 0;
 	double capacity;
 	int i;
 
-	if (!peers || !own || !load->served_rate)
+	if (!peers || !own_demand || !load->served_rate)
 		return 0;
 	for (i = 0; i < OUTLOOK_LEVELS; i++) {
 		double demand = load->levels[i].demand + peers->demand[i];
 
-		all += demand;
-		urgent += i < level ? demand : 0;
+		fleet_demand += demand;
+		urgent_demand += i < level ? demand : 0;
 	}
-	capacity = all * fmin(1, load->served_rate / own);
-	return load->limit * fmin(1, urgent / capacity);
+	capacity = fleet_demand * fmin(1, load->served_rate / own_demand);
+	return load->limit * fmin(1, urgent_demand / capacity);
 }
 
 /* Work in progress expected of levels more urgent than @level. */
@@ -222,17 +222,17 @@
 {
 	double factor =
 		exp(-(double)(now - load->updated_at) / (double)AVERAGE_TIME);
-	double own = total_demand(load);
+	double own_demand = total_demand(load);
 	double capacity = load->served_rate;
-	double all = own;
+	double fleet_demand = own_demand;
 	int i;
 
 	for (i = 0; i < level; i++)
 		capacity -= load->levels[i].admitted;
 	for (i = 0; peers && i < OUTLOOK_LEVELS; i++)
-		all += peers->demand[i];
+		fleet_demand += peers->demand[i];
 	capacity = fmax(capacity, load->served_rate * ADMITTED_FLOOR) * factor;
-	return own > 0 ? capacity * all / own : capacity;
+	return own_demand > 0 ? capacity * fleet_demand / own_demand : capacity;
 }
 
 void load_limit_count_served(struct load_limit *load, int64_t cost, int64_t now)
--- a/outage.h
+++ b/outage.h
@@ -1,9 +1,9 @@
 /*
  * Detects backend servers that are unreachable. After a failed connection, a
  * server is checked in the background, instead of by callers' requests, until
- * its address accepts connections again. A request whose route cannot do
- * without as many services as have no reachable server is refused before
- * anything is sent; others are sent without these services. This saves the
+ * its address accepts connections again. A request is refused before anything
+ * is sent if more of its services have no reachable server than its route can
+ * do without; other requests are sent without these services. This saves the
  * reachable servers from requests that cannot succeed, and callers from waiting
  * for them. Does no I/O.
  *
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -385,13 +385,13 @@
 	struct slot_queue queue;
 	struct job *running;
 	struct job *fifo; /* first come, first served */
-	int busy;
+	int n_busy;
 };
 
 struct count {
 	int offered;
-	int good;
-	int late;
+	int n_in_time;
+	int n_late;
 	int refused;
 	int n_latencies;
 	int64_t *latencies;
@@ -432,8 +432,8 @@
 	if (!answered) {
 		count->refused++;
 	} else {
-		count->good += latency <= MODEL_DEADLINE;
-		count->late += latency > MODEL_DEADLINE;
+		count->n_in_time += latency <= MODEL_DEADLINE;
+		count->n_late += latency > MODEL_DEADLINE;
 		MEM_GROW(count->latencies, count->n_latencies, count->cap);
 		count->latencies[count->n_latencies++] = latency;
 	}
@@ -483,14 +483,14 @@
 	int64_t now = clock_now(&model->clock);
 	struct job *job;
 
-	while (pool->busy < SLOTS && (job = take_job(model, pool))) {
+	while (pool->n_busy < SLOTS && (job = take_job(model, pool))) {
 		job->item.pushed = now - job->item.pushed; /* queueing time */
 		job->service_time =
 			SERVE_MIN +
 			(int64_t)(unit_random() * (SERVE_MAX - SERVE_MIN));
 		job->ends_at = now + job->service_time;
 		DL_APPEND(pool->running, job);
-		pool->busy++;
+		pool->n_busy++;
 	}
 }
 
@@ -576,7 +576,7 @@
 		if (job->ends_at > now)
 			continue;
 		DL_DELETE(pool->running, job);
-		pool->busy--;
+		pool->n_busy--;
 		slot_queue_served(&pool->queue, job->service_time);
 		leave_entry(model, job, sample);
 		end_job(model, job, true);
@@ -704,8 +704,8 @@
 	double seconds = (double)(MODEL_TIME - WARM_UP) / USEC_PER_SEC;
 
 	return (struct result){
-		.goodput = count->good / seconds / CAPACITY,
-		.answered = 1 - (double)(count->refused + count->late) /
+		.goodput = count->n_in_time / seconds / CAPACITY,
+		.answered = 1 - (double)(count->refused + count->n_late) /
 					count->offered,
 		.p99 = quantile(count, 0.99),
 	};
--- a/tests/test_load_limit.c
+++ b/tests/test_load_limit.c
@@ -45,7 +45,7 @@
 	struct dispatch_limits limits;
 	struct model_server servers[SHARDS * 2];
 	struct rng rng;
-	double refusing; /* fraction refused by the first server of a shard */
+	double refuse_ratio; /* of the first server of a shard */
 	struct dispatch *open[OPEN_MAX];
 	int n_open;
 	bool without_limit;
@@ -72,11 +72,11 @@
 	return (int)(MEAN_WORK_MS * (0.5 + rng_unit(&simulation->rng)) + 0.5);
 }
 
-static bool is_refusing(struct simulation *simulation,
-			const struct model_server *server)
+static bool refuses_request(struct simulation *simulation,
+			    const struct model_server *server)
 {
 	return (server - simulation->servers) % 2 == 0 &&
-	       rng_unit(&simulation->rng) < simulation->refusing;
+	       rng_unit(&simulation->rng) < simulation->refuse_ratio;
 }
 
 static int on_send(void *arg, struct dispatch_send *send, int64_t deadline)
@@ -87,7 +87,7 @@
 	(void)deadline;
 	server_score_sent(&send->server->score, clock_now(&simulation->clock));
 	if (server->n_jobs < JOBS_MAX && !server->crashed &&
-	    !is_refusing(simulation, server))
+	    !refuses_request(simulation, server))
 		server->jobs[server->n_jobs++] =
 			(struct job){send, random_work_ms(simulation)};
 	else
@@ -348,9 +348,9 @@
 	simulate(simulation, 1000, 200);
 	clear_counts(simulation);
 	simulation->without_limit = without_limit;
-	simulation->refusing = 0.5;
+	simulation->refuse_ratio = 0.5;
 	simulate(simulation, 2000, 600);
-	simulation->refusing = 0;
+	simulation->refuse_ratio = 0;
 }
 
 /*
--- a/tests/test_load_share.c
+++ b/tests/test_load_share.c
@@ -17,9 +17,9 @@
 #define MESSAGE_SIZE_MAX 2800 /* bytes */
 #define NETWORK_DELAY MSEC(2)
 #define PATIENCE MSEC(400)
-#define REPEAT_PERIOD MSEC(20)
+#define IMMEDIATE_RETRY_DELAY MSEC(20)
 #define TRIES_MAX 12
-#define REPEATING_RATIO 0.5 /* fraction of the callers */
+#define IMMEDIATE_RETRY_RATIO 0.5 /* fraction of the callers */
 /* Requests that all servers together run at a time. */
 #define SLOTS 6
 
@@ -37,7 +37,7 @@
 };
 
 enum caller_state {
-	CALLER_AWAY, /* waits until @at */
+	CALLER_WAITING, /* waits until @at */
 	CALLER_SENT,
 	CALLER_SERVED,
 	CALLER_LATE,
@@ -46,7 +46,7 @@
 
 struct caller {
 	int kind;
-	bool repeats; /* retries at once, ignoring the retry delay */
+	bool retries_at_once; /* ignores the retry delay */
 	int tries;
 	int refusals;
 	int entry;
@@ -198,12 +198,12 @@
 static void refuse_caller(struct simulation *simulation, struct caller *caller,
 			  int64_t wait)
 {
-	bool too_long = !caller->repeats && wait > PATIENCE;
+	bool too_long = !caller->retries_at_once && wait > PATIENCE;
 
 	caller->refusals++;
-	caller->state = CALLER_AWAY;
+	caller->state = CALLER_WAITING;
 	caller->at = clock_now(&simulation->clock) +
-		     (caller->repeats ? REPEAT_PERIOD : wait);
+		     (caller->retries_at_once ? IMMEDIATE_RETRY_DELAY : wait);
 	if (caller->refusals == TRIES_MAX || too_long)
 		caller->state = CALLER_GAVE_UP;
 }
@@ -317,7 +317,8 @@
 	struct caller *caller = &simulation->callers[simulation->n_callers++];
 
 	caller->kind = kind;
-	caller->repeats = rng_unit(&simulation->rng) < REPEATING_RATIO;
+	caller->retries_at_once =
+		rng_unit(&simulation->rng) < IMMEDIATE_RETRY_RATIO;
 	caller->at = clock_now(&simulation->clock);
 }
 
@@ -339,7 +340,7 @@
 		for (i = 0; i < simulation->n_callers; i++) {
 			struct caller *caller = &simulation->callers[i];
 
-			if (caller->state != CALLER_AWAY ||
+			if (caller->state != CALLER_WAITING ||
 			    caller->at > clock_now(&simulation->clock))
 				continue;
 			/* A random entry, as given by the directory. */
@@ -360,7 +361,7 @@
 };
 
 static void count_callers(const struct simulation *simulation, int kind,
-			  bool repeats, struct caller_counts *counts)
+			  bool retries_at_once, struct caller_counts *counts)
 {
 	int i;
 
@@ -368,7 +369,8 @@
 	for (i = 0; i < simulation->n_callers; i++) {
 		const struct caller *caller = &simulation->callers[i];
 
-		if (caller->kind != kind || caller->repeats != repeats)
+		if (caller->kind != kind ||
+		    caller->retries_at_once != retries_at_once)
 			continue;
 		counts->asked++;
 		counts->served += caller->state == CALLER_SERVED;
@@ -397,12 +399,12 @@
 static void check_kinds(const struct simulation *simulation)
 {
 	struct caller_counts counts;
-	int repeats;
+	int retries_at_once;
 
-	for (repeats = 0; repeats < 2; repeats++) {
-		count_callers(simulation, 0, repeats, &counts);
+	for (retries_at_once = 0; retries_at_once < 2; retries_at_once++) {
+		count_callers(simulation, 0, retries_at_once, &counts);
 		CU_ASSERT(ratio(counts.served, counts.asked) >= 0.95);
-		count_callers(simulation, 1, repeats, &counts);
+		count_callers(simulation, 1, retries_at_once, &counts);
 		CU_ASSERT(ratio(counts.served, counts.asked) >= 0.05);
 	}
 }
@@ -414,15 +416,15 @@
 static void test_overload(void)
 {
 	struct simulation *simulation = simulate_overload(true, 0);
-	struct caller_counts repeating;
+	struct caller_counts impatient;
 	struct caller_counts patient;
 
 	check_kinds(simulation);
 	count_callers(simulation, 1, false, &patient);
-	count_callers(simulation, 1, true, &repeating);
+	count_callers(simulation, 1, true, &impatient);
 	CU_ASSERT(patient.refused_once > 1000);
 	CU_ASSERT(ratio(patient.refusals, patient.refused_once) <= 1.3);
-	CU_ASSERT(ratio(repeating.served, repeating.asked) <=
+	CU_ASSERT(ratio(impatient.served, impatient.asked) <=
 		  ratio(patient.served, patient.asked));
 	CU_ASSERT(simulation->largest <= MESSAGE_SIZE_MAX);
 	simulation_free(simulation);
