--- a/gateway.c
+++ b/gateway.c
@@ -72,12 +72,12 @@
 	retry_share_update(&gateway->retry_share, &retry, &membership,
 			   clock_now(&gateway->clock));
 	gateway->limits.budget = gateway->retry_share.limit;
-	gateway->upstream.limits.share_near =
+	gateway->upstream.limits.share_local =
 		CONNECTIONS_NEAR / gateway_fleet_near_senders(&gateway->fleet);
 	gateway->turns.queues.senders =
 		gateway_fleet_near_senders(&gateway->fleet);
 	gateway->turns.queues.enabled = settings->load_control.turns;
-	gateway->upstream.limits.share_far =
+	gateway->upstream.limits.share_remote =
 		CONNECTIONS_FAR / gateway->retry_share.entries_peak;
 	gateway->registry.shared_pace = settings->load_control.pace;
 }
--- a/gateway.h
+++ b/gateway.h
@@ -41,7 +41,7 @@
  * @parts_missing: number of parts that are not
  */
 struct gateway_names {
-	struct upstream_names upstream;
+	struct upstream_header_names upstream;
 	struct str part_stamps;
 	struct str parts_missing;
 };
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -90,7 +90,7 @@
 {
 	struct gateway_fleet *fleet = arg;
 
-	member_table_greet(&fleet->members.members, link->instance);
+	member_table_probe_now(&fleet->members.members, link->instance);
 	view_share_met(&fleet->views, link->instance);
 }
 
@@ -167,11 +167,11 @@
 static void set_cold_senders(struct gateway_fleet *fleet)
 {
 	const struct view_share *views = &fleet->views;
-	char instances[HUBS_MOST][FLEET_NAME_SIZE];
+	char instances[HUBS_PER_DC_MAX][FLEET_NAME_SIZE];
 	int n = 0;
 	int i;
 
-	for (i = 0; i < views->n_members && n < HUBS_MOST; i++) {
+	for (i = 0; i < views->n_members && n < HUBS_PER_DC_MAX; i++) {
 		if (is_near_hub(fleet, &views->members[i]))
 			memcpy(instances[n++], views->members[i].instance,
 			       FLEET_NAME_SIZE);
@@ -247,7 +247,8 @@
 		entries[i].caller_address = entries[i].peer_address;
 		entries[i].address_only = true;
 	}
-	member_table_seeds(&fleet->members.members, entries, settings->n_seeds);
+	member_table_apply_seeds(&fleet->members.members, entries,
+				 settings->n_seeds);
 }
 
 static void on_beat(void *arg, int64_t lag)
@@ -388,8 +389,8 @@
 	/* From now on it can be asked for its view, and take requests. */
 	for (link = fleet->peers.links; first && link; link = link->next) {
 		if (link->up)
-			member_table_greet(&fleet->members.members,
-					   link->instance);
+			member_table_probe_now(&fleet->members.members,
+					       link->instance);
 	}
 }
 
--- a/gateway_load.c
+++ b/gateway_load.c
@@ -40,7 +40,8 @@
 {
 	(void)arg;
 	LOG_INFO("load_limit_adopted", LOG_TEXT("service", service),
-		 LOG_F64("limit", load->limit), LOG_I64("open", load->in_progress),
+		 LOG_F64("limit", load->limit),
+		 LOG_I64("open", load->in_progress),
 		 LOG_I64("others", view->n_instances),
 		 LOG_I64("others_limited", view->n_limited),
 		 LOG_F64("ratio", view->limit_per_demand));
@@ -60,7 +61,7 @@
 	gateway->load.share.n_others =
 		gateway_fleet_entries(&gateway->fleet) - 1;
 	load_share_receive(&gateway->load.share, link->instance,
-			(const Peer__LoadShare *)frame->message);
+			   (const Peer__LoadShare *)frame->message);
 }
 
 static void on_timer(void *arg)
@@ -102,7 +103,8 @@
 }
 
 const struct route_service *
-gateway_load_target(const struct route *route, const struct scheduled_return *entry)
+gateway_load_target(const struct route *route,
+		    const struct scheduled_return *entry)
 {
 	int i;
 
@@ -187,7 +189,8 @@
 		 LOG_F64("room_us", ask->capacity),
 		 LOG_I64("room_in_us", ask->capacity_in),
 		 LOG_I64("patience_us", ask->patience),
-		 LOG_I64("wait_us", wait), LOG_I64("promised", entry->promised));
+		 LOG_I64("wait_us", wait),
+		 LOG_I64("promised", entry->promised));
 }
 
 int64_t gateway_load_offer(struct gateway_request *request)
@@ -200,19 +203,19 @@
 		.service = str_hash(str_from(dispatch->parts[0].service->name)),
 		.level = dispatch->level,
 		.cost = dispatch->cost,
-		.capacity = dispatch_room(dispatch),
-		.capacity_in = dispatch_room_in(dispatch),
+		.capacity = dispatch_capacity(dispatch),
+		.capacity_in = dispatch_capacity_delay(dispatch),
 		.patience = (dispatch->deadline - now) / PATIENCE_PART,
 	};
 	struct scheduled_return entry;
 	int64_t wait;
 
 	if (!gateway->settings->load_control.returns ||
-	    !dispatch_is_for_load(dispatch) || ask.patience <= 0)
+	    !dispatch_refused_for_load(dispatch) || ask.patience <= 0)
 		return dispatch_retry_after(dispatch);
 	wait = return_schedule_offer(&gateway->load.book, &ask, &entry);
 	metric_inc(entry.promised ? &gateway->counters.return_promised
-			      : &gateway->counters.return_unpromised);
+				  : &gateway->counters.return_unpromised);
 	log_offer(request, &ask, &entry, wait);
 	load_share_add_return(&gateway->load.share, &entry);
 	gateway_load_arm(gateway);
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -94,7 +94,7 @@
 
 static bool is_ours(const struct gateway *gateway, struct str name)
 {
-	const struct upstream_names *names = &gateway->names->upstream;
+	const struct upstream_header_names *names = &gateway->names->upstream;
 
 	return (name.len == names->deadline.len &&
 		!strncasecmp(name.data, names->deadline.data, name.len)) ||
@@ -169,7 +169,8 @@
 		.round_trip = inbound_conn_round_trip(conn),
 	};
 
-	return answer_due_after(&due) - blackboard_stall(&gateway->fleet.board);
+	return answer_due_timeout(&due) -
+	       blackboard_stall(&gateway->fleet.board);
 }
 
 static struct str host_of(const struct http_message *message)
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -132,14 +132,14 @@
 {
 	struct gateway_request *request = arg;
 
-	dispatch_hold(&request->dispatch);
+	dispatch_begin_batch(&request->dispatch);
 }
 
 static void release(void *arg)
 {
 	struct gateway_request *request = arg;
 
-	request->go_on(request, dispatch_release(&request->dispatch));
+	request->go_on(request, dispatch_end_batch(&request->dispatch));
 }
 
 /* Towards the decisions. */
@@ -306,7 +306,8 @@
 
 	LOG_INFO("load_limit_fell", LOG_STR("request", request->request.id),
 		 LOG_TEXT("service", request->dispatch.parts[0].service->name),
-		 LOG_F64("limit", load->limit), LOG_I64("open", load->in_progress),
+		 LOG_F64("limit", load->limit),
+		 LOG_I64("open", load->in_progress),
 		 LOG_I64("parts_in", request->dispatch.n_in),
 		 LOG_I64("parts", request->dispatch.n_parts));
 }
--- a/policy.c
+++ b/policy.c
@@ -271,7 +271,7 @@
 
 	if (!stats)
 		return deadline_us;
-	return hedge_answer_after(&policy->observe, service, stats,
+	return hedge_soft_timeout(&policy->observe, service, stats,
 				  deadline_us);
 }
 
--- a/tests/test_forecast.c
+++ b/tests/test_forecast.c
@@ -223,9 +223,10 @@
 	}
 	qsort(answer_times, (size_t)n, sizeof(*answer_times), cmp_time);
 	if (left_out)
-		latency_add_lag(latency, answer_times[kind->needed - 1] -
-						 forecast_answer_time(
-							 forecast.last_needed));
+		latency_add_forecast_error(
+			latency,
+			answer_times[kind->needed - 1] -
+				forecast_answer_time(forecast.last_needed));
 	return n_in_goal < kind->needed
 		       ? 0
 		       : (double)n_in_goal * n_in_goal / PARTS / PARTS;
