--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -96,9 +96,9 @@
 	double run = dispatch->latency->unloaded * slowness(server, now);
 
 	return (struct forecast_part){
-		.ahead = expected_queue_wait(dispatch, server, now),
-		.run = (int64_t)run,
-		.told_at = server->outlook.levels[level_of(dispatch)].at,
+		.queue_wait = expected_queue_wait(dispatch, server, now),
+		.run_time = (int64_t)run,
+		.reported_at = server->outlook.levels[level_of(dispatch)].at,
 	};
 }
 
@@ -165,9 +165,10 @@
 	forecast_decide(forecast);
 	fail_left_out_parts(dispatch, forecast);
 	dispatch->refused_by_forecast = forecast->refused;
-	dispatch->capacity_delay = forecast->room_in;
-	dispatch->expected_answer_at = clock_now(dispatch->clock) +
-				       forecast_answer_time(forecast->deciding);
+	dispatch->capacity_delay = forecast->capacity_in;
+	dispatch->expected_answer_at =
+		clock_now(dispatch->clock) +
+		forecast_answer_time(forecast->last_needed);
 	if (dispatch->ops->forecast_decided &&
 	    (forecast->refused || forecast->n_left_out))
 		dispatch->ops->forecast_decided(dispatch->arg, forecast);
@@ -257,7 +258,7 @@
 	if (!can_forecast(dispatch) || server->queue || !outlook->pace_at ||
 	    now - outlook->pace_at > REPORT_AGE_MAX)
 		return;
-	added_wait = forecast_server(dispatch, server, now).run / slots;
+	added_wait = forecast_server(dispatch, server, now).run_time / slots;
 	for (i = level_of(dispatch); i < OUTLOOK_LEVELS; i++)
 		server_outlook_told(outlook, i,
 				    server_outlook_ahead(outlook, i, now) +
--- a/entry_net.c
+++ b/entry_net.c
@@ -180,7 +180,7 @@
 	const struct tunables *tunables = blackboard_tunables(net->board);
 	struct admission_tunables values = {
 		.queue_max = tunables->queue_max,
-		.target = tunables->queue_target,
+		.wait_target_ratio = tunables->queue_target,
 		.floor = tunables->priority_floor,
 		.lag_target = MSEC(tunables->loop_lag_ms),
 	};
--- a/gateway_load.c
+++ b/gateway_load.c
@@ -40,10 +40,11 @@
 {
 	(void)arg;
 	LOG_INFO("load_limit_adopted", LOG_TEXT("service", service),
-		 LOG_F64("limit", load->limit), LOG_I64("open", load->open),
-		 LOG_I64("others", view->n),
+		 LOG_F64("limit", load->limit),
+		 LOG_I64("open", load->in_progress),
+		 LOG_I64("others", view->n_instances),
 		 LOG_I64("others_limited", view->n_limited),
-		 LOG_F64("ratio", view->ratio));
+		 LOG_F64("ratio", view->limit_per_demand));
 }
 
 static const struct load_share_ops share_ops = {
@@ -135,7 +136,7 @@
 	if (state == RETURN_EARLY)
 		LOG_INFO("return_early", LOG_STR("request", id),
 			 LOG_I64("level", entry->level),
-			 LOG_I64("promised", entry->kept),
+			 LOG_I64("promised", entry->promised),
 			 LOG_I64("early_ms", early / USEC_PER_MSEC));
 	else
 		LOG_INFO("return_taken", LOG_STR("request", id),
@@ -185,10 +186,11 @@
 	LOG_INFO("return_promised", LOG_STR("request", request->request.id),
 		 LOG_TEXT("service", request->dispatch.parts[0].service->name),
 		 LOG_I64("level", ask->level), LOG_I64("cost_us", ask->cost),
-		 LOG_F64("room_us", ask->room),
-		 LOG_I64("room_in_us", ask->room_in),
+		 LOG_F64("room_us", ask->capacity),
+		 LOG_I64("room_in_us", ask->capacity_in),
 		 LOG_I64("patience_us", ask->patience),
-		 LOG_I64("wait_us", wait), LOG_I64("promised", entry->kept));
+		 LOG_I64("wait_us", wait),
+		 LOG_I64("promised", entry->promised));
 }
 
 int64_t gateway_load_offer(struct gateway_request *request)
@@ -201,8 +203,8 @@
 		.service = str_hash(str_from(dispatch->parts[0].service->name)),
 		.level = dispatch->level,
 		.cost = dispatch->cost,
-		.room = dispatch_capacity(dispatch),
-		.room_in = dispatch_capacity_delay(dispatch),
+		.capacity = dispatch_capacity(dispatch),
+		.capacity_in = dispatch_capacity_delay(dispatch),
 		.patience = (dispatch->deadline - now) / PATIENCE_PART,
 	};
 	struct scheduled_return entry;
@@ -212,8 +214,8 @@
 	    !dispatch_refused_for_load(dispatch) || ask.patience <= 0)
 		return dispatch_retry_after(dispatch);
 	wait = return_schedule_offer(&gateway->load.book, &ask, &entry);
-	metric_inc(entry.kept ? &gateway->counters.return_promised
-			      : &gateway->counters.return_unpromised);
+	metric_inc(entry.promised ? &gateway->counters.return_promised
+				  : &gateway->counters.return_unpromised);
 	log_offer(request, &ask, &entry, wait);
 	load_share_add_return(&gateway->load.share, &entry);
 	gateway_load_arm(gateway);
--- a/gateway_load.h
+++ b/gateway_load.h
@@ -7,7 +7,7 @@
 
 #include "load_share.h"
 #include "peer.h"
-#include "return_book.h"
+#include "return_schedule.h"
 #include "wake_timer.h"
 
 struct gateway;
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -231,7 +231,7 @@
 	CU_ASSERT(world.n_sent == 0);
 	CU_ASSERT(world.dispatch.code == ERR_OVERLOAD);
 	CU_ASSERT(dispatch_retry_after(&world.dispatch) == 100);
-	CU_ASSERT(load->open == 2);
+	CU_ASSERT(load->in_progress == 2);
 	world_finish(&world);
 }
 
--- a/tests/test_outage.c
+++ b/tests/test_outage.c
@@ -6,15 +6,15 @@
 
 #define START MSEC(1000000)
 
-/* A service of two servers, and whether anybody listens at their addresses. */
-struct world {
+/* A service of two servers, whose addresses accept connections or not. */
+struct simulation {
 	struct clock clock;
 	struct registry registry;
 	struct outage outage;
-	bool listens;
-	int64_t answers_after; /* of a check; negative: never */
+	bool is_listening;
+	int64_t check_duration; /* microseconds; negative: no result */
 	struct outage_server *checks[64];
-	int64_t ends[64];
+	int64_t check_ends[64];
 	int n_checks;
 	int n_ended;
 	int n_changes;
@@ -25,23 +25,23 @@
 static void on_check(void *arg, struct registry_server *server,
 		     struct outage_server *check)
 {
-	struct world *world = arg;
+	struct simulation *simulation = arg;
 
 	(void)server;
-	world->checks[world->n_checks] = check;
-	world->ends[world->n_checks++] =
-		clock_now(&world->clock) + world->answers_after;
+	simulation->checks[simulation->n_checks] = check;
+	simulation->check_ends[simulation->n_checks++] =
+		clock_now(&simulation->clock) + simulation->check_duration;
 }
 
 static void on_changed(void *arg, const struct registry_server *server,
 		       bool lost, int64_t lost_for)
 {
-	struct world *world = arg;
+	struct simulation *simulation = arg;
 
 	(void)server;
 	(void)lost;
 	(void)lost_for;
-	world->n_changes++;
+	simulation->n_changes++;
 }
 
 static const struct outage_ops ops = {
@@ -55,238 +55,241 @@
 	(void)server;
 }
 
-static void add_server(struct world *world, const char *id)
+static void add_server(struct simulation *simulation, const char *id)
 {
 	struct server_entry entry = {.slots = 2};
 
 	snprintf(entry.id, sizeof(entry.id), "%s", id);
 	snprintf(entry.service, sizeof(entry.service), "s");
-	registry_put(&world->registry, &entry, 1);
+	registry_put(&simulation->registry, &entry, 1);
 }
 
-static void world_init(struct world *world)
+static void simulation_init(struct simulation *simulation)
 {
-	memset(world, 0, sizeof(*world));
-	clock_init_paused(&world->clock, START);
-	registry_init(&world->registry, STR("dc"), on_closing, NULL);
-	outage_init(&world->outage, &world->clock, &ops, world);
-	add_server(world, "a");
-	add_server(world, "b");
+	memset(simulation, 0, sizeof(*simulation));
+	clock_init_paused(&simulation->clock, START);
+	registry_init(&simulation->registry, STR("dc"), on_closing, NULL);
+	outage_init(&simulation->outage, &simulation->clock, &ops, simulation);
+	add_server(simulation, "a");
+	add_server(simulation, "b");
 }
 
-static void world_finish(struct world *world)
+static void simulation_finish(struct simulation *simulation)
 {
-	outage_finish(&world->outage);
-	registry_finish(&world->registry);
+	outage_finish(&simulation->outage);
+	registry_finish(&simulation->registry);
 }
 
-static void result(struct world *world, const char *id,
-		   enum server_result result)
+static void report_result(struct simulation *simulation, const char *id,
+			  enum server_result result)
 {
 	struct registry_server *server =
-		registry_find(&world->registry, str_from(id));
-	int64_t now = clock_now(&world->clock);
+		registry_find(&simulation->registry, str_from(id));
+	int64_t now = clock_now(&simulation->clock);
 
 	server_score_sent(&server->score, now);
 	server_score_result(&server->score, result, 0, now);
 }
 
-static bool hits(struct world *world)
+static bool is_affected(struct simulation *simulation)
 {
 	int64_t since;
 
-	return outage_affects(&world->outage,
-			      registry_service(&world->registry, STR("s")),
+	return outage_affects(&simulation->outage,
+			      registry_service(&simulation->registry, STR("s")),
 			      &since);
 }
 
-static void lose_all(struct world *world)
+static void fail_all(struct simulation *simulation)
 {
-	result(world, "a", SERVER_UNREACHABLE);
-	result(world, "a", SERVER_UNREACHABLE);
-	result(world, "b", SERVER_UNREACHABLE);
-	result(world, "b", SERVER_UNREACHABLE);
+	report_result(simulation, "a", SERVER_UNREACHABLE);
+	report_result(simulation, "a", SERVER_UNREACHABLE);
+	report_result(simulation, "b", SERVER_UNREACHABLE);
+	report_result(simulation, "b", SERVER_UNREACHABLE);
 }
 
-/* A request a millisecond, and checks that end when the world says so. */
-static void play(struct world *world, int64_t ms)
+/* One request per millisecond; checks end after check_duration. */
+static void simulate(struct simulation *simulation, int64_t ms)
 {
 	for (; ms > 0; ms--) {
-		hits(world);
-		while (world->n_ended < world->n_checks &&
-		       world->answers_after >= 0 &&
-		       world->ends[world->n_ended] <= clock_now(&world->clock))
-			outage_check_done(&world->outage,
-					  world->checks[world->n_ended++],
-					  world->listens);
-		if (outage_due(&world->outage) <= clock_now(&world->clock))
-			outage_tick(&world->outage);
-		clock_advance(&world->clock, MSEC(1));
+		is_affected(simulation);
+		while (simulation->n_ended < simulation->n_checks &&
+		       simulation->check_duration >= 0 &&
+		       simulation->check_ends[simulation->n_ended] <=
+			       clock_now(&simulation->clock))
+			outage_check_done(
+				&simulation->outage,
+				simulation->checks[simulation->n_ended++],
+				simulation->is_listening);
+		if (outage_due(&simulation->outage) <=
+		    clock_now(&simulation->clock))
+			outage_tick(&simulation->outage);
+		clock_advance(&simulation->clock, MSEC(1));
 	}
 }
 
 /*
- * One packet to each server is lost, or one connection too many is refused. The
- * shard lives, and must not be left out of callers' answers for that.
+ * Guards against taking a shard for lost after one failed connection to each of
+ * its servers, caused by a lost packet or too many connections.
  */
 static void test_one_failure_is_no_outage(void)
 {
-	struct world world;
-
-	world_init(&world);
-	result(&world, "a", SERVER_UNREACHABLE);
-	result(&world, "b", SERVER_UNREACHABLE);
-	CU_ASSERT(!hits(&world));
-	result(&world, "a", SERVER_ANSWERED);
-	result(&world, "a", SERVER_UNREACHABLE);
-	result(&world, "b", SERVER_UNREACHABLE);
-	CU_ASSERT(!hits(&world));
-	CU_ASSERT(!world.n_changes);
-	world_finish(&world);
+	struct simulation simulation;
+
+	simulation_init(&simulation);
+	report_result(&simulation, "a", SERVER_UNREACHABLE);
+	report_result(&simulation, "b", SERVER_UNREACHABLE);
+	CU_ASSERT(!is_affected(&simulation));
+	report_result(&simulation, "a", SERVER_ANSWERED);
+	report_result(&simulation, "a", SERVER_UNREACHABLE);
+	report_result(&simulation, "b", SERVER_UNREACHABLE);
+	CU_ASSERT(!is_affected(&simulation));
+	CU_ASSERT(!simulation.n_changes);
+	simulation_finish(&simulation);
 }
 
 /*
- * One of two servers crashed. A request that found out is answered by the other
- * one; the next ones must not each try the dead one first. One failed check
- * more, and it is left alone until it listens.
+ * Guards against requests that each try a crashed server first, although the
+ * other one of the shard works. After one more failed check, the crashed server
+ * gets no requests until it accepts connections.
  */
 static void test_checked_not_tried(void)
 {
-	struct world world;
+	struct simulation simulation;
 	struct registry_service *service;
 	int64_t now;
 
-	world_init(&world);
-	service = registry_service(&world.registry, STR("s"));
-	result(&world, "a", SERVER_UNREACHABLE);
-	CU_ASSERT(!hits(&world));
-	play(&world, 60);
-	now = clock_now(&world.clock) + MSEC(10000);
-	result(&world, "b", SERVER_SILENT);
+	simulation_init(&simulation);
+	service = registry_service(&simulation.registry, STR("s"));
+	report_result(&simulation, "a", SERVER_UNREACHABLE);
+	CU_ASSERT(!is_affected(&simulation));
+	simulate(&simulation, 60);
+	now = clock_now(&simulation.clock) + MSEC(10000);
+	report_result(&simulation, "b", SERVER_SILENT);
 	CU_ASSERT(registry_pick(service, &anywhere, now) ==
-		  registry_find(&world.registry, STR("b")));
-	world.listens = true;
-	play(&world, 60);
-	result(&world, "b", SERVER_UNREACHABLE);
-	result(&world, "b", SERVER_UNREACHABLE);
+		  registry_find(&simulation.registry, STR("b")));
+	simulation.is_listening = true;
+	simulate(&simulation, 60);
+	report_result(&simulation, "b", SERVER_UNREACHABLE);
+	report_result(&simulation, "b", SERVER_UNREACHABLE);
 	CU_ASSERT(registry_pick(service, &anywhere, now) ==
-		  registry_find(&world.registry, STR("a")));
-	world_finish(&world);
+		  registry_find(&simulation.registry, STR("a")));
+	simulation_finish(&simulation);
 }
 
-/* A server that refuses for load lives; one that is silent may be paused. */
+/* Refusals for load and silent servers, maybe paused, are no outage. */
 static void test_refusal_and_silence(void)
 {
-	struct world world;
-
-	world_init(&world);
-	lose_all(&world);
-	CU_ASSERT(hits(&world));
-	result(&world, "b", SERVER_REFUSED);
-	CU_ASSERT(!hits(&world));
-	result(&world, "b", SERVER_SILENT);
-	result(&world, "b", SERVER_SILENT);
-	CU_ASSERT(!hits(&world));
-	world_finish(&world);
+	struct simulation simulation;
+
+	simulation_init(&simulation);
+	fail_all(&simulation);
+	CU_ASSERT(is_affected(&simulation));
+	report_result(&simulation, "b", SERVER_REFUSED);
+	CU_ASSERT(!is_affected(&simulation));
+	report_result(&simulation, "b", SERVER_SILENT);
+	report_result(&simulation, "b", SERVER_SILENT);
+	CU_ASSERT(!is_affected(&simulation));
+	simulation_finish(&simulation);
 }
 
 /*
- * Both servers of a shard are down for 3 s and refuse connections. Requests
- * come all the while. Once one is back, requests go there within 60 ms, and
- * until then each server saw no more than 20 connections a second.
+ * Guards against a slow return and a flood of checks: both servers of a shard
+ * are down and refuse connections while requests arrive. Once they accept
+ * connections, requests are sent within 60 ms; until then each server gets no
+ * more than 20 connections a second.
  */
 static void test_back_within_60_ms(void)
 {
-	struct world world;
+	struct simulation simulation;
 	int ms;
 
-	world_init(&world);
-	lose_all(&world);
-	CU_ASSERT(hits(&world));
+	simulation_init(&simulation);
+	fail_all(&simulation);
+	CU_ASSERT(is_affected(&simulation));
 	for (ms = 0; ms < 600; ms += 100) {
-		play(&world, 100);
-		CU_ASSERT(world.n_checks <= 2 * (ms + 100) / 50 + 2);
+		simulate(&simulation, 100);
+		CU_ASSERT(simulation.n_checks <= 2 * (ms + 100) / 50 + 2);
 	}
-	CU_ASSERT(hits(&world));
-	world.listens = true;
-	for (ms = 0; hits(&world) && ms < 1000; ms++)
-		play(&world, 1);
+	CU_ASSERT(is_affected(&simulation));
+	simulation.is_listening = true;
+	for (ms = 0; is_affected(&simulation) && ms < 1000; ms++)
+		simulate(&simulation, 1);
 	CU_ASSERT(ms <= 60);
-	CU_ASSERT(world.n_changes >= 2);
-	world_finish(&world);
+	CU_ASSERT(simulation.n_changes >= 2);
+	simulation_finish(&simulation);
 }
 
 /*
- * The servers lost power: packets to them get no answer, and a check ends after
- * 250 ms. Others are started meanwhile, so that their return is seen as soon,
- * but no more than five are open at a time.
+ * Guards against late detection and a pile of open checks where servers lost
+ * power: packets get no answer and a check ends after 250 ms. Further checks
+ * start meanwhile, but no more than five are open at a time.
  */
 static void test_no_answer(void)
 {
-	struct world world;
-
-	world_init(&world);
-	world.answers_after = -1;
-	lose_all(&world);
-	play(&world, 1000);
-	CU_ASSERT(world.n_checks == 10);
-	world_finish(&world);
+	struct simulation simulation;
+
+	simulation_init(&simulation);
+	simulation.check_duration = -1;
+	fail_all(&simulation);
+	simulate(&simulation, 1000);
+	CU_ASSERT(simulation.n_checks == 10);
+	simulation_finish(&simulation);
 }
 
-/* The last request for the shard was long ago: nobody needs the checks. */
+/* Checks stop some time after the last request for the service. */
 static void test_nobody_asks(void)
 {
-	struct world world;
+	struct simulation simulation;
 	int n;
 
-	world_init(&world);
-	lose_all(&world);
-	play(&world, 200);
-	clock_advance(&world.clock, MSEC(2100));
-	n = world.n_checks;
-	outage_tick(&world.outage);
-	CU_ASSERT(world.n_checks == n);
-	/* And they begin anew with the next request. */
-	play(&world, 100);
-	CU_ASSERT(world.n_checks > n);
-	world_finish(&world);
+	simulation_init(&simulation);
+	fail_all(&simulation);
+	simulate(&simulation, 200);
+	clock_advance(&simulation.clock, MSEC(2100));
+	n = simulation.n_checks;
+	outage_tick(&simulation.outage);
+	CU_ASSERT(simulation.n_checks == n);
+	/* They start again with the next request. */
+	simulate(&simulation, 100);
+	CU_ASSERT(simulation.n_checks > n);
+	simulation_finish(&simulation);
 }
 
-/* What is published counts too: a service may have no server at all. */
+/* A service without any published server is affected, too. */
 static void test_no_server(void)
 {
-	struct world world;
-
-	world_init(&world);
-	result(&world, "a", SERVER_UNREACHABLE);
-	result(&world, "a", SERVER_UNREACHABLE);
-	CU_ASSERT(!hits(&world));
-	registry_remove(&world.registry, STR("b"), 2);
-	CU_ASSERT(hits(&world));
-	registry_remove(&world.registry, STR("a"), 3);
-	CU_ASSERT(hits(&world));
-	add_server(&world, "c");
-	CU_ASSERT(!hits(&world));
-	world_finish(&world);
+	struct simulation simulation;
+
+	simulation_init(&simulation);
+	report_result(&simulation, "a", SERVER_UNREACHABLE);
+	report_result(&simulation, "a", SERVER_UNREACHABLE);
+	CU_ASSERT(!is_affected(&simulation));
+	registry_remove(&simulation.registry, STR("b"), 2);
+	CU_ASSERT(is_affected(&simulation));
+	registry_remove(&simulation.registry, STR("a"), 3);
+	CU_ASSERT(is_affected(&simulation));
+	add_server(&simulation, "c");
+	CU_ASSERT(!is_affected(&simulation));
+	simulation_finish(&simulation);
 }
 
 /*
- * An outage of unknown length: told to come back at once, callers would come in
- * vain again and again; told to come back in a minute, they would stay away
- * long after a restart of two seconds.
+ * Guards against retry delays that are too short, so that callers are refused
+ * again and again, or so long that they stay away after a restart of 2 s.
  */
 static void test_retry_after(void)
 {
-	struct world world;
+	struct simulation simulation;
 	int64_t since = START - MSEC(700);
 
-	world_init(&world);
-	CU_ASSERT(outage_retry_after(&world.outage, since) == 700);
-	CU_ASSERT(outage_retry_after(&world.outage, START) == 100);
-	CU_ASSERT(outage_retry_after(&world.outage, 0) == 100);
-	CU_ASSERT(outage_retry_after(&world.outage, START - MSEC(60000)) ==
+	simulation_init(&simulation);
+	CU_ASSERT(outage_retry_after(&simulation.outage, since) == 700);
+	CU_ASSERT(outage_retry_after(&simulation.outage, START) == 100);
+	CU_ASSERT(outage_retry_after(&simulation.outage, 0) == 100);
+	CU_ASSERT(outage_retry_after(&simulation.outage, START - MSEC(60000)) ==
 		  5000);
-	world_finish(&world);
+	simulation_finish(&simulation);
 }
 
 static const struct unit_test tests[] = {
--- a/warmup.c
+++ b/warmup.c
@@ -3,16 +3,16 @@
 #include <string.h>
 
 /*
- * The bound holds in any second. A send may wait for its connection, up to
- * 250 ms, so that two of them may arrive so much closer than they were counted.
+ * The limit applies to any second. A send may wait up to 250 ms for its
+ * connection, so that two may arrive closer together than they were counted.
  */
-#define WINDOW MSEC(1300)
+#define SEND_WINDOW MSEC(1300)
 /*
- * A hub that is not known to live any more may be cut off and still send. It
- * keeps its place for so long, longer than a cut lasts that is not taken for
- * its end; its part of the bound is lost meanwhile.
+ * A hub that seems dead may be partitioned and still send. It keeps its rank
+ * for this time, longer than any partition that is not taken for the end of the
+ * hub. Its fraction of the limit is unused meanwhile.
  */
-#define SENDER_KEPT MSEC(30000)
+#define SENDER_MEMORY MSEC(30000)
 
 int warmup_bound(double per_s, double overrun, double slack)
 {
@@ -46,7 +46,7 @@
 	return NULL;
 }
 
-/* Where there is no room the one goes that was seen longest ago. */
+/* If there is no room, replaces the hub seen least recently. */
 static struct warmup_sender *add(struct warmup *warmup, const char *instance)
 {
 	struct warmup_sender *sender = &warmup->senders[0];
@@ -91,32 +91,32 @@
 	return str_hash_mix(str_hash(server), str_hash(str_from(instance)));
 }
 
-static bool is_kept(const struct warmup *warmup,
-		    const struct warmup_sender *sender)
+static bool is_remembered(const struct warmup *warmup,
+			  const struct warmup_sender *sender)
 {
 	return sender->alive ||
-	       clock_now(warmup->clock) - sender->seen_at < SENDER_KEPT;
+	       clock_now(warmup->clock) - sender->seen_at < SENDER_MEMORY;
 }
 
 const char *warmup_sender(const struct warmup *warmup, struct str server)
 {
-	const struct warmup_sender *best = NULL;
-	uint64_t least = 0;
+	const struct warmup_sender *first = NULL;
+	uint64_t lowest_hash = 0;
 	int i;
 
 	for (i = 0; i < warmup->n; i++) {
 		const struct warmup_sender *sender = &warmup->senders[i];
-		uint64_t score = warmup_hash(server, sender->instance);
+		uint64_t hash = warmup_hash(server, sender->instance);
 
-		if (!sender->alive || (best && score >= least))
+		if (!sender->alive || (first && hash >= lowest_hash))
 			continue;
-		least = score;
-		best = sender;
+		lowest_hash = hash;
+		first = sender;
 	}
-	return best ? best->instance : NULL;
+	return first ? first->instance : NULL;
 }
 
-/* Those that are before this instance, dead or not. */
+/* Number of hubs that rank before this instance, dead or alive. */
 static int rank_of(const struct warmup *warmup, struct str server)
 {
 	uint64_t own = warmup_hash(server, warmup->instance);
@@ -126,7 +126,7 @@
 	for (i = 0; i < warmup->n; i++) {
 		const struct warmup_sender *sender = &warmup->senders[i];
 
-		if (is_kept(warmup, sender) &&
+		if (is_remembered(warmup, sender) &&
 		    warmup_hash(server, sender->instance) < own)
 			rank++;
 	}
@@ -142,7 +142,7 @@
 	uint64_t share;
 
 	if (!sender || strcmp(sender, warmup->instance) ||
-	    now - warmup->started_at < WINDOW)
+	    now - warmup->started_at < SEND_WINDOW)
 		return false;
 	share = (uint64_t)limit->bound >> (1 + rank_of(warmup, server));
 	if (share > WARMUP_SENDS_MAX)
@@ -150,7 +150,8 @@
 	if (!share)
 		return false;
 	if (sends->n >= share &&
-	    now - sends->at[(sends->n - share) % WARMUP_SENDS_MAX] < WINDOW)
+	    now - sends->at[(sends->n - share) % WARMUP_SENDS_MAX] <
+		    SEND_WINDOW)
 		return false;
 	sends->at[sends->n++ % WARMUP_SENDS_MAX] = now;
 	return true;
