--- a/gateway_send.c
+++ b/gateway_send.c
@@ -105,8 +105,9 @@
 		answer.success = status / 100 == 2;
 		if (!request->route->sharded) {
 			/* Other answers below 500 are the service's own. */
-			answer.success = status < 500 &&
-					 !gateway_promises_not_run(status);
+			answer.success =
+				status < 500 &&
+				!gateway_status_implies_not_run(status);
 			keep_answer(request, result->message);
 		}
 	}
@@ -318,8 +319,8 @@
 	.is_queued = waits,
 	.sent = decided,
 	.limit_lowered = limited,
-	.forecast_decided = gateway_foreseen,
-	.send_suppressed = gateway_kept_back,
+	.forecast_decided = gateway_report_forecast,
+	.send_suppressed = gateway_report_resend_left_out,
 };
 
 /*
