--- a/gateway.c
+++ b/gateway.c
@@ -16,23 +16,23 @@
 #include "store_schedule.h"
 
 /*
- * Told to stop, an instance is out of the directory at once and still serves
- * callers that keep older answers. So long before it would be killed, it closes
- * the connections that have no request.
+ * On shutdown an instance leaves the directory at once, but keeps serving
+ * callers that cache older directory answers. It closes idle connections this
+ * long before it would be killed.
  */
-#define CLOSE_BEFORE MSEC(2000)
-/* And so long before, it ends whatever is still open. */
-#define END_BEFORE MSEC(400)
-#define STOP_CHECK MSEC(50)
-/* An instance of so many cores reads the store at once when it starts. */
-#define JOIN_AT_ONCE 0.25
+#define CLOSE_IDLE_LEAD MSEC(2000)
+/* It exits this long before it would be killed, even with open requests. */
+#define EXIT_LEAD MSEC(400)
+#define STOP_CHECK_PERIOD MSEC(50)
+/* Instances with at least this many cores read the store at startup. */
+#define NO_JOIN_DELAY_CORES 0.25
 /*
- * Of the connections a server accepts: those of the instances in its own data
- * centre, which relay for all, and those of the others, which ask it directly
- * while there is no relay.
+ * Shares of the connections that a server accepts: for the instances of its
+ * own data centre, which also relay for the others, and for the instances of
+ * other data centres, which connect directly while no relay is available.
  */
-#define CONNECTIONS_NEAR 0.5
-#define CONNECTIONS_FAR 0.45
+#define LOCAL_CONNECTIONS_SHARE 0.5
+#define REMOTE_CONNECTIONS_SHARE 0.45
 
 bool gateway_ready(const struct gateway *gateway)
 {
@@ -40,9 +40,9 @@
 	       store_sync_ready(&gateway->sync);
 }
 
-/* Towards the store. */
+/* Store. */
 
-static void arm_store(struct gateway *gateway)
+static void arm_store_timer(struct gateway *gateway)
 {
 	wake_timer_move(&gateway->store_timer, store_sync_due(&gateway->sync));
 }
@@ -52,7 +52,7 @@
 	struct gateway *gateway = arg;
 
 	store_sync_tick(&gateway->sync);
-	arm_store(gateway);
+	arm_store_timer(gateway);
 }
 
 static void set_limits(struct gateway *gateway)
@@ -64,7 +64,7 @@
 		.window = (int64_t)(settings->retry_window_s * USEC_PER_SEC),
 	};
 	const struct retry_membership membership = {
-		.entries = gateway_fleet_entries(&gateway->fleet),
+		.entries = gateway_fleet_count_entries(&gateway->fleet),
 		.members = gateway->fleet.views.n_members,
 		.is_entry = gateway_fleet_is_entry(&gateway->fleet),
 	};
@@ -73,12 +73,13 @@
 			   clock_now(&gateway->clock));
 	gateway->limits.budget = gateway->retry_share.limit;
 	gateway->upstream.limits.share_near =
-		CONNECTIONS_NEAR / gateway_fleet_near_senders(&gateway->fleet);
-	gateway->turns.queues.senders =
-		gateway_fleet_near_senders(&gateway->fleet);
-	gateway->turns.queues.enabled = settings->load_control.turns;
+		LOCAL_CONNECTIONS_SHARE /
+		gateway_fleet_count_local_senders(&gateway->fleet);
+	gateway->server_queues.queues.senders =
+		gateway_fleet_count_local_senders(&gateway->fleet);
+	gateway->server_queues.queues.enabled = settings->load_control.turns;
 	gateway->upstream.limits.share_far =
-		CONNECTIONS_FAR / gateway->retry_share.entries_peak;
+		REMOTE_CONNECTIONS_SHARE / gateway->retry_share.entries_peak;
 	gateway->registry.shared_pace = settings->load_control.pace;
 }
 
@@ -87,7 +88,7 @@
 	struct gateway *gateway = arg;
 
 	set_limits(gateway);
-	arm_store(gateway);
+	arm_store_timer(gateway);
 }
 
 static void set_warmup_limits(struct gateway *gateway)
@@ -112,15 +113,15 @@
 	}
 }
 
-void gateway_reloaded(struct gateway *gateway)
+void gateway_apply_settings(struct gateway *gateway)
 {
 	set_limits(gateway);
 	if (gateway->sync.routes)
 		set_warmup_limits(gateway);
-	gateway_fleet_seeds(&gateway->fleet);
+	gateway_fleet_update_seeds(&gateway->fleet);
 }
 
-/* Routes or servers may have changed. */
+/* Called after routes or servers may have changed. */
 static void on_view_changed(void *arg, bool was_ready)
 {
 	struct gateway *gateway = arg;
@@ -133,7 +134,7 @@
 				 (int64_t)HASH_COUNT(
 					 gateway->registry.servers)));
 	set_limits(gateway);
-	arm_store(gateway);
+	arm_store_timer(gateway);
 }
 
 static void on_store_answer(void *arg, enum store_topic topic,
@@ -162,7 +163,7 @@
 
 	inbound_set_limits(&gateway->inbound, &gateway->sync.routes->limits);
 	set_warmup_limits(gateway);
-	gateway_fleet_routes(&gateway->fleet);
+	gateway_fleet_routes_changed(&gateway->fleet);
 }
 
 static void on_server(void *arg, const char *id, uint64_t changed_at,
@@ -184,34 +185,35 @@
 	struct gateway *gateway = arg;
 
 	upstream_close_idle(server);
-	server_queue_close(&gateway->turns.queues, server);
+	server_queue_close(&gateway->server_queues.queues, server);
 }
 
-/* Stopping. */
+/* Shutdown. */
 
 static void on_stop_timer(evutil_socket_t fd, short what, void *arg)
 {
 	struct gateway *gateway = arg;
-	int64_t most = (int64_t)(gateway->settings->stop_max_s * USEC_PER_SEC);
+	int64_t stop_max =
+		(int64_t)(gateway->settings->stop_max_s * USEC_PER_SEC);
 	int64_t elapsed = clock_now(&gateway->clock) - gateway->leaving_since;
 	int busy;
 
 	(void)fd;
 	(void)what;
-	if (elapsed < most - CLOSE_BEFORE)
+	if (elapsed < stop_max - CLOSE_IDLE_LEAD)
 		return;
 	gateway->state = GATEWAY_CLOSING;
 	busy = inbound_close_idle(&gateway->inbound);
-	if (!gateway->inbound.n || elapsed >= most - END_BEFORE) {
+	if (!gateway->inbound.n || elapsed >= stop_max - EXIT_LEAD) {
 		LOG_INFO("stopping", LOG_I64("busy", busy),
 			 LOG_I64("after_us", elapsed));
 		event_base_loopexit(gateway->base, NULL);
 	}
 }
 
-void gateway_leave(struct gateway *gateway)
+void gateway_shut_down(struct gateway *gateway)
 {
-	const struct timeval period = {0, STOP_CHECK};
+	const struct timeval period = {0, STOP_CHECK_PERIOD};
 
 	if (gateway->state != GATEWAY_SERVING)
 		return;
@@ -234,19 +236,19 @@
 	.members_changed = on_members_changed,
 };
 
-static bool is_relay(void *arg, const struct fleet_member *member)
+static bool is_usable_relay(void *arg, const struct fleet_member *member)
 {
 	const struct gateway *gateway = arg;
 
 	return gateway_fleet_is_ready(&gateway->fleet, member);
 }
 
-static int start_fleet(struct gateway *gateway)
+static int init_fleet(struct gateway *gateway)
 {
 	const struct gateway_fleet_config config = {
 		.base = gateway->base,
 		.clock = &gateway->clock,
-		.from = gateway->settings,
+		.settings = gateway->settings,
 		.sync = &gateway->sync,
 		.ops = &fleet_ops,
 		.arg = gateway,
@@ -256,18 +258,18 @@
 }
 
 /*
- * Where many start at once, small instances wait a little for what the others
- * tell: callers are sent to the larger ones, and seeds are asked by all, so
- * that these read the store at once. Who takes callers does not wait: they
- * would be refused meanwhile.
+ * Delays the first store read of small instances by a random time, so that an
+ * instance that starts together with many others can get the data from them.
+ * Larger instances and seeds read at once: callers are sent to the former and
+ * would be refused meanwhile, and all instances ask the latter.
  */
-static void join_fleet(struct gateway *gateway)
+static void schedule_join(struct gateway *gateway)
 {
 	const struct gateway_settings *settings = gateway->settings;
-	uint16_t draw;
+	uint16_t random_value;
 	int i;
 
-	if (settings->cpu_quota >= JOIN_AT_ONCE)
+	if (settings->cpu_quota >= NO_JOIN_DELAY_CORES)
 		return;
 
 	for (i = 0; i < settings->n_seeds; i++) {
@@ -276,13 +278,13 @@
 	}
 	if (!settings->n_seeds)
 		return;
-	evutil_secure_rng_get_bytes(&draw, sizeof(draw));
-	store_schedule_joins(&gateway->sync, (double)draw / UINT16_MAX);
+	evutil_secure_rng_get_bytes(&random_value, sizeof(random_value));
+	store_schedule_joins(&gateway->sync, (double)random_value / UINT16_MAX);
 }
 
 int gateway_init(struct gateway *gateway, struct event_base *base,
 		 const struct gateway_settings *settings,
-		 const struct gateway_names *names,
+		 const struct gateway_header_names *names,
 		 const struct store_ops *store)
 {
 	int ret;
@@ -299,7 +301,7 @@
 	gateway->registry.regions = &settings->regions;
 	upstream_init(&gateway->upstream, base, &gateway->clock,
 		      &names->upstream);
-	server_queue_net_init(&gateway->turns, base, &gateway->upstream,
+	server_queue_net_init(&gateway->server_queues, base, &gateway->upstream,
 			      &gateway->fleet.board.poison, &gateway->counters);
 	gateway_outage_init(gateway);
 	gateway->limits.control = &settings->load_control;
@@ -320,19 +322,19 @@
 		event_new(base, -1, EV_PERSIST, on_stop_timer, gateway);
 	wake_timer_init(&gateway->store_timer, base, &gateway->clock,
 			on_store_timer, gateway);
-	ret = start_fleet(gateway);
+	ret = init_fleet(gateway);
 	if (ret)
 		return ret;
 	gateway_load_init(gateway);
 	gateway_second_sends_init(gateway);
 	gateway->upstream.limits.warmup = &gateway->fleet.warmup;
-	join_fleet(gateway);
+	schedule_join(gateway);
 	relay_ask_init(&gateway->relay_ask, &gateway->fleet.board,
-		       &gateway->fleet.peers, &gateway->registry, is_relay,
-		       gateway);
+		       &gateway->fleet.peers, &gateway->registry,
+		       is_usable_relay, gateway);
 	relay_serve_init(&gateway->relay_serve, &gateway->fleet.board,
 			 &gateway->fleet.peers, &gateway->registry,
-			 &gateway->turns.queues);
+			 &gateway->server_queues.queues);
 	on_store_timer(gateway);
 	return 0;
 }
@@ -342,7 +344,7 @@
 	struct route_stats *stats;
 	struct route_stats *next;
 
-	gateway_request_drop_all(gateway);
+	gateway_request_free_all(gateway);
 	relay_serve_finish(&gateway->relay_serve);
 	relay_ask_finish(&gateway->relay_ask);
 	upstream_finish(&gateway->upstream);
@@ -356,9 +358,9 @@
 	wake_timer_finish(&gateway->store_timer);
 	event_free(gateway->stop_timer);
 	registry_finish(&gateway->registry);
-	server_queue_net_finish(&gateway->turns);
-	HASH_ITER (hh, gateway->stats, stats, next) {
-		HASH_DEL(gateway->stats, stats);
+	server_queue_net_finish(&gateway->server_queues);
+	HASH_ITER (hh, gateway->route_stats, stats, next) {
+		HASH_DEL(gateway->route_stats, stats);
 		free(stats);
 	}
 }
--- a/gateway.h
+++ b/gateway.h
@@ -1,7 +1,7 @@
 /*
- * A gateway instance: takes callers' requests, finds their route, has them
- * dispatched to backend servers, and answers. Requests and answers are opaque
- * here; of sharded ones the records are merged.
+ * A gateway instance: accepts callers' requests, matches them to a route,
+ * dispatches them to backend servers and returns the answers. Requests and
+ * answers are opaque, except that the records of sharded answers are merged.
  */
 #ifndef GATEWAY_H
 #define GATEWAY_H
@@ -36,50 +36,73 @@
 struct gateway_request;
 
 /**
- * struct gateway_names - headers that callers and backend servers understand
- * @part_stamps: signatures of the parts that are in an answer
- * @parts_missing: number of parts that are not
+ * struct gateway_header_names - headers used by callers and backend servers
+ * @upstream: headers exchanged with backend servers
+ * @part_stamps: header with the signatures of the parts in an answer
+ * @parts_missing: header with the number of missing parts
  */
-struct gateway_names {
+struct gateway_header_names {
 	struct upstream_names upstream;
 	struct str part_stamps;
 	struct str parts_missing;
 };
 
 /**
- * struct route_stats - what is known of a route's requests, kept over versions
- * @name: of the route
- * @patience: the longest that callers say they will wait, milliseconds
+ * struct route_stats - statistics of a route, kept when its version changes
+ * @name: name of the route, or its prefix if it has no name
+ * @latency: latencies of the route's requests, for hedging and forecasts
+ * @caller_timeout: recent maximum of the timeouts sent by callers,
+ *	milliseconds
  */
 struct route_stats {
 	char name[REGISTRY_NAME_SIZE];
 	struct latency latency;
-	struct peak patience;
+	struct peak caller_timeout;
 	UT_hash_handle hh;
 };
 
 enum gateway_state {
 	GATEWAY_SERVING,
-	GATEWAY_LEAVING, /* out of the directory, still serving */
-	GATEWAY_CLOSING, /* connections without a request are closed */
+	GATEWAY_LEAVING, /* removed from the directory, still serving */
+	GATEWAY_CLOSING, /* closing connections that have no request */
 };
 
 /**
- * struct gateway - one instance
+ * struct gateway - state of one instance
+ * @settings: owned by the caller, outlives the gateway; see
+ *	gateway_apply_settings()
+ * @names: names of HTTP headers, outlive the gateway
+ * @registry: backend servers and services
+ * @upstream: connections to backend servers
+ * @server_queues: sends that wait for a backend server
+ * @inbound: connections from callers
+ * @sync: routes and servers as read from the store
+ * @store_timer: fires when the store must be called next
+ * @fleet: the other instances
+ * @relay_ask: sends this instance makes through relays
+ * @relay_serve: sends this instance makes as a relay
+ * @outage: reachability of backend servers
+ * @outage_timer: fires when a server must be checked next
+ * @limits: limits shared by all dispatches
+ * @load: what is shared with other instances under overload
  * @retry_share: its share of the fleet-wide budget of second sends
  * @started_at: time of gateway_init(), microseconds
  * @second_sends_timer: fires once per retry budget window
- * @second_sends_at: start of the current window, microseconds
- * @open: requests that are not answered
+ * @second_sends_window_start: start of the current window, microseconds
+ * @route_stats: hash table by route name
+ * @counters: exposed metrics
+ * @open_requests: list of requests without an answer yet
+ * @leaving_since: time of gateway_shut_down(), microseconds
+ * @stop_timer: fires every STOP_CHECK_PERIOD during shutdown
  */
 struct gateway {
 	struct event_base *base;
 	struct clock clock;
 	const struct gateway_settings *settings;
-	const struct gateway_names *names;
+	const struct gateway_header_names *names;
 	struct registry registry;
 	struct upstream upstream;
-	struct server_queue_net turns;
+	struct server_queue_net server_queues;
 	struct inbound inbound;
 	struct store_client store;
 	struct store_sync sync;
@@ -94,39 +117,43 @@
 	struct retry_share retry_share;
 	int64_t started_at;
 	struct wake_timer second_sends_timer;
-	int64_t second_sends_at;
-	struct route_stats *stats;
+	int64_t second_sends_window_start;
+	struct route_stats *route_stats;
 	struct gateway_stats counters;
-	struct gateway_request *open;
+	struct gateway_request *open_requests;
 	enum gateway_state state;
 	int64_t leaving_since;
 	struct event *stop_timer;
 };
 
 /**
- * gateway_init() - listen and begin to read the store
+ * gateway_init() - start listening and reading the store
+ * @base: event loop; outlives the gateway
+ * @settings: outlive the gateway
+ * @names: outlive the gateway
+ * @store: client of the platform's store
  *
- * Return: 0, or ERR_ADDRESS.
+ * Return: 0, or ERR_ADDRESS if an address cannot be bound.
  */
 int gateway_init(struct gateway *gateway, struct event_base *base,
 		 const struct gateway_settings *settings,
-		 const struct gateway_names *names,
+		 const struct gateway_header_names *names,
 		 const struct store_ops *store);
 void gateway_finish(struct gateway *gateway);
 
 /**
- * gateway_ready() - callers may be sent here
+ * gateway_ready() - check whether this instance can serve callers
  */
 bool gateway_ready(const struct gateway *gateway);
 
 /**
- * gateway_reloaded() - the settings were changed
+ * gateway_apply_settings() - apply changes made to the settings in place
  */
-void gateway_reloaded(struct gateway *gateway);
+void gateway_apply_settings(struct gateway *gateway);
 
 /**
- * gateway_leave() - stop gracefully; ends the event loop when done
+ * gateway_shut_down() - shut down gracefully; ends the event loop when done
  */
-void gateway_leave(struct gateway *gateway);
+void gateway_shut_down(struct gateway *gateway);
 
 #endif
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -15,24 +15,27 @@
 #include "store_sync.h"
 
 /*
- * Heartbeats: one in so long to one member in turn. A member that falls silent
- * is noticed by some other within about twice this, and all hear of it.
+ * Heartbeats go to one member per period, round robin. Some member notices a
+ * silent one within about two periods, and the others learn it by gossip.
  */
 #define PROBE_PERIOD MSEC(300)
-#define LEASE MSEC(2000)
-/* A request is refused once so many servers were lost to it. */
-#define CRASHES_MOST 3
+#define MEMBER_LEASE MSEC(2000)
+/* A request is banned after it has crashed this many servers. */
+#define CRASHES_MAX 3
 /*
- * A slow link must not take this instance's memory: 300 links with a whole
- * view of 60 KB waiting on each are 18 MB.
+ * Limits the memory used by slow links: 300 links with a full view of 60 KB
+ * queued on each take 18 MB.
  */
-#define VIEW_BACKLOG_MOST (256 * 1024)
-/* Seeds may be down, and others that know of this instance may ask it. */
-#define SEEDS_ALONE MSEC(1000)
-/* An instance without a view asks again: whom it asked may be gone. */
-#define ASK_PERIOD_MS 250
-/* Seeds are asked again each second: they may have been down, or start late. */
-#define SEEDS_TICKS 4
+#define VIEW_BACKLOG_MAX (256 * 1024)
+/*
+ * A new instance connects to seeds only for this long. Seeds may be down, and
+ * other members that know this instance may contact it meanwhile.
+ */
+#define SEEDS_ONLY_TIME MSEC(1000)
+/* Requests for the view are repeated, as the peer asked may be gone. */
+#define VIEW_REQUEST_PERIOD_MS 250
+/* Seeds are asked again every second, as they may have been down before. */
+#define SEEDS_PERIOD_TICKS 4
 
 static bool send_update(void *arg, const char *member,
 			const Peer__ViewUpdate *message)
@@ -43,8 +46,8 @@
 
 	if (!link)
 		return false;
-	/* What a member misses it asks for once it reads again. */
-	if (peer_backlog(link) < VIEW_BACKLOG_MOST)
+	/* The member requests dropped updates once it reads again. */
+	if (peer_backlog(link) < VIEW_BACKLOG_MAX)
 		peer_send(link, FRAME_VIEW_UPDATE, &message->base);
 	return true;
 }
@@ -81,12 +84,12 @@
 }
 
 /*
- * A new instance needs not wait for the store: it asks whom it meets first.
- * Who is met is asked for a heartbeat too: it tells whether callers and relayed
- * requests can go there. By its turn alone, one a period, a hub among hundreds
- * would be asked only after many seconds.
+ * Requests the view from a new peer, so that a new instance need not wait for
+ * the store. Also requests a heartbeat, which tells whether callers and relayed
+ * requests can be sent to the peer: with one member per period, it would take
+ * many seconds to reach a hub among hundreds of members.
  */
-static void on_up(void *arg, struct peer_link *link)
+static void on_link_up(void *arg, struct peer_link *link)
 {
 	struct gateway_fleet *fleet = arg;
 
@@ -94,23 +97,23 @@
 	view_share_met(&fleet->views, link->instance);
 }
 
-static void on_heard(void *arg, const char *peer,
-		     const struct member_beacon *beacon)
+static void on_heartbeat(void *arg, const char *peer,
+			 const struct member_beacon *beacon)
 {
 	struct gateway_fleet *fleet = arg;
-	struct fleet_heard *heard;
+	struct fleet_peer_state *state;
 	const struct fleet_member *member =
 		fleet_find(&fleet->board.fleet, str_from(peer));
 
-	HASH_FIND_STR(fleet->heard, peer, heard);
-	if (!heard) {
-		heard = mem_zalloc(sizeof(*heard));
-		str_copy(heard->instance, sizeof(heard->instance),
+	HASH_FIND_STR(fleet->peer_states, peer, state);
+	if (!state) {
+		state = mem_zalloc(sizeof(*state));
+		str_copy(state->instance, sizeof(state->instance),
 			 str_from(peer));
-		HASH_ADD_STR(fleet->heard, instance, heard);
+		HASH_ADD_STR(fleet->peer_states, instance, state);
 	}
-	heard->routes_version = beacon->table_revision;
-	heard->incarnation = member ? member->incarnation : 0;
+	state->routes_version = beacon->table_revision;
+	state->incarnation = member ? member->incarnation : 0;
 	if (peers_find_any(&fleet->peers, str_from(peer)))
 		view_share_met(&fleet->views, peer);
 }
@@ -118,7 +121,7 @@
 static bool is_seed(const struct gateway_fleet *fleet,
 		    const struct fleet_member *member)
 {
-	const struct gateway_settings *settings = fleet->config.from;
+	const struct gateway_settings *settings = fleet->config.settings;
 	int i;
 
 	for (i = 0; i < settings->n_seeds; i++) {
@@ -128,37 +131,37 @@
 	return false;
 }
 
-static void link_seeds(struct gateway_fleet *fleet)
+static void plan_seed_links(struct gateway_fleet *fleet)
 {
 	const struct fleet_member *member = fleet->board.fleet.members;
 
-	hub_links_clear(&fleet->wanted);
+	hub_links_clear(&fleet->planned_links);
 	for (; member; member = member->hh.next) {
 		if (is_seed(fleet, member) &&
 		    strcmp(member->instance, fleet->settings.instance))
-			hub_links_add(&fleet->wanted, member->instance);
+			hub_links_add(&fleet->planned_links, member->instance);
 	}
 }
 
 /*
- * Who starts among hundreds and knows ten of them takes these for hubs, and
- * itself for one, and would open connections that are closed again soon. So
- * seeds are asked for all members first.
+ * An instance that starts among hundreds and knows only ten of them would take
+ * these and itself for hubs, and open connections that it soon closes again. So
+ * it first connects to the seeds only, until it has the full member list.
  */
 static void plan_links(struct gateway_fleet *fleet)
 {
 	const struct view_share *views = &fleet->views;
 	int64_t age = clock_now(fleet->config.clock) - fleet->started_at;
 
-	if (!fleet->members.members.complete && age < SEEDS_ALONE)
-		link_seeds(fleet);
+	if (!fleet->members.members.complete && age < SEEDS_ONLY_TIME)
+		plan_seed_links(fleet);
 	else if (views->n_members)
-		hub_links_plan(&fleet->wanted, views->members, views->n_members,
-			       views->rank);
+		hub_links_plan(&fleet->planned_links, views->members,
+			       views->n_members, views->rank);
 }
 
-static bool is_near_hub(const struct gateway_fleet *fleet,
-			const struct hub_member *member)
+static bool is_local_hub(const struct gateway_fleet *fleet,
+			 const struct hub_member *member)
 {
 	return member->hub &&
 	       !strcmp(member->data_centre, fleet->settings.data_centre);
@@ -172,7 +175,7 @@
 	int i;
 
 	for (i = 0; i < views->n_members && n < HUBS_MOST; i++) {
-		if (is_near_hub(fleet, &views->members[i]))
+		if (is_local_hub(fleet, &views->members[i]))
 			memcpy(instances[n++], views->members[i].instance,
 			       FLEET_NAME_SIZE);
 	}
@@ -199,8 +202,8 @@
 {
 	const struct view_share *views = &fleet->views;
 	struct str id = str_from(server->entry.id);
-	const char *best = NULL;
-	uint64_t least = 0;
+	const char *best_instance = NULL;
+	uint64_t lowest_score = 0;
 	int i;
 
 	for (i = 0; i < views->n_members; i++) {
@@ -211,15 +214,15 @@
 		    strcmp(member->data_centre, server->entry.data_centre))
 			continue;
 		score = warmup_score(id, member->instance);
-		if (best && score >= least)
+		if (best_instance && score >= lowest_score)
 			continue;
-		least = score;
-		best = member->instance;
+		lowest_score = score;
+		best_instance = member->instance;
 	}
-	return best;
+	return best_instance;
 }
 
-static void on_fleet(void *arg)
+static void on_members_changed(void *arg)
 {
 	struct gateway_fleet *fleet = arg;
 
@@ -229,9 +232,9 @@
 	fleet->config.ops->members_changed(fleet->config.arg);
 }
 
-void gateway_fleet_seeds(struct gateway_fleet *fleet)
+void gateway_fleet_update_seeds(struct gateway_fleet *fleet)
 {
-	const struct gateway_settings *settings = fleet->config.from;
+	const struct gateway_settings *settings = fleet->config.settings;
 	struct member_entry entries[GATEWAY_SEEDS_MAX] = {0};
 	char names[GATEWAY_SEEDS_MAX][FLEET_NAME_SIZE];
 	int i;
@@ -250,7 +253,7 @@
 	member_table_seeds(&fleet->members.members, entries, settings->n_seeds);
 }
 
-static void on_beat(void *arg, int64_t lag)
+static void on_loop_tick(void *arg, int64_t lag)
 {
 	struct gateway_fleet *fleet = arg;
 
@@ -258,43 +261,44 @@
 	poison_net_beat(&fleet->poison);
 }
 
-static bool heard_ready(const struct gateway_fleet *fleet, const char *instance)
+static bool peer_has_routes(const struct gateway_fleet *fleet,
+			    const char *instance)
 {
-	const struct fleet_heard *heard;
+	const struct fleet_peer_state *state;
 
-	HASH_FIND_STR(fleet->heard, instance, heard);
-	return heard && heard->routes_version;
+	HASH_FIND_STR(fleet->peer_states, instance, state);
+	return state && state->routes_version;
 }
 
-/* Whom it asked for the view may not have known it, or may be gone. */
-static void ask_again(struct gateway_fleet *fleet)
+/* The peer asked first may have had no view, or may be gone. */
+static void request_view_again(struct gateway_fleet *fleet)
 {
 	struct peer_link *link;
 
 	for (link = fleet->peers.links; link; link = link->next) {
-		if (link->up && heard_ready(fleet, link->instance))
+		if (link->up && peer_has_routes(fleet, link->instance))
 			view_share_met(&fleet->views, link->instance);
 	}
 }
 
-static void on_seeds_timer(evutil_socket_t fd, short what, void *arg)
+static void on_periodic_timer(evutil_socket_t fd, short what, void *arg)
 {
 	struct gateway_fleet *fleet = arg;
 
 	(void)fd;
 	(void)what;
-	if (fleet->ticks++ % SEEDS_TICKS == 0)
-		gateway_fleet_seeds(fleet);
+	if (fleet->ticks++ % SEEDS_PERIOD_TICKS == 0)
+		gateway_fleet_update_seeds(fleet);
 	plan_links(fleet);
 	if (!fleet->config.ops->ready(fleet->config.arg))
-		ask_again(fleet);
+		request_view_again(fleet);
 	else
 		view_share_review(&fleet->views);
 }
 
 static void fill_settings(struct gateway_fleet *fleet)
 {
-	const struct gateway_settings *from = fleet->config.from;
+	const struct gateway_settings *from = fleet->config.settings;
 	struct settings *settings = &fleet->settings;
 
 	settings->instance = from->instance;
@@ -305,7 +309,7 @@
 	settings->peer_address.port = (uint16_t)from->peer_ports[0];
 }
 
-static uint64_t draw_incarnation(void)
+static uint64_t generate_incarnation(void)
 {
 	uint64_t n = 0;
 
@@ -317,7 +321,7 @@
 int gateway_fleet_init(struct gateway_fleet *fleet,
 		       const struct gateway_fleet_config *config)
 {
-	static const struct timeval period = {0, ASK_PERIOD_MS * 1000};
+	static const struct timeval period = {0, VIEW_REQUEST_PERIOD_MS * 1000};
 	int ret;
 
 	memset(fleet, 0, sizeof(*fleet));
@@ -325,67 +329,68 @@
 	fleet->started_at = clock_now(config->clock);
 	fill_settings(fleet);
 	blackboard_init(&fleet->board, config->clock, &fleet->settings,
-			config->base, draw_incarnation());
+			config->base, generate_incarnation());
 	view_share_init(&fleet->views, config->clock, &view_ops, fleet,
 			config->sync, fleet->settings.instance,
 			fleet->settings.data_centre);
 	ret = peers_init(&fleet->peers, &fleet->board);
 	if (ret)
 		return ret;
-	hub_links_init(&fleet->wanted);
+	hub_links_init(&fleet->planned_links);
 	warmup_init(&fleet->warmup, config->clock, fleet->settings.instance);
-	fleet->peers.wanted = &fleet->wanted;
+	fleet->peers.wanted = &fleet->planned_links;
 	poison_net_init(&fleet->poison, &fleet->board, &fleet->peers);
 	fleet->poison.flood = true;
 	fleet->board.poison.tolerant = true;
-	fleet->board.poison.ban_after = CRASHES_MOST;
-	loop_lag_init(&fleet->loop, &fleet->board, on_beat, fleet);
-	fleet->handler.up = on_up;
+	fleet->board.poison.ban_after = CRASHES_MAX;
+	loop_lag_init(&fleet->loop_lag, &fleet->board, on_loop_tick, fleet);
+	fleet->handler.up = on_link_up;
 	fleet->handler.frame = on_frame;
 	fleet->handler.types =
 		1u << FRAME_VIEW_UPDATE | 1u << FRAME_VIEW_REQUEST;
 	fleet->handler.arg = fleet;
 	peers_add_handler(&fleet->peers, &fleet->handler);
 	blackboard_watch(&fleet->board, BLACKBOARD_FLEET, &fleet->fleet_watch,
-			 on_fleet, fleet);
+			 on_members_changed, fleet);
 	ret = member_net_init(&fleet->members, &fleet->board, &fleet->peers,
-			      on_heard, fleet);
+			      on_heartbeat, fleet);
 	if (ret)
 		return ret;
-	member_table_set_periods(&fleet->members.members, PROBE_PERIOD, LEASE);
-	fleet->seeds_timer =
-		event_new(config->base, -1, EV_PERSIST, on_seeds_timer, fleet);
-	event_add(fleet->seeds_timer, &period);
-	gateway_fleet_seeds(fleet);
+	member_table_set_periods(&fleet->members.members, PROBE_PERIOD,
+				 MEMBER_LEASE);
+	fleet->periodic_timer = event_new(config->base, -1, EV_PERSIST,
+					  on_periodic_timer, fleet);
+	event_add(fleet->periodic_timer, &period);
+	gateway_fleet_update_seeds(fleet);
 	return 0;
 }
 
 void gateway_fleet_finish(struct gateway_fleet *fleet)
 {
-	struct fleet_heard *heard;
-	struct fleet_heard *next;
+	struct fleet_peer_state *state;
+	struct fleet_peer_state *next;
 
-	event_free(fleet->seeds_timer);
-	loop_lag_finish(&fleet->loop);
+	event_free(fleet->periodic_timer);
+	loop_lag_finish(&fleet->loop_lag);
 	member_net_finish(&fleet->members);
 	peers_finish(&fleet->peers);
 	view_share_finish(&fleet->views);
-	hub_links_finish(&fleet->wanted);
+	hub_links_finish(&fleet->planned_links);
 	blackboard_finish(&fleet->board);
-	HASH_ITER (hh, fleet->heard, heard, next) {
-		HASH_DEL(fleet->heard, heard);
-		free(heard);
+	HASH_ITER (hh, fleet->peer_states, state, next) {
+		HASH_DEL(fleet->peer_states, state);
+		free(state);
 	}
 }
 
-void gateway_fleet_routes(struct gateway_fleet *fleet)
+void gateway_fleet_routes_changed(struct gateway_fleet *fleet)
 {
 	struct member_beacon *beacon = &fleet->members.members.beacon;
 	bool first = !beacon->table_revision;
 	struct peer_link *link;
 
 	beacon->table_revision = fleet->config.sync->routes->version;
-	/* From now on it can be asked for its view, and take requests. */
+	/* Tell peers that this instance now has a view and accepts requests. */
 	for (link = fleet->peers.links; first && link; link = link->next) {
 		if (link->up)
 			member_table_greet(&fleet->members.members,
@@ -403,17 +408,18 @@
 bool gateway_fleet_is_ready(const struct gateway_fleet *fleet,
 			    const struct fleet_member *member)
 {
-	const struct fleet_heard *heard;
+	const struct fleet_peer_state *state;
 
 	if (!strcmp(member->instance, fleet->settings.instance))
 		return fleet->config.ops->ready(fleet->config.arg);
-	HASH_FIND_STR(fleet->heard, member->instance, heard);
-	return heard && heard->incarnation == member->incarnation &&
-	       heard->routes_version;
+	HASH_FIND_STR(fleet->peer_states, member->instance, state);
+	return state && state->incarnation == member->incarnation &&
+	       state->routes_version;
 }
 
-int gateway_fleet_candidates(const struct gateway_fleet *fleet, struct str host,
-			     struct directory_candidate **out)
+int gateway_fleet_list_candidates(const struct gateway_fleet *fleet,
+				  struct str host,
+				  struct directory_candidate **out)
 {
 	const struct fleet_member *member = fleet->board.fleet.members;
 	size_t most = HASH_COUNT(fleet->board.fleet.members);
@@ -428,7 +434,7 @@
 		memcpy(candidate->instance, member->instance, FLEET_NAME_SIZE);
 		memcpy(candidate->data_centre, member->data_centre,
 		       FLEET_NAME_SIZE);
-		candidate->region = regions_of(&fleet->config.from->regions,
+		candidate->region = regions_of(&fleet->config.settings->regions,
 					       member->data_centre);
 		candidate->home = !fleet->config.sync->routes ||
 				  route_set_allows(fleet->config.sync->routes,
@@ -441,12 +447,12 @@
 	return n;
 }
 
-int gateway_fleet_entries(const struct gateway_fleet *fleet)
+int gateway_fleet_count_entries(const struct gateway_fleet *fleet)
 {
 	const struct hub_member *members = fleet->views.members;
 	int n = 0;
 
-	/* The largest come first. */
+	/* Members are sorted by capacity, largest first. */
 	while (n < fleet->views.n_members &&
 	       directory_is_large(members[n].capacity, members[0].capacity))
 		n++;
@@ -457,10 +463,11 @@
 {
 	const struct view_share *views = &fleet->views;
 
-	return !views->n_members || views->rank < gateway_fleet_entries(fleet);
+	return !views->n_members ||
+	       views->rank < gateway_fleet_count_entries(fleet);
 }
 
-int gateway_fleet_near_senders(const struct gateway_fleet *fleet)
+int gateway_fleet_count_local_senders(const struct gateway_fleet *fleet)
 {
 	const struct view_share *views = &fleet->views;
 	int n = 0;
--- a/gateway_fleet.h
+++ b/gateway_fleet.h
@@ -1,6 +1,7 @@
 /*
- * The other instances of a gateway's fleet: membership from seeds, who is
- * named to callers, and the view of the store that few read for all.
+ * The other instances of a gateway's fleet: membership bootstrapped from
+ * seeds, the directory of instances for callers, and the view of the store
+ * that a few instances read and distribute.
  */
 #ifndef GATEWAY_FLEET_H
 #define GATEWAY_FLEET_H
@@ -21,10 +22,11 @@
 struct store_sync;
 
 /**
- * struct gateway_fleet_ops - what the owner knows and wants to know
- * @ready: callers may be sent to this instance
- * @view_changed: a peer told of routes or servers; @was_ready: before that
- * @members_changed: instances came or went
+ * struct gateway_fleet_ops - callbacks of the owner
+ * @ready: whether callers may be sent to this instance
+ * @view_changed: a peer sent routes or servers; @was_ready is the result of
+ *	@ready before they were applied
+ * @members_changed: instances joined or left
  */
 struct gateway_fleet_ops {
 	bool (*ready)(const void *arg);
@@ -33,21 +35,29 @@
 };
 
 /**
- * struct gateway_fleet_config - what the fleet's part of an instance works with
- * @from: settings, read again with gateway_fleet_seeds()
- * @arg: handed to @ops
+ * struct gateway_fleet_config - parameters of gateway_fleet_init()
+ * @base: event loop
+ * @clock: outlives the fleet
+ * @settings: of the instance; see gateway_fleet_update_seeds()
+ * @sync: view of the store
+ * @ops: outlives the fleet
+ * @arg: passed to @ops
  */
 struct gateway_fleet_config {
 	struct event_base *base;
 	const struct clock *clock;
-	const struct gateway_settings *from;
+	const struct gateway_settings *settings;
 	struct store_sync *sync;
 	const struct gateway_fleet_ops *ops;
 	void *arg;
 };
 
-/* An instance that said which routes it has, by its heartbeats. */
-struct fleet_heard {
+/**
+ * struct fleet_peer_state - content of the last heartbeat of an instance
+ * @incarnation: identifies the process that sent it
+ * @routes_version: version of its routes, 0 if it has none
+ */
+struct fleet_peer_state {
 	char instance[FLEET_NAME_SIZE];
 	uint64_t incarnation;
 	uint64_t routes_version;
@@ -55,106 +65,123 @@
 };
 
 /**
- * struct gateway_fleet - wiring of these
- * @wanted: instances that it connects to
- * @warmup: which of the hubs of its data centre sends to servers that are cold
- * @heard: by instance
+ * struct gateway_fleet - this instance's state of the fleet
+ * @settings: generic settings derived from those in @config
+ * @board: state shared by the modules below
+ * @planned_links: instances that this one connects to
+ * @warmup: selects the local hub that sends to a cold server
+ * @peers: connections between instances
+ * @members: membership protocol
+ * @poison: exchange of requests that crash servers
+ * @loop_lag: monitor of event loop stalls
+ * @views: distribution of the store's view
+ * @peer_states: hash table by instance name
+ * @periodic_timer: fires every VIEW_REQUEST_PERIOD_MS
+ * @ticks: number of times @periodic_timer has fired
+ * @started_at: time of gateway_fleet_init(), microseconds
  */
 struct gateway_fleet {
 	struct gateway_fleet_config config;
 	struct settings settings;
 	struct blackboard board;
-	struct hub_links wanted;
+	struct hub_links planned_links;
 	struct warmup warmup;
 	struct peers peers;
 	struct member_net members;
 	struct poison_net poison;
-	struct loop_lag loop;
+	struct loop_lag loop_lag;
 	struct view_share views;
 	struct peer_handler handler;
 	struct blackboard_watch fleet_watch;
-	struct fleet_heard *heard;
-	struct event *seeds_timer;
+	struct fleet_peer_state *peer_states;
+	struct event *periodic_timer;
 	unsigned int ticks;
 	int64_t started_at;
 };
 
 /**
- * gateway_fleet_init() - listen for instances and look for them
+ * gateway_fleet_init() - listen for other instances and start to connect
+ * @config: copied
  *
- * Return: 0, or ERR_ADDRESS.
+ * Return: 0, or ERR_ADDRESS if no peer port can be bound.
  */
 int gateway_fleet_init(struct gateway_fleet *fleet,
 		       const struct gateway_fleet_config *config);
 void gateway_fleet_finish(struct gateway_fleet *fleet);
 
 /**
- * gateway_fleet_routes() - other routes are in force here
+ * gateway_fleet_routes_changed() - announce the routes now in use here
  */
-void gateway_fleet_routes(struct gateway_fleet *fleet);
+void gateway_fleet_routes_changed(struct gateway_fleet *fleet);
 
 /**
- * gateway_fleet_leave() - this instance is stopping
+ * gateway_fleet_leave() - announce that this instance is shutting down
  */
 void gateway_fleet_leave(struct gateway_fleet *fleet);
 
 /**
- * gateway_fleet_seeds() - the settings were read again
+ * gateway_fleet_update_seeds() - pass the seeds in the settings to membership
  */
-void gateway_fleet_seeds(struct gateway_fleet *fleet);
+void gateway_fleet_update_seeds(struct gateway_fleet *fleet);
 
 /**
- * gateway_fleet_is_ready() - an instance said that it knows routes and servers
+ * gateway_fleet_is_ready() - check whether an instance has routes and servers
+ *
+ * Return: for other instances, what the last heartbeat of the running process
+ * says.
  */
 bool gateway_fleet_is_ready(const struct gateway_fleet *fleet,
 			    const struct fleet_member *member);
 
 /**
- * gateway_fleet_candidates() - instances that may take callers
- * @host: whose requests they would get
- * @out: set to a list that the caller frees
+ * gateway_fleet_list_candidates() - list instances that may accept callers
+ * @host: host name in the callers' requests
+ * @out: set to an array that the caller frees
  *
- * Return: how many.
+ * Return: number of elements in @out.
  */
-int gateway_fleet_candidates(const struct gateway_fleet *fleet, struct str host,
-			     struct directory_candidate **out);
+int gateway_fleet_list_candidates(const struct gateway_fleet *fleet,
+				  struct str host,
+				  struct directory_candidate **out);
 
 /**
- * gateway_fleet_entries() - instances that take callers, as far as known here
+ * gateway_fleet_count_entries() - count known instances that accept callers
  *
  * Return: at least 1.
  */
-int gateway_fleet_entries(const struct gateway_fleet *fleet);
+int gateway_fleet_count_entries(const struct gateway_fleet *fleet);
 
 /**
- * gateway_fleet_is_entry() - this instance is one of those that take callers,
- * as far as known here
+ * gateway_fleet_is_entry() - check whether this instance accepts callers
  *
- * Return: true as well if no members are known.
+ * Return: also true if no members are known.
  */
 bool gateway_fleet_is_entry(const struct gateway_fleet *fleet);
 
 /**
- * gateway_fleet_is_sender() - this instance is one of those that connect to
- * backend servers: hubs, and those that take callers
+ * gateway_fleet_is_sender() - check whether this instance connects to backend
+ * servers, as hubs and the instances that accept callers do
+ *
+ * Return: also true if no members are known.
  */
 bool gateway_fleet_is_sender(const struct gateway_fleet *fleet);
 
 /**
- * gateway_fleet_cold_sender() - the instance that sends to a server while it is
- * cold, see warmup.h
+ * gateway_fleet_cold_sender() - find the only instance that sends to a server
+ * while it is cold, see warmup.h
  *
- * Return: NULL if no hub of its data centre lives.
+ * Return: name of the instance; NULL if no hub of the server's data centre is
+ * alive.
  */
 const char *gateway_fleet_cold_sender(const struct gateway_fleet *fleet,
 				      const struct registry_server *server);
 
 /**
- * gateway_fleet_near_senders() - instances of the own data centre that send to
- * its servers: they take callers, or relay for those that do
+ * gateway_fleet_count_local_senders() - count instances in this data centre
+ * that connect to backend servers, see gateway_fleet_is_sender()
  *
  * Return: at least 1.
  */
-int gateway_fleet_near_senders(const struct gateway_fleet *fleet);
+int gateway_fleet_count_local_senders(const struct gateway_fleet *fleet);
 
 #endif
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -28,7 +28,7 @@
 
 static void free_request(struct gateway_request *request)
 {
-	DL_DELETE(request->gateway->open, request);
+	DL_DELETE(request->gateway->open_requests, request);
 	dispatch_finish(&request->dispatch);
 	relay_client_finish(&request->gateway->relay_ask, &request->relay);
 	route_set_unref(request->routes);
@@ -80,15 +80,15 @@
 	const char *name = route->name ? route->name : route->prefix;
 	struct route_stats *stats;
 
-	HASH_FIND_STR(gateway->stats, name, stats);
+	HASH_FIND_STR(gateway->route_stats, name, stats);
 	if (stats)
 		return stats;
 	stats = mem_zalloc(sizeof(*stats));
 	str_copy(stats->name, sizeof(stats->name), str_from(name));
 	latency_init(&stats->latency, MSEC(route->goal_ms) / 4);
-	peak_init(&stats->patience, PATIENCE_SPAN, 0,
+	peak_init(&stats->caller_timeout, PATIENCE_SPAN, 0,
 		  clock_now(&gateway->clock));
-	HASH_ADD_STR(gateway->stats, name, stats);
+	HASH_ADD_STR(gateway->route_stats, name, stats);
 	return stats;
 }
 
@@ -164,7 +164,7 @@
 	int64_t now = clock_now(&gateway->clock);
 	const struct answer_due due = {
 		.goal = MSEC(route->goal_ms),
-		.patience = MSEC(peak_add(&stats->patience, told, now)),
+		.patience = MSEC(peak_add(&stats->caller_timeout, told, now)),
 		.told = told < 0 ? -1 : MSEC(told),
 		.round_trip = inbound_conn_round_trip(conn),
 	};
@@ -219,9 +219,9 @@
 	request->request.fresh = !route->repeatable;
 	build_head(request, message);
 	inbound_conn_set(conn, request);
-	DL_APPEND(gateway->open, request);
+	DL_APPEND(gateway->open_requests, request);
 	if (!route->sharded)
-		target = due ? gateway_load_target(route, due)
+		target = due ? gateway_load_return_target(route, due)
 			     : route_deal(route);
 	dispatch_init(&request->dispatch, &gateway->clock, &gateway_send_ops,
 		      &gateway->limits, request, &gateway->registry, route,
@@ -232,8 +232,8 @@
 	request->dispatch.promised = due;
 	gateway_send_init(request);
 	go_on(request, dispatch_start(&request->dispatch));
-	gateway_outage_arm(gateway);
-	gateway_load_arm(gateway);
+	gateway_outage_arm_timer(gateway);
+	gateway_load_arm_timer(gateway);
 }
 
 static void refuse(struct gateway *gateway, struct inbound_conn *conn,
@@ -288,7 +288,7 @@
 	struct return_entry entry;
 	enum return_state state;
 
-	state = gateway_load_arrive(
+	state = gateway_load_check_return(
 		gateway, route, fingerprint,
 		http_message_field(message,
 				   gateway->names->upstream.request_id),
@@ -346,7 +346,7 @@
 		return;
 	metric_inc(&gateway->counters.caller_left);
 	dispatch_cancel(&request->dispatch);
-	gateway_answer_log(request, 0);
+	gateway_request_log(request, 0);
 	free_request(request);
 }
 
@@ -365,8 +365,8 @@
 	.refused = on_refused,
 };
 
-void gateway_request_drop_all(struct gateway *gateway)
+void gateway_request_free_all(struct gateway *gateway)
 {
-	while (gateway->open)
-		free_request(gateway->open);
+	while (gateway->open_requests)
+		free_request(gateway->open_requests);
 }
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -105,8 +105,9 @@
 		answer.success = status / 100 == 2;
 		if (!request->route->sharded) {
 			/* Other answers below 500 are the service's own. */
-			answer.success = status < 500 &&
-					 !gateway_promises_not_run(status);
+			answer.success =
+				status < 500 &&
+				!gateway_status_implies_not_run(status);
 			keep_answer(request, result->message);
 		}
 	}
@@ -234,7 +235,7 @@
 
 	if (!relay_part(request, send))
 		return 0;
-	ret = server_queue_send(&gateway->turns.queues, send->server,
+	ret = server_queue_send(&gateway->server_queues.queues, send->server,
 				&request->request, &rank, deadline,
 				send->part->target->connections_max, on_result,
 				send, &turn);
@@ -317,8 +318,8 @@
 	.waits = waits,
 	.decided = decided,
 	.limited = limited,
-	.foreseen = gateway_foreseen,
-	.kept_back = gateway_kept_back,
+	.foreseen = gateway_report_forecast,
+	.kept_back = gateway_report_resend_left_out,
 };
 
 /*
--- a/tests/test_load_share.c
+++ b/tests/test_load_share.c
@@ -226,7 +226,7 @@
 		out);
 }
 
-/* As gateway_load_arrive() and dispatch_load do. */
+/* As gateway_load_check_return() and dispatch_load do. */
 static void arrive(struct world *world, struct caller *caller)
 {
 	struct entry *entry = &world->entries[caller->entry];
