--- a/gateway_forecast.c
+++ b/gateway_forecast.c
@@ -1,4 +1,4 @@
-/* Logs of what is not sent because it would be answered too late. */
+/* Logs and counts what is not sent because its answer would come too late. */
 #define LOG_MODULE "request"
 #include "gateway_request_private.h"
 
@@ -7,8 +7,8 @@
 #include "forecast.h"
 #include "log.h"
 
-/* Services that a line names, the latest first. */
-#define WORST_MAX 3
+/* Maximum number of services in a log line, the latest first. */
+#define LATEST_MAX 3
 
 static const struct dispatch_part *part_of(const struct dispatch *dispatch,
 					   const struct forecast_part *expected)
@@ -39,16 +39,16 @@
 		 LOG_I64("room_in_us", forecast->room_in));
 }
 
-/* "SERVICE:MILLISECONDS" of the parts that are expected last. */
-static void list_worst(const struct dispatch *dispatch,
-		       const struct forecast *forecast, char *out, size_t size)
+/* Lists the left out parts expected last, as "SERVICE:MILLISECONDS ...". */
+static void list_latest(const struct dispatch *dispatch,
+			const struct forecast *forecast, char *out, size_t size)
 {
 	size_t len = 0;
 	int n = 0;
 	int i;
 
 	out[0] = '\0';
-	for (i = forecast->n - 1; i >= 0 && n < WORST_MAX && len < size; i--) {
+	for (i = forecast->n - 1; i >= 0 && n < LATEST_MAX && len < size; i--) {
 		const struct forecast_part *expected = &forecast->parts[i];
 
 		if (!expected->left_out)
@@ -65,9 +65,9 @@
 			 const struct forecast *forecast)
 {
 	const struct dispatch *dispatch = &request->dispatch;
-	char worst[WORST_MAX * (REGISTRY_NAME_SIZE + 24)];
+	char latest[LATEST_MAX * (REGISTRY_NAME_SIZE + 24)];
 
-	list_worst(dispatch, forecast, worst, sizeof(worst));
+	list_latest(dispatch, forecast, latest, sizeof(latest));
 	LOG_INFO("part_left_out", LOG_STR("request", request->request.id),
 		 LOG_I64("left_out", forecast->n_left_out),
 		 LOG_I64("parts", dispatch->n_parts),
@@ -75,7 +75,7 @@
 		 LOG_I64("needed", forecast->needed),
 		 LOG_I64("goal_left_us", forecast->goal),
 		 LOG_I64("enough_in_us", forecast_expected(forecast->deciding)),
-		 LOG_TEXT("worst", worst));
+		 LOG_TEXT("worst", latest));
 }
 
 void gateway_report_forecast(void *arg, const struct forecast *forecast)
--- a/gateway_load.c
+++ b/gateway_load.c
@@ -4,12 +4,12 @@
 #include "gateway_request_private.h"
 #include "log.h"
 
-/* Callers honour what they are told up to this part of the time they have. */
-#define PATIENCE_PART 3
-/* On a link that is slower, what was told would be old when it arrives. */
-#define BACKLOG_MOST (64 * 1024)
+/* Callers wait for at most this fraction of their remaining time (1/3). */
+#define WAIT_DEADLINE_DIVISOR 3
+/* Behind a larger backlog, the limits would be outdated on arrival. */
+#define LOAD_SHARE_BACKLOG_MAX (64 * 1024)
 
-static bool is_on(const struct gateway *gateway)
+static bool is_enabled(const struct gateway *gateway)
 {
 	const struct load_control *control = &gateway->settings->load_control;
 
@@ -30,13 +30,14 @@
 			continue;
 		link = peers_find_any(&gateway->fleet.peers,
 				      str_from(views->members[i].instance));
-		if (link && peer_backlog(link) < BACKLOG_MOST)
+		if (link && peer_backlog(link) < LOAD_SHARE_BACKLOG_MAX)
 			peer_send(link, FRAME_LOAD_SHARE, &message->base);
 	}
 }
 
-static void adopted(void *arg, const char *service,
-		    const struct load_limit *load, const struct load_view *view)
+static void on_limit_adopted(void *arg, const char *service,
+			     const struct load_limit *load,
+			     const struct load_view *view)
 {
 	(void)arg;
 	LOG_INFO("load_limit_adopted", LOG_TEXT("service", service),
@@ -48,18 +49,18 @@
 
 static const struct load_share_ops share_ops = {
 	.send = send_share,
-	.adopted = adopted,
+	.adopted = on_limit_adopted,
 };
 
 static void on_frame(void *arg, struct peer_link *link, struct frame *frame)
 {
 	struct gateway *gateway = arg;
 
-	if (!is_on(gateway))
+	if (!is_enabled(gateway))
 		return;
-	gateway->load.share.n_others =
+	gateway->load.load_share.n_others =
 		gateway_fleet_count_entries(&gateway->fleet) - 1;
-	load_share_told(&gateway->load.share, link->instance,
+	load_share_told(&gateway->load.load_share, link->instance,
 			(const Peer__LoadShare *)frame->message);
 }
 
@@ -67,7 +68,7 @@
 {
 	struct gateway *gateway = arg;
 
-	load_share_tick(&gateway->load.share);
+	load_share_tick(&gateway->load.load_share);
 	gateway_load_arm_timer(gateway);
 }
 
@@ -75,30 +76,30 @@
 {
 	struct gateway_load *load = &gateway->load;
 
-	return_book_init(&load->book, &gateway->clock);
-	load_share_init(&load->share, &gateway->clock, &share_ops, gateway,
-			&load->book);
+	return_book_init(&load->return_book, &gateway->clock);
+	load_share_init(&load->load_share, &gateway->clock, &share_ops, gateway,
+			&load->return_book);
 	wake_timer_init(&load->timer, gateway->base, &gateway->clock, on_timer,
 			gateway);
 	load->handler.frame = on_frame;
 	load->handler.types = 1u << FRAME_LOAD_SHARE;
 	load->handler.arg = gateway;
 	peers_add_handler(&gateway->fleet.peers, &load->handler);
-	if (is_on(gateway))
-		gateway->limits.share = &load->share;
+	if (is_enabled(gateway))
+		gateway->limits.share = &load->load_share;
 }
 
 void gateway_load_finish(struct gateway *gateway)
 {
 	wake_timer_finish(&gateway->load.timer);
-	return_book_finish(&gateway->load.book);
+	return_book_finish(&gateway->load.return_book);
 }
 
 void gateway_load_arm_timer(struct gateway *gateway)
 {
-	if (is_on(gateway))
+	if (is_enabled(gateway))
 		wake_timer_move(&gateway->load.timer,
-				load_share_due(&gateway->load.share));
+				load_share_due(&gateway->load.load_share));
 }
 
 const struct route_service *
@@ -127,9 +128,9 @@
 		       ->load.limit;
 }
 
-static void log_arrival(const struct gateway *gateway, struct str id,
-			const struct return_entry *entry,
-			enum return_state state)
+static void log_return(const struct gateway *gateway, struct str id,
+		       const struct return_entry *entry,
+		       enum return_state state)
 {
 	int64_t early = entry->due - clock_now(&gateway->clock);
 
@@ -144,11 +145,11 @@
 			 LOG_I64("early_ms", early / USEC_PER_MSEC));
 }
 
-static void use_up(struct gateway *gateway, struct return_entry *entry)
+static void consume_return(struct gateway *gateway, struct return_entry *entry)
 {
-	return_book_drop(&gateway->load.book, entry->fingerprint);
+	return_book_drop(&gateway->load.return_book, entry->fingerprint);
 	entry->taken = true;
-	load_share_return(&gateway->load.share, entry);
+	load_share_return(&gateway->load.load_share, entry);
 }
 
 enum return_state gateway_load_check_return(struct gateway *gateway,
@@ -161,27 +162,27 @@
 
 	if (!gateway->settings->load_control.returns)
 		return RETURN_NONE;
-	entry = return_book_find(&gateway->load.book, fingerprint);
-	state = return_book_arrive(&gateway->load.book, entry);
+	entry = return_book_find(&gateway->load.return_book, fingerprint);
+	state = return_book_arrive(&gateway->load.return_book, entry);
 	if (state == RETURN_NONE)
 		return RETURN_NONE;
 	*out = *entry;
 	if (state == RETURN_EARLY && is_limited(gateway, route, entry)) {
 		metric_inc(&gateway->counters.return_early);
-		log_arrival(gateway, id, out, state);
+		log_return(gateway, id, out, state);
 		return RETURN_EARLY;
 	}
-	use_up(gateway, out);
+	consume_return(gateway, out);
 	if (state == RETURN_EARLY || !gateway_load_return_target(route, out))
 		return RETURN_NONE;
 	metric_inc(&gateway->counters.return_taken);
-	log_arrival(gateway, id, out, state);
+	log_return(gateway, id, out, state);
 	return RETURN_DUE;
 }
 
-static void log_offer(const struct gateway_request *request,
-		      const struct return_ask *ask,
-		      const struct return_entry *entry, int64_t wait)
+static void log_promise(const struct gateway_request *request,
+			const struct return_ask *ask,
+			const struct return_entry *entry, int64_t wait)
 {
 	LOG_INFO("return_promised", LOG_STR("request", request->request.id),
 		 LOG_TEXT("service", request->dispatch.parts[0].service->name),
@@ -204,7 +205,7 @@
 		.cost = dispatch->cost,
 		.room = dispatch_room(dispatch),
 		.room_in = dispatch_room_in(dispatch),
-		.patience = (dispatch->deadline - now) / PATIENCE_PART,
+		.patience = (dispatch->deadline - now) / WAIT_DEADLINE_DIVISOR,
 	};
 	struct return_entry entry;
 	int64_t wait;
@@ -212,11 +213,11 @@
 	if (!gateway->settings->load_control.returns ||
 	    !dispatch_is_for_load(dispatch) || ask.patience <= 0)
 		return dispatch_retry_after(dispatch);
-	wait = return_book_offer(&gateway->load.book, &ask, &entry);
+	wait = return_book_offer(&gateway->load.return_book, &ask, &entry);
 	metric_inc(entry.kept ? &gateway->counters.return_promised
 			      : &gateway->counters.return_unpromised);
-	log_offer(request, &ask, &entry, wait);
-	load_share_return(&gateway->load.share, &entry);
+	log_promise(request, &ask, &entry, wait);
+	load_share_return(&gateway->load.load_share, &entry);
 	gateway_load_arm_timer(gateway);
 	return (wait + USEC_PER_MSEC - 1) / USEC_PER_MSEC;
 }
--- a/gateway_load.h
+++ b/gateway_load.h
@@ -1,6 +1,6 @@
 /*
- * What a gateway instance does where backend servers are short: it tells other
- * instances that take callers of it, and callers when to come back.
+ * Overload handling of a gateway instance: exchanges load limits with the other
+ * instances that accept callers, and tells refused callers when to retry.
  */
 #ifndef GATEWAY_LOAD_H
 #define GATEWAY_LOAD_H
@@ -15,30 +15,40 @@
 struct route;
 
 /**
- * struct gateway_load - wiring of these
+ * struct gateway_load - state of overload handling
+ * @return_book: capacity reserved for the retries of refused callers
+ * @load_share: limits and reservations exchanged with other instances
+ * @timer: fires when @load_share has something to send
+ * @handler: receives messages of other instances
  */
 struct gateway_load {
-	struct return_book book;
-	struct load_share share;
+	struct return_book return_book;
+	struct load_share load_share;
 	struct wake_timer timer;
 	struct peer_handler handler;
 };
 
 /**
- * gateway_load_init() - after the fleet's part of the instance
+ * gateway_load_init() - set up overload handling, after gateway_fleet_init()
  */
 void gateway_load_init(struct gateway *gateway);
 void gateway_load_finish(struct gateway *gateway);
 
 /**
- * gateway_load_arm_timer() - requests may have found servers short
+ * gateway_load_arm_timer() - set the timer for the next message to peers, after
+ * a request may have changed the limits
  */
 void gateway_load_arm_timer(struct gateway *gateway);
 
 /**
- * gateway_load_check_return() - whether a request was refused before and is due
- * @id: of the request, for the log
+ * gateway_load_check_return() - check whether a request was refused before and
+ * may be admitted now
+ * @fingerprint: identifies the request when it is retried
+ * @id: request ID for the log
  * @out: set if the request is known
+ *
+ * Return: RETURN_EARLY if it must be refused again, RETURN_DUE if capacity was
+ * reserved for it, else RETURN_NONE. Only RETURN_EARLY keeps the reservation.
  */
 enum return_state gateway_load_check_return(struct gateway *gateway,
 					    const struct route *route,
@@ -46,18 +56,19 @@
 					    struct return_entry *out);
 
 /**
- * gateway_load_return_target() - the target that a request was refused for
+ * gateway_load_return_target() - find the target that refused a request
  *
- * Return: NULL if the route has it no more.
+ * Return: NULL if the route no longer has it.
  */
 const struct route_service *
 gateway_load_return_target(const struct route *route,
 			   const struct return_entry *entry);
 
 /**
- * gateway_load_offer_return() - when a caller that is refused may come back
+ * gateway_load_offer_return() - choose when a refused caller may retry, and
+ * reserve capacity for the retry if the caller can wait that long
  *
- * Return: milliseconds.
+ * Return: time to wait, milliseconds.
  */
 int64_t gateway_load_offer_return(struct gateway_request *request);
 
--- a/gateway_outage.c
+++ b/gateway_outage.c
@@ -7,7 +7,7 @@
 #include "log.h"
 #include "mem.h"
 
-/* A check under way. */
+/* A connection check in flight. */
 struct open_check {
 	struct gateway *gateway;
 	struct outage_server *check;
@@ -18,7 +18,7 @@
 	wake_timer_move(&gateway->outage_timer, outage_due(&gateway->outage));
 }
 
-static void on_checked(void *arg, bool listens)
+static void on_check_done(void *arg, bool listens)
 {
 	struct open_check *open = arg;
 	struct gateway *gateway = open->gateway;
@@ -28,22 +28,22 @@
 	gateway_outage_arm_timer(gateway);
 }
 
-static void check(void *arg, struct registry_server *server,
-		  struct outage_server *check)
+static void start_check(void *arg, struct registry_server *server,
+			struct outage_server *check)
 {
 	struct gateway *gateway = arg;
 	struct open_check *open = mem_zalloc(sizeof(*open));
 
 	open->gateway = gateway;
 	open->check = check;
-	if (!upstream_check(&gateway->upstream, server, on_checked, open))
+	if (!upstream_check(&gateway->upstream, server, on_check_done, open))
 		return;
 	outage_checked(&gateway->outage, check, false);
 	free(open);
 }
 
-static void changed(void *arg, const struct registry_server *server, bool lost,
-		    int64_t lost_for)
+static void log_reach_change(void *arg, const struct registry_server *server,
+			     bool lost, int64_t lost_for)
 {
 	(void)arg;
 	LOG_INFO("server_reach", LOG_TEXT("server", server->entry.id),
@@ -53,8 +53,8 @@
 }
 
 static const struct outage_ops ops = {
-	.check = check,
-	.changed = changed,
+	.check = start_check,
+	.changed = log_reach_change,
 };
 
 static void on_timer(void *arg)
--- a/gateway_outage.h
+++ b/gateway_outage.h
@@ -1,21 +1,26 @@
 /*
- * Checks the backend servers that a gateway's requests found lost, and logs
- * what it takes for lost.
+ * Checks whether backend servers that requests failed to reach are reachable
+ * again, and logs changes of reachability.
  */
 #ifndef GATEWAY_OUTAGE_H
 #define GATEWAY_OUTAGE_H
 
 struct gateway;
 
+/**
+ * gateway_outage_init() - set up outage checks, before requests are accepted
+ */
 void gateway_outage_init(struct gateway *gateway);
 
 /**
- * gateway_outage_finish() - after upstream_finish(), which ends open checks
+ * gateway_outage_finish() - free, after upstream_finish() has ended the checks
+ * under way
  */
 void gateway_outage_finish(struct gateway *gateway);
 
 /**
- * gateway_outage_arm_timer() - requests may have found servers lost
+ * gateway_outage_arm_timer() - set the timer for the next check, after requests
+ * may have found servers unreachable
  */
 void gateway_outage_arm_timer(struct gateway *gateway);
 
--- a/gateway_pages.c
+++ b/gateway_pages.c
@@ -14,8 +14,8 @@
 #include "log.h"
 
 /*
- * Callers keep the directory's answer for so long, and some three times as
- * long. Short, so that they soon leave an instance that is lost or stops.
+ * Cache lifetime of directory answers; some callers keep them three times as
+ * long. Short, so that callers soon leave an instance that fails or stops.
  */
 #define DIRECTORY_LIFETIME_S 2.0
 
@@ -35,7 +35,7 @@
 	reply(http, gateway_ready(pages->gateway) ? 200 : 503, NULL, NULL);
 }
 
-/* A member of the query; empty if it is not there. */
+/* Returns the value of a query parameter, empty if it is missing. */
 static struct str query_text(const struct evkeyvalq *query, const char *key)
 {
 	const char *text = evhttp_find_header(query, key);
@@ -78,7 +78,7 @@
 	struct evkeyvalq query = {NULL};
 	struct evbuffer *body;
 
-	/* Others may be ready; they are asked next. */
+	/* The caller asks another instance next, which may be ready. */
 	if (!store_sync_ready(&gateway->sync)) {
 		reply(http, 503, NULL, NULL);
 		return;
@@ -173,7 +173,7 @@
 		ret = bind_to(pages, &settings->directory_address);
 	if (!ret)
 		ret = bind_to(pages, &settings->control_address);
-	/* Callers matter more: it serves without a collector's address. */
+	/* Serving callers matters more than metrics: only log the failure. */
 	if (!ret && bind_to(pages, &settings->metrics_address))
 		LOG_WARN("no_metrics_address",
 			 LOG_I64("port", settings->metrics_address.port));
--- a/gateway_pages.h
+++ b/gateway_pages.h
@@ -1,4 +1,4 @@
-/* A gateway's small HTTP pages: readiness, directory, status and metrics. */
+/* HTTP endpoints of a gateway: readiness, directory and metrics. */
 #ifndef GATEWAY_PAGES_H
 #define GATEWAY_PAGES_H
 
@@ -6,13 +6,20 @@
 
 struct evhttp;
 
+/**
+ * struct gateway_pages - HTTP server of the endpoints
+ */
 struct gateway_pages {
 	struct gateway *gateway;
 	struct evhttp *http;
 };
 
 /**
- * gateway_pages_init() - listen on the addresses of the settings
+ * gateway_pages_init() - listen on the addresses in the settings
+ * @gateway: outlives @pages
+ *
+ * All endpoints answer on each address. A metrics address that cannot be bound
+ * is only logged.
  *
  * Return: 0, or ERR_ADDRESS.
  */
--- a/gateway_second_sends.h
+++ b/gateway_second_sends.h
@@ -1,6 +1,7 @@
 /*
- * Logs the second sends of this instance, per service, once per retry budget
- * window. The fleet's budget limits the sum over all instances.
+ * Logs the second sends (retries and hedges) of this instance, per service,
+ * once per retry budget window. The fleet's budget limits the sum over all
+ * instances.
  */
 #ifndef GATEWAY_SECOND_SENDS_H
 #define GATEWAY_SECOND_SENDS_H
@@ -9,6 +10,9 @@
 
 struct gateway;
 
+/**
+ * gateway_second_sends_init() - start the first window
+ */
 void gateway_second_sends_init(struct gateway *gateway);
 void gateway_second_sends_finish(struct gateway *gateway);
 
