--- a/gateway_answer.c
+++ b/gateway_answer.c
@@ -1,4 +1,4 @@
-/* What a gateway's caller is told, and what is logged of it. */
+/* Answers to callers, and the logs about them. */
 #define LOG_MODULE "request"
 #include "gateway_request_private.h"
 
@@ -49,8 +49,8 @@
 		 LOG_TEXT("error", error_name(dispatch->code)));
 }
 
-/* Why a shard is not in an answer: where it was sent, and since when. */
-static void log_missing(const struct gateway_request *request)
+/* Logs why parts are missing: the last server and the time since the send. */
+static void log_missing_parts(const struct gateway_request *request)
 {
 	static const struct server_load unknown;
 	const struct dispatch *dispatch = &request->dispatch;
@@ -85,7 +85,7 @@
 	}
 }
 
-static void answer_parts(struct gateway_request *request)
+static void send_merged_answer(struct gateway_request *request)
 {
 	const struct gateway_header_names *names = request->gateway->names;
 	struct dispatch *dispatch = &request->dispatch;
@@ -108,7 +108,7 @@
 			    STR_ARG(names->parts_missing),
 			    dispatch->n_parts - dispatch->n_in);
 	gateway_request_log(request, HTTP_STATUS_OK);
-	log_missing(request);
+	log_missing_parts(request);
 	inbound_answer(request->conn, HTTP_STATUS_OK, fields,
 		       (struct str){dispatch->records.bytes,
 				    (size_t)dispatch->records.n * RECORD_SIZE});
@@ -123,20 +123,21 @@
 	       status == HTTP_STATUS_SERVICE_UNAVAILABLE;
 }
 
-static bool answer_kept(struct gateway_request *request)
+static bool send_saved_answer(struct gateway_request *request)
 {
-	struct kept_answer *kept = &request->kept;
+	struct saved_answer *saved = &request->saved;
 
-	if (!kept->fields || gateway_status_implies_not_run(kept->status))
+	if (!saved->fields || gateway_status_implies_not_run(saved->status))
 		return false;
-	gateway_request_log(request, kept->status);
-	inbound_answer(request->conn, kept->status, kept->fields,
-		       (struct str){kept->body, kept->body_len});
+	gateway_request_log(request, saved->status);
+	inbound_answer(request->conn, saved->status, saved->fields,
+		       (struct str){saved->body, saved->body_len});
 	return true;
 }
 
-/* No server was sent anything: why, and what the caller is told. */
-static void log_lost(const struct gateway_request *request, int64_t retry_after)
+/* Logs a request refused without any send, as servers are unreachable. */
+static void log_shards_lost(const struct gateway_request *request,
+			    int64_t retry_after)
 {
 	const struct dispatch *dispatch = &request->dispatch;
 	int64_t lost_for = clock_now(dispatch->clock) - dispatch->lost_since;
@@ -149,7 +150,7 @@
 		 LOG_I64("retry_after_ms", retry_after));
 }
 
-/* More requests are under way than can be served in time. */
+/* Logs a request refused because its service is over the load limit. */
 static void log_overload(const struct gateway_request *request,
 			 int64_t retry_after)
 {
@@ -168,7 +169,7 @@
 		 LOG_I64("retry_after_ms", retry_after));
 }
 
-static struct metric *overload_level(const struct gateway_request *request)
+static struct metric *overload_metric(const struct gateway_request *request)
 {
 	struct gateway_stats *counters = &request->gateway->counters;
 	struct metric *levels[OUTLOOK_LEVELS] = {
@@ -181,7 +182,7 @@
 	return levels[request->dispatch.level];
 }
 
-static void answer_failure(struct gateway_request *request, bool ran)
+static void send_failure(struct gateway_request *request, bool ran)
 {
 	int code = request->dispatch.code;
 	int status = HTTP_STATUS_SERVICE_UNAVAILABLE;
@@ -194,13 +195,13 @@
 	else
 		retry_after = gateway_load_offer_return(request);
 	if (code == ERR_OVERLOAD) {
-		metric_inc(overload_level(request));
+		metric_inc(overload_metric(request));
 		metric_inc(&request->gateway->counters.overload);
 		if (!request->dispatch.foreseen)
 			log_overload(request, retry_after);
 	} else if (!request->dispatch.n_sends && request->dispatch.n_lost) {
 		metric_inc(&request->gateway->counters.no_server);
-		log_lost(request, retry_after);
+		log_shards_lost(request, retry_after);
 	}
 	gateway_request_log(request, status);
 	gateway_answer_error(request->conn, status, retry_after,
@@ -216,15 +217,15 @@
 		metric_inc(outcome == DISPATCH_WHOLE ? &counters->answered
 						     : &counters->partial);
 		if (request->route->sharded)
-			answer_parts(request);
+			send_merged_answer(request);
 		else
-			answer_kept(request);
+			send_saved_answer(request);
 	} else if (outcome == DISPATCH_REFUSED) {
 		metric_inc(&counters->refused);
-		answer_failure(request, false);
+		send_failure(request, false);
 	} else {
 		metric_inc(&counters->failed);
-		if (request->route->sharded || !answer_kept(request))
-			answer_failure(request, true);
+		if (request->route->sharded || !send_saved_answer(request))
+			send_failure(request, true);
 	}
 }
--- a/gateway_pages.c
+++ b/gateway_pages.c
@@ -102,7 +102,8 @@
 
 	metric_set(&counters->server_connections_opened,
 		   (int64_t)gateway->upstream.opened);
-	metric_set(&counters->relay_jobs, (int64_t)gateway->relay_ask.asked);
+	metric_set(&counters->relay_jobs,
+		   (int64_t)gateway->relay_ask.jobs_sent);
 	metric_set(&counters->gateway_links,
 		   gateway->fleet.board.counters.peer_links.value);
 	metric_set(&counters->heartbeat_bytes,
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -17,14 +17,15 @@
 #include "mem.h"
 
 /*
- * How long callers wait is what they said lately: those that had an open
- * connection, at least every second one, said it in full.
+ * Window for the maximum of the timeouts that callers send. Callers with an
+ * open connection, at least half of them, send their full timeout; the others
+ * have used part of it to connect.
  */
-#define PATIENCE_SPAN MSEC(20000)
-/* A caller may say any number. */
-#define PATIENCE_MS_MOST 3600000
-/* Without routes or servers: they come within about a second of a start. */
-#define START_RETRY_MS 500
+#define CALLER_TIMEOUT_SPAN MSEC(20000)
+/* Limits the timeout sent by a caller, which is not trusted. */
+#define CALLER_TIMEOUT_MAX_MS 3600000
+/* Routes and servers arrive within about a second of a start. */
+#define STARTUP_RETRY_MS 500
 
 static void free_request(struct gateway_request *request)
 {
@@ -34,9 +35,9 @@
 	route_set_unref(request->routes);
 	evbuffer_free(request->head);
 	event_free(request->timer);
-	if (request->kept.fields)
-		evbuffer_free(request->kept.fields);
-	free(request->kept.body);
+	if (request->saved.fields)
+		evbuffer_free(request->saved.fields);
+	free(request->saved.body);
 	free(request);
 }
 
@@ -53,8 +54,8 @@
 	evtimer_add(request->timer, &tv);
 }
 
-static void go_on(struct gateway_request *request,
-		  enum dispatch_outcome outcome)
+static void handle_outcome(struct gateway_request *request,
+			   enum dispatch_outcome outcome)
 {
 	if (outcome) {
 		gateway_answer(request);
@@ -71,11 +72,11 @@
 
 	(void)fd;
 	(void)what;
-	go_on(request, dispatch_tick(&request->dispatch));
+	handle_outcome(request, dispatch_tick(&request->dispatch));
 }
 
-static struct route_stats *stats_of(struct gateway *gateway,
-				    const struct route *route)
+static struct route_stats *get_route_stats(struct gateway *gateway,
+					   const struct route *route)
 {
 	const char *name = route->name ? route->name : route->prefix;
 	struct route_stats *stats;
@@ -86,13 +87,13 @@
 	stats = mem_zalloc(sizeof(*stats));
 	str_copy(stats->name, sizeof(stats->name), str_from(name));
 	latency_init(&stats->latency, MSEC(route->goal_ms) / 4);
-	peak_init(&stats->caller_timeout, PATIENCE_SPAN, 0,
+	peak_init(&stats->caller_timeout, CALLER_TIMEOUT_SPAN, 0,
 		  clock_now(&gateway->clock));
 	HASH_ADD_STR(gateway->route_stats, name, stats);
 	return stats;
 }
 
-static bool is_ours(const struct gateway *gateway, struct str name)
+static bool is_gateway_header(const struct gateway *gateway, struct str name)
 {
 	const struct upstream_names *names = &gateway->names->upstream;
 
@@ -102,7 +103,7 @@
 		!strncasecmp(name.data, names->server_id.data, name.len));
 }
 
-/* The bytes that go to each server, but for the headers that differ. */
+/* Builds the request head, without the header fields that differ by server. */
 static void build_head(struct gateway_request *request,
 		       const struct http_message *message)
 {
@@ -120,7 +121,7 @@
 			http_message_span(message, message->fields[i].value);
 
 		if (!http_field_is_hop(message, name) &&
-		    !is_ours(request->gateway, name))
+		    !is_gateway_header(request->gateway, name))
 			evbuffer_add_printf(head, STR_FMT ": " STR_FMT "\r\n",
 					    STR_ARG(name), STR_ARG(value));
 	}
@@ -133,9 +134,9 @@
 					     evbuffer_get_length(head)};
 }
 
-/* That the caller will still wait, milliseconds; -1: it did not say. */
-static int told_by_caller(const struct gateway *gateway,
-			  const struct http_message *message)
+/* Returns how long the caller will still wait, milliseconds; -1: not given. */
+static int parse_caller_timeout(const struct gateway *gateway,
+				const struct http_message *message)
 {
 	struct str text =
 		http_message_field(message, gateway->names->upstream.deadline);
@@ -143,29 +144,34 @@
 
 	if (str_parse_u64(text, &ms))
 		return -1;
-	return ms < PATIENCE_MS_MOST ? (int)ms : PATIENCE_MS_MOST;
+	return ms < CALLER_TIMEOUT_MAX_MS ? (int)ms : CALLER_TIMEOUT_MAX_MS;
 }
 
-/* Counted from when it came, which is earlier if the process was stopped. */
-static int64_t time_left(const struct gateway *gateway,
-			 const struct route *route, int told)
+/*
+ * Returns the time left to answer. It counts from the arrival of the request,
+ * which was earlier if the process has stalled.
+ */
+static int64_t get_time_left(const struct gateway *gateway,
+			     const struct route *route, int timeout_ms)
 {
-	int64_t ms =
-		told < 0 || told > route->timeout_ms ? route->timeout_ms : told;
+	int64_t ms = timeout_ms < 0 || timeout_ms > route->timeout_ms
+			     ? route->timeout_ms
+			     : timeout_ms;
 
 	return MSEC(ms) - blackboard_stall(&gateway->fleet.board);
 }
 
-static int64_t answer_after(const struct gateway *gateway,
-			    const struct inbound_conn *conn,
-			    const struct route *route,
-			    struct route_stats *stats, int told)
+static int64_t get_answer_timeout(const struct gateway *gateway,
+				  const struct inbound_conn *conn,
+				  const struct route *route,
+				  struct route_stats *stats, int timeout_ms)
 {
 	int64_t now = clock_now(&gateway->clock);
 	const struct answer_due due = {
 		.goal = MSEC(route->goal_ms),
-		.patience = MSEC(peak_add(&stats->caller_timeout, told, now)),
-		.told = told < 0 ? -1 : MSEC(told),
+		.patience =
+			MSEC(peak_add(&stats->caller_timeout, timeout_ms, now)),
+		.told = timeout_ms < 0 ? -1 : MSEC(timeout_ms),
 		.round_trip = inbound_conn_round_trip(conn),
 	};
 
@@ -182,7 +188,7 @@
 	return host;
 }
 
-/* The same request comes again: same path, caller and body. */
+/* Equal for retries of a request: same caller, method, host, path and body. */
 static uint64_t fingerprint_of(const struct inbound_conn *conn,
 			       const struct http_message *message)
 {
@@ -194,14 +200,15 @@
 				  http_message_target(message), hash);
 }
 
-/* @due: what it was promised, or NULL */
-static void start(struct gateway *gateway, struct inbound_conn *conn,
-		  const struct http_message *message, const struct route *route,
-		  uint64_t fingerprint, const struct return_entry *due)
+/* @due: capacity reserved for this retry, or NULL */
+static void start_request(struct gateway *gateway, struct inbound_conn *conn,
+			  const struct http_message *message,
+			  const struct route *route, uint64_t fingerprint,
+			  const struct return_entry *due)
 {
 	struct gateway_request *request = mem_zalloc(sizeof(*request));
-	struct route_stats *stats = stats_of(gateway, route);
-	int told = told_by_caller(gateway, message);
+	struct route_stats *stats = get_route_stats(gateway, route);
+	int timeout_ms = parse_caller_timeout(gateway, message);
 	const struct route_service *target = NULL;
 
 	request->gateway = gateway;
@@ -209,7 +216,7 @@
 	request->routes = route_set_ref(gateway->sync.routes);
 	request->route = route;
 	request->fingerprint = fingerprint;
-	request->go_on = go_on;
+	request->on_outcome = handle_outcome;
 	request->head = evbuffer_new();
 	request->timer = evtimer_new(gateway->base, on_timer, request);
 	request->request.id =
@@ -227,18 +234,19 @@
 		      &gateway->limits, request, &gateway->registry, route,
 		      target, &stats->latency,
 		      clock_now(&gateway->clock) +
-			      time_left(gateway, route, told),
-		      answer_after(gateway, conn, route, stats, told));
+			      get_time_left(gateway, route, timeout_ms),
+		      get_answer_timeout(gateway, conn, route, stats,
+					 timeout_ms));
 	request->dispatch.promised = due;
 	gateway_send_init(request);
-	go_on(request, dispatch_start(&request->dispatch));
+	handle_outcome(request, dispatch_start(&request->dispatch));
 	gateway_outage_arm_timer(gateway);
 	gateway_load_arm_timer(gateway);
 }
 
-static void refuse(struct gateway *gateway, struct inbound_conn *conn,
-		   const struct http_message *message, int status,
-		   int64_t retry_after_ms, const char *why)
+static void refuse_request(struct gateway *gateway, struct inbound_conn *conn,
+			   const struct http_message *message, int status,
+			   int64_t retry_after_ms, const char *why)
 {
 	LOG_INFO("request_refused",
 		 LOG_STR("request",
@@ -257,21 +265,22 @@
 }
 
 /*
- * "No such route" is final for a caller, so that it must not come from routes
- * that may be old.
+ * Callers take 404 as final, so it is sent only if the routes are known to be
+ * current.
  */
-static void refuse_unrouted(struct gateway *gateway, struct inbound_conn *conn,
+static void refuse_no_route(struct gateway *gateway, struct inbound_conn *conn,
 			    const struct http_message *message)
 {
 	int64_t age = store_sync_routes_age(&gateway->sync);
 
 	metric_inc(&gateway->counters.no_route);
 	if (age <= MSEC(gateway->settings->config_apply_ms))
-		refuse(gateway, conn, message, HTTP_STATUS_NOT_FOUND, 0,
-		       "no_route");
+		refuse_request(gateway, conn, message, HTTP_STATUS_NOT_FOUND, 0,
+			       "no_route");
 	else
-		refuse(gateway, conn, message, HTTP_STATUS_SERVICE_UNAVAILABLE,
-		       START_RETRY_MS, "routes_may_be_old");
+		refuse_request(gateway, conn, message,
+			       HTTP_STATUS_SERVICE_UNAVAILABLE,
+			       STARTUP_RETRY_MS, "routes_may_be_old");
 }
 
 static int64_t ms_until(const struct gateway *gateway, int64_t at)
@@ -294,11 +303,12 @@
 				   gateway->names->upstream.request_id),
 		&entry);
 	if (state == RETURN_EARLY)
-		refuse(gateway, conn, message, HTTP_STATUS_SERVICE_UNAVAILABLE,
-		       ms_until(gateway, entry.due), "early");
+		refuse_request(gateway, conn, message,
+			       HTTP_STATUS_SERVICE_UNAVAILABLE,
+			       ms_until(gateway, entry.due), "early");
 	else
-		start(gateway, conn, message, route, fingerprint,
-		      state == RETURN_DUE ? &entry : NULL);
+		start_request(gateway, conn, message, route, fingerprint,
+			      state == RETURN_DUE ? &entry : NULL);
 }
 
 static void on_request(void *arg, struct inbound_conn *conn,
@@ -312,31 +322,33 @@
 	metric_inc(&gateway->counters.requests);
 	if (!http_message_field(message, gateway->names->upstream.request_id)
 		     .len) {
-		refuse(gateway, conn, message, HTTP_STATUS_BAD_REQUEST, 0,
-		       "no_request_id");
+		refuse_request(gateway, conn, message, HTTP_STATUS_BAD_REQUEST,
+			       0, "no_request_id");
 		return;
 	}
 	if (!store_sync_ready(&gateway->sync)) {
-		refuse(gateway, conn, message, HTTP_STATUS_SERVICE_UNAVAILABLE,
-		       START_RETRY_MS, "starting");
+		refuse_request(gateway, conn, message,
+			       HTTP_STATUS_SERVICE_UNAVAILABLE,
+			       STARTUP_RETRY_MS, "starting");
 		return;
 	}
 	route = route_set_find(gateway->sync.routes, host_of(message),
 			       http_message_target(message));
 	if (!route) {
-		refuse_unrouted(gateway, conn, message);
+		refuse_no_route(gateway, conn, message);
 		return;
 	}
 	fingerprint = fingerprint_of(conn, message);
 	if (poison_check(&gateway->fleet.board.poison, fingerprint,
 			 &retry_after_ms) == POISON_BANNED)
-		refuse(gateway, conn, message, HTTP_STATUS_SERVICE_UNAVAILABLE,
-		       retry_after_ms, "crashes_servers");
+		refuse_request(gateway, conn, message,
+			       HTTP_STATUS_SERVICE_UNAVAILABLE, retry_after_ms,
+			       "crashes_servers");
 	else
 		start_or_refuse(gateway, conn, message, route, fingerprint);
 }
 
-static void on_left(void *arg, struct inbound_conn *conn, void *data)
+static void on_caller_left(void *arg, struct inbound_conn *conn, void *data)
 {
 	struct gateway *gateway = arg;
 	struct gateway_request *request = data;
@@ -350,7 +362,7 @@
 	free_request(request);
 }
 
-static void on_refused(void *arg, int status, const char *why)
+static void on_malformed(void *arg, int status, const char *why)
 {
 	struct gateway *gateway = arg;
 
@@ -361,8 +373,8 @@
 
 const struct inbound_ops gateway_request_ops = {
 	.request = on_request,
-	.left = on_left,
-	.refused = on_refused,
+	.left = on_caller_left,
+	.refused = on_malformed,
 };
 
 void gateway_request_free_all(struct gateway *gateway)
--- a/gateway_request.h
+++ b/gateway_request.h
@@ -1,16 +1,17 @@
-/* One caller's request at a gateway, from its first byte to its answer. */
+/* Handling of a caller's request, from receiving it to answering it. */
 #ifndef GATEWAY_REQUEST_H
 #define GATEWAY_REQUEST_H
 
 #include "gateway.h"
 
 /**
- * gateway_request_ops - takes requests from callers, with a struct gateway
+ * gateway_request_ops - callbacks for callers' requests; their argument is the
+ * struct gateway
  */
 extern const struct inbound_ops gateway_request_ops;
 
 /**
- * gateway_request_free_all() - forget all open requests, at the end
+ * gateway_request_free_all() - free all open requests without answering them
  */
 void gateway_request_free_all(struct gateway *gateway);
 
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -1,4 +1,4 @@
-/* What a gateway's dispatch decided: sends to servers, direct or by relays. */
+/* Executes what a dispatch decides: sends to servers, direct or by relays. */
 #define LOG_MODULE "request"
 #include "gateway_request_private.h"
 
@@ -11,9 +11,9 @@
 #include "log.h"
 #include "mem.h"
 
-/* To a relay and back, and what both take for it. */
-#define RELAY_WAY MSEC(6)
-#define RELAY_FLUSH_LEAST MSEC(4)
+/* Network round trip to a relay, plus processing on both sides. */
+#define RELAY_ROUND_TRIP MSEC(6)
+#define RELAY_FLUSH_MIN MSEC(4)
 
 static void copy_fields(const struct http_message *message,
 			struct evbuffer *fields)
@@ -32,20 +32,20 @@
 	}
 }
 
-static void keep_answer(struct gateway_request *request,
+static void save_answer(struct gateway_request *request,
 			const struct http_message *message)
 {
-	struct kept_answer *kept = &request->kept;
+	struct saved_answer *saved = &request->saved;
 	struct str body = http_message_body(message);
 
-	if (kept->fields)
-		evbuffer_free(kept->fields);
-	free(kept->body);
-	kept->fields = evbuffer_new();
-	kept->status = (int)message->parser.status_code;
-	kept->body = mem_dup_len(body.data, body.len);
-	kept->body_len = body.len;
-	copy_fields(message, kept->fields);
+	if (saved->fields)
+		evbuffer_free(saved->fields);
+	free(saved->body);
+	saved->fields = evbuffer_new();
+	saved->status = (int)message->parser.status_code;
+	saved->body = mem_dup_len(body.data, body.len);
+	saved->body_len = body.len;
+	copy_fields(message, saved->fields);
 }
 
 static void count_result(struct gateway *gateway,
@@ -59,7 +59,7 @@
 		metric_histogram_add(&counters->send_time.histogram,
 				     result->took);
 	else if (result->code == ERR_OVERLOAD)
-		return; /* never sent: counted where it waited */
+		return; /* never sent: counted by the server queue */
 	else if (result->not_run)
 		metric_inc(&counters->sends_shed);
 	else
@@ -104,15 +104,15 @@
 		answer.body = http_message_body(result->message);
 		answer.success = status / 100 == 2;
 		if (!request->route->sharded) {
-			/* Other answers below 500 are the service's own. */
+			/* Other statuses below 500 are results, not faults. */
 			answer.success =
 				status < 500 &&
 				!gateway_status_implies_not_run(status);
-			keep_answer(request, result->message);
+			save_answer(request, result->message);
 		}
 	}
-	request->go_on(request,
-		       dispatch_result(&request->dispatch, send, &answer));
+	request->on_outcome(request,
+			    dispatch_result(&request->dispatch, send, &answer));
 }
 
 static void on_relayed(struct dispatch_send *send,
@@ -129,23 +129,26 @@
 	dispatch_result(&request->dispatch, send, answer);
 }
 
-static void hold(void *arg)
+static void begin_batch(void *arg)
 {
 	struct gateway_request *request = arg;
 
 	dispatch_hold(&request->dispatch);
 }
 
-static void release(void *arg)
+static void end_batch(void *arg)
 {
 	struct gateway_request *request = arg;
 
-	request->go_on(request, dispatch_release(&request->dispatch));
+	request->on_outcome(request, dispatch_release(&request->dispatch));
 }
 
-/* Towards the decisions. */
+/* Callbacks of the dispatch. */
 
-/* Who may send to a server that is cold; NULL if it is not, or nobody may. */
+/*
+ * Returns the only instance that may send to a cold server; NULL if the server
+ * is not cold, or if no instance may.
+ */
 static const char *cold_sender(struct gateway *gateway,
 			       const struct registry_server *server)
 {
@@ -154,15 +157,15 @@
 	return gateway_fleet_cold_sender(&gateway->fleet, server);
 }
 
-/* Where a part is given to a relay, and to which one. */
+/* Which relay makes a send. */
 struct relay_choice {
-	const char *data_centre; /* NULL: it is sent from here */
-	const char *instance;	 /* NULL: any there */
+	const char *data_centre; /* NULL: none, send it from here */
+	const char *instance;	 /* NULL: any relay in @data_centre */
 };
 
 /*
- * A caller elsewhere may have sent this instance a request that must not leave
- * other regions: its body goes to no other instance here.
+ * A caller may have sent this instance a request that is restricted to other
+ * regions. Its body must not be sent to further instances in this region.
  */
 static bool may_relay_here(const struct gateway *gateway,
 			   const struct route *route)
@@ -175,11 +178,12 @@
 }
 
 /*
- * Parts for servers elsewhere go to a relay there. A cold server is sent to by
- * one instance only. An instance that is none of the senders gives all its
- * parts to one near it: hundreds of these, each with a connection or two to a
- * server, are more than it accepts, and what is over its cap it resets, whoever
- * sent it.
+ * Parts for servers in other data centres go through a relay there, and parts
+ * for a cold server through the only instance that may send to it. An instance
+ * that does not connect to servers sends all its parts through a local relay:
+ * hundreds of such instances with one or two connections each would exceed what
+ * a server accepts, and a server over its limit resets connections of any
+ * instance.
  */
 static struct relay_choice choose_relay(struct gateway *gateway,
 					const struct route *route,
@@ -199,8 +203,8 @@
 }
 
 /*
- * Parts share the bytes of the request and of the merged records; an answer of
- * one server is not merged with others.
+ * Only sharded requests are relayed: their parts share the bytes of the request
+ * and of the merged records, while other answers cannot be merged.
  */
 static int relay_part(struct gateway_request *request,
 		      struct dispatch_send *send)
@@ -246,7 +250,7 @@
 	return ret;
 }
 
-static void abandon(void *arg, struct dispatch_send *send)
+static void abandon_send(void *arg, struct dispatch_send *send)
 {
 	struct gateway_request *request = arg;
 	int64_t now = clock_now(&request->gateway->clock);
@@ -256,19 +260,19 @@
 		relay_ask_abandon(send->handle);
 		return;
 	}
-	/* Cut off, nobody would know whether it ran. */
+	/* If the connection were closed, it would be unknown whether it ran. */
 	if (!request->route->repeatable)
 		linger = request->dispatch.deadline - now;
 	server_turn_abandon(send->handle, linger > 0 ? linger : 0);
 }
 
-static bool waits(void *arg, const struct dispatch_send *send)
+static bool is_queued(void *arg, const struct dispatch_send *send)
 {
 	(void)arg;
 	return !send->relayed && server_turn_waits(send->handle);
 }
 
-static void decided(void *arg, const struct dispatch_send *send)
+static void report_send(void *arg, const struct dispatch_send *send)
 {
 	struct gateway_request *request = arg;
 	struct gateway_stats *counters = &request->gateway->counters;
@@ -301,7 +305,7 @@
 					      USEC_PER_MSEC));
 }
 
-static void limited(void *arg, const struct load_limit *load)
+static void log_limit_lowered(void *arg, const struct load_limit *load)
 {
 	const struct gateway_request *request = arg;
 
@@ -314,17 +318,17 @@
 
 const struct dispatch_ops gateway_send_ops = {
 	.send = send_part,
-	.abandon = abandon,
-	.waits = waits,
-	.decided = decided,
-	.limited = limited,
+	.abandon = abandon_send,
+	.waits = is_queued,
+	.decided = report_send,
+	.limited = log_limit_lowered,
 	.foreseen = gateway_report_forecast,
 	.kept_back = gateway_report_resend_left_out,
 };
 
 /*
- * A relay tells what is in shortly before a hedge would be sent for what is
- * not, so that the way between data centres is not taken for a late server.
+ * Relays send their first results shortly before the hedge delay ends, so that
+ * the round trip between data centres is not mistaken for a slow server.
  */
 void gateway_send_init(struct gateway_request *request)
 {
@@ -338,12 +342,12 @@
 	relay->goal_at = request->dispatch.answer_at;
 	relay->priority = request->route->priority;
 	relay->records_max = request->route->records_max;
-	relay->taken = &request->dispatch.records;
+	relay->best_records = &request->dispatch.records;
 	relay->result = on_relayed;
-	relay->hold = hold;
-	relay->release = release;
+	relay->begin_batch = begin_batch;
+	relay->end_batch = end_batch;
 	relay->arg = request;
-	relay->flush_after = delay - RELAY_WAY;
-	if (relay->flush_after < RELAY_FLUSH_LEAST)
-		relay->flush_after = RELAY_FLUSH_LEAST;
+	relay->flush_after = delay - RELAY_ROUND_TRIP;
+	if (relay->flush_after < RELAY_FLUSH_MIN)
+		relay->flush_after = RELAY_FLUSH_MIN;
 }
--- a/relay_ask.c
+++ b/relay_ask.c
@@ -134,7 +134,7 @@
 static void fill_floor(const struct relay_client *client,
 		       Peer__PartRequest *message)
 {
-	const struct records *taken = client->taken;
+	const struct records *taken = client->best_records;
 
 	if (!taken || !taken->n || taken->n < taken->max)
 		return;
@@ -181,7 +181,7 @@
 	batch->flush_after = client->flush_after;
 	HASH_ADD(hh, relay->jobs, id, sizeof(batch->id), batch);
 	server_score_sent(&batch->peer->score, now);
-	relay->asked++;
+	relay->jobs_sent++;
 	/* A link that has just broken is reported as down, with its jobs. */
 	if (link)
 		peer_send(link, FRAME_PART_REQUEST, &message.base);
@@ -265,7 +265,7 @@
 		return;
 	client = batch->client;
 	if (client)
-		client->hold(client->arg);
+		client->begin_batch(client->arg);
 	for (i = 0; i < batch->n_sends; i++) {
 		struct relay_send *entry = batch->sends[i];
 		struct dispatch_send *send = entry->send;
@@ -278,7 +278,7 @@
 	}
 	relay_batch_free(batch);
 	if (client)
-		client->release(client->arg);
+		client->end_batch(client->arg);
 }
 
 /* All that was given to an instance is lost with the connection to it. */
@@ -307,15 +307,15 @@
 
 void relay_ask_init(struct relay_ask *relay, struct blackboard *board,
 		    struct peers *peers, struct registry *registry,
-		    bool (*usable)(void *arg,
-				   const struct fleet_member *member),
+		    bool (*is_usable)(void *arg,
+				      const struct fleet_member *member),
 		    void *arg)
 {
 	memset(relay, 0, sizeof(*relay));
 	relay->board = board;
 	relay->peers = peers;
 	relay->registry = registry;
-	relay->usable = usable;
+	relay->is_usable = is_usable;
 	relay->arg = arg;
 	relay->handler.frame = on_frame;
 	relay->handler.down = on_down;
--- a/relay_ask.h
+++ b/relay_ask.h
@@ -55,12 +55,12 @@
 	int64_t goal_at;
 	int64_t priority;
 	int64_t records_max;
-	const struct records *taken;
+	const struct records *best_records;
 	int64_t connections_max;
 	void (*result)(struct dispatch_send *send,
 		       const struct dispatch_answer *answer);
-	void (*hold)(void *arg);
-	void (*release)(void *arg);
+	void (*begin_batch)(void *arg);
+	void (*end_batch)(void *arg);
 	void *arg;
 	struct relay_batch *batches;
 };
@@ -75,19 +75,19 @@
 	struct blackboard *board;
 	struct peers *peers;
 	struct registry *registry;
-	bool (*usable)(void *arg, const struct fleet_member *member);
+	bool (*is_usable)(void *arg, const struct fleet_member *member);
 	void *arg;
 	struct peer_handler handler;
 	struct relay_peer *relays;
 	struct relay_batch *jobs;
 	uint64_t last_id;
-	uint64_t asked;
+	uint64_t jobs_sent;
 };
 
 void relay_ask_init(struct relay_ask *relay, struct blackboard *board,
 		    struct peers *peers, struct registry *registry,
-		    bool (*usable)(void *arg,
-				   const struct fleet_member *member),
+		    bool (*is_usable)(void *arg,
+				      const struct fleet_member *member),
 		    void *arg);
 void relay_ask_finish(struct relay_ask *relay);
 
--- a/relay_choose.c
+++ b/relay_choose.c
@@ -73,7 +73,7 @@
 	member = fleet_find(&relay->board->fleet, str_from(link->instance));
 	if (!member || member->status != FLEET_ALIVE ||
 	    strcmp(member->data_centre, data_centre) ||
-	    !relay->usable(relay->arg, member))
+	    !relay->is_usable(relay->arg, member))
 		return NULL;
 	return member;
 }
--- a/relay_result.c
+++ b/relay_result.c
@@ -220,10 +220,10 @@
 	/* The request does not end between these, so that the batch stays. */
 	client = batch->client;
 	if (client)
-		client->hold(client->arg);
+		client->begin_batch(client->arg);
 	take_parts(batch, message);
 	if (!batch->n_open)
 		relay_batch_free(batch);
 	if (client)
-		client->release(client->arg);
+		client->end_batch(client->arg);
 }
--- a/tests/fuzz/fuzz_relay.c
+++ b/tests/fuzz/fuzz_relay.c
@@ -163,8 +163,8 @@
 		.flush_after = MSEC(20),
 		.records_max = RECORDS,
 		.result = on_result,
-		.hold = on_hold,
-		.release = on_release,
+		.begin_batch = on_hold,
+		.end_batch = on_release,
 		.arg = world,
 	};
 	ask(world);
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -53,7 +53,7 @@
 	world->took[i] = answer->took;
 }
 
-static void on_hold(void *arg)
+static void on_batch(void *arg)
 {
 	(void)arg;
 }
@@ -119,8 +119,8 @@
 		.flush_after = MSEC(20),
 		.records_max = RECORDS_MOST,
 		.result = on_result,
-		.hold = on_hold,
-		.release = on_hold,
+		.begin_batch = on_batch,
+		.end_batch = on_batch,
 		.arg = world,
 	};
 }
