--- a/relay_ask.c
+++ b/relay_ask.c
@@ -18,7 +18,7 @@
 	struct relay_batch *batch;
 
 	DL_FOREACH (client->batches, batch) {
-		if (batch->told || strcmp(batch->data_centre, data_centre))
+		if (batch->sent || strcmp(batch->data_centre, data_centre))
 			continue;
 		if (!instance || !strcmp(batch->peer->instance, instance))
 			return batch;
@@ -26,10 +26,10 @@
 	return NULL;
 }
 
-static struct relay_batch *new_batch(struct relay_ask *relay,
-				     struct relay_client *client,
-				     const char *data_centre,
-				     const char *instance)
+static struct relay_batch *create_batch(struct relay_ask *relay,
+					struct relay_client *client,
+					const char *data_centre,
+					const char *instance)
 {
 	struct relay_peer *peer =
 		instance ? relay_peer_find(relay, data_centre, instance)
@@ -54,37 +54,37 @@
 		   const char *instance, void **handle)
 {
 	struct relay_batch *batch = find_batch(client, data_centre, instance);
-	struct relay_send *entry;
+	struct relay_send *relayed;
 
 	if (!batch)
-		batch = new_batch(relay, client, data_centre, instance);
+		batch = create_batch(relay, client, data_centre, instance);
 	if (!batch)
 		return ERR_UNAVAILABLE;
-	entry = mem_zalloc(sizeof(*entry));
-	entry->batch = batch;
-	entry->send = send;
-	entry->server = registry_server_ref(send->server);
-	entry->sent_at = clock_now(relay->board->clock);
-	server_score_sent(&entry->server->score, entry->sent_at);
+	relayed = mem_zalloc(sizeof(*relayed));
+	relayed->batch = batch;
+	relayed->send = send;
+	relayed->server = registry_server_ref(send->server);
+	relayed->sent_at = clock_now(relay->board->clock);
+	server_score_sent(&relayed->server->score, relayed->sent_at);
 	MEM_GROW(batch->sends, batch->n_sends, batch->cap_sends);
-	batch->sends[batch->n_sends++] = entry;
+	batch->sends[batch->n_sends++] = relayed;
 	batch->n_open++;
-	*handle = entry;
+	*handle = relayed;
 	return 0;
 }
 
-void relay_send_end(struct relay_send *entry, enum server_result result,
+void relay_send_end(struct relay_send *relayed, enum server_result result,
 		    int64_t took)
 {
-	int64_t now = clock_now(entry->batch->relay->board->clock);
+	int64_t now = clock_now(relayed->batch->relay->board->clock);
 
-	if (entry->over)
+	if (relayed->ended)
 		return;
-	entry->over = true;
-	entry->batch->n_open--;
-	server_score_result(&entry->server->score, result, took, now);
+	relayed->ended = true;
+	relayed->batch->n_open--;
+	server_score_result(&relayed->server->score, result, took, now);
 	if (result == SERVER_ANSWERED)
-		registry_answered(entry->server->service, took);
+		registry_answered(relayed->server->service, took);
 }
 
 void relay_batch_free(struct relay_batch *batch)
@@ -93,9 +93,9 @@
 	int64_t now = clock_now(relay->board->clock);
 	int i;
 
-	if (batch->told) {
+	if (batch->sent) {
 		HASH_DEL(relay->jobs, batch);
-		if (!batch->heard)
+		if (!batch->answered)
 			server_score_result(&batch->peer->score,
 					    relay_batch_is_late(batch, now)
 						    ? SERVER_SILENT
@@ -130,20 +130,20 @@
 	message->n_sends = (size_t)batch->n_sends;
 }
 
-/* Records that are less than all of a full answer need not come. */
+/* Once the answer is full, lesser records than its least one are not needed. */
 static void fill_floor(const struct relay_client *client,
 		       Peer__PartRequest *message)
 {
-	const struct records *taken = client->best_records;
+	const struct records *best = client->best_records;
 
-	if (!taken || !taken->n || taken->n < taken->max)
+	if (!best || !best->n || best->n < best->max)
 		return;
 	message->floor.data =
-		(uint8_t *)taken->bytes + (taken->n - 1) * RECORD_SIZE;
+		(uint8_t *)best->bytes + (best->n - 1) * RECORD_SIZE;
 	message->floor.len = RECORD_SIZE;
 }
 
-static void tell(struct relay_batch *batch)
+static void send_batch(struct relay_batch *batch)
 {
 	struct relay_ask *relay = batch->relay;
 	struct relay_client *client = batch->client;
@@ -176,13 +176,13 @@
 	fill_floor(client, &message);
 	fill_sends(batch, &message, sends, pointers);
 	batch->id = message.id;
-	batch->told = true;
-	batch->told_at = now;
+	batch->sent = true;
+	batch->sent_at = now;
 	batch->flush_after = client->flush_after;
 	HASH_ADD(hh, relay->jobs, id, sizeof(batch->id), batch);
 	server_score_sent(&batch->peer->score, now);
 	relay->jobs_sent++;
-	/* A link that has just broken is reported as down, with its jobs. */
+	/* If the link has just broken, on_link_down() fails the job. */
 	if (link)
 		peer_send(link, FRAME_PART_REQUEST, &message.base);
 	free(sends);
@@ -196,26 +196,26 @@
 
 	(void)relay;
 	DL_FOREACH (client->batches, batch) {
-		if (!batch->told)
-			tell(batch);
+		if (!batch->sent)
+			send_batch(batch);
 	}
 	client->flush_after = 0;
 }
 
 void relay_ask_abandon(void *handle)
 {
-	struct relay_send *entry = handle;
+	struct relay_send *relayed = handle;
 
-	entry->send = NULL;
+	relayed->send = NULL;
 }
 
-static void cancel(struct relay_batch *batch)
+static void send_cancel(struct relay_batch *batch)
 {
 	struct peer_link *link = peers_find(batch->relay->peers,
 					    str_from(batch->peer->instance));
 	Peer__PartCancel message = PEER__PART_CANCEL__INIT;
 
-	if (!link || !batch->told || !batch->n_open)
+	if (!link || !batch->sent || !batch->n_open)
 		return;
 	message.id = batch->id;
 	peer_send(link, FRAME_PART_CANCEL, &message.base);
@@ -228,11 +228,11 @@
 
 	(void)relay;
 	DL_FOREACH_SAFE (client->batches, batch, next) {
-		cancel(batch);
+		send_cancel(batch);
 		DL_DELETE(client->batches, batch);
 		batch->client = NULL;
-		/* Told ones wait for what the servers still answer. */
-		if (!batch->told || !batch->n_open)
+		/* Sent batches stay to record what the servers still answer. */
+		if (!batch->sent || !batch->n_open)
 			relay_batch_free(batch);
 	}
 }
@@ -245,7 +245,8 @@
 	return batch;
 }
 
-static void on_frame(void *arg, struct peer_link *link, struct frame *frame)
+static void on_result_frame(void *arg, struct peer_link *link,
+			    struct frame *frame)
 {
 	struct relay_ask *relay = arg;
 
@@ -253,10 +254,10 @@
 				(const Peer__PartResult *)frame->message);
 }
 
-static void lose(struct relay_ask *relay, uint64_t id)
+static void fail_job(struct relay_ask *relay, uint64_t id)
 {
-	static const struct dispatch_answer lost = {.code = ERR_LOST,
-						    .stamp = STR("")};
+	static const struct dispatch_answer lost_answer = {.code = ERR_LOST,
+							   .stamp = STR("")};
 	struct relay_batch *batch = relay_ask_find_job(relay, id);
 	struct relay_client *client;
 	int i;
@@ -267,22 +268,22 @@
 	if (client)
 		client->begin_batch(client->arg);
 	for (i = 0; i < batch->n_sends; i++) {
-		struct relay_send *entry = batch->sends[i];
-		struct dispatch_send *send = entry->send;
+		struct relay_send *relayed = batch->sends[i];
+		struct dispatch_send *send = relayed->send;
 
-		/* Says nothing of the server. */
-		relay_send_end(entry, SERVER_DROPPED, 0);
-		entry->send = NULL;
+		/* The lost connection says nothing about the server. */
+		relay_send_end(relayed, SERVER_DROPPED, 0);
+		relayed->send = NULL;
 		if (send)
-			client->result(send, &lost);
+			client->result(send, &lost_answer);
 	}
 	relay_batch_free(batch);
 	if (client)
 		client->end_batch(client->arg);
 }
 
-/* All that was given to an instance is lost with the connection to it. */
-static void on_down(void *arg, struct peer_link *link)
+/* Fails all jobs of a relay when the connection to it is lost. */
+static void on_link_down(void *arg, struct peer_link *link)
 {
 	struct relay_ask *relay = arg;
 	struct relay_batch *batch;
@@ -301,7 +302,7 @@
 		LOG_INFO("relay_lost", LOG_TEXT("peer", link->instance),
 			 LOG_I64("jobs", n));
 	for (i = 0; i < n; i++)
-		lose(relay, ids[i]);
+		fail_job(relay, ids[i]);
 	free(ids);
 }
 
@@ -317,8 +318,8 @@
 	relay->registry = registry;
 	relay->is_usable = is_usable;
 	relay->arg = arg;
-	relay->handler.frame = on_frame;
-	relay->handler.down = on_down;
+	relay->handler.frame = on_result_frame;
+	relay->handler.down = on_link_down;
 	relay->handler.types = 1u << FRAME_PART_RESULT;
 	relay->handler.arg = relay;
 	peers_add_handler(peers, &relay->handler);
--- a/relay_ask.h
+++ b/relay_ask.h
@@ -1,7 +1,8 @@
 /*
- * The entry's side: parts for servers in another data centre go in one message
- * to an instance there, and come back merged. If that instance is late or
- * lost, parts go to the servers directly.
+ * Requesting side of relaying, used by the entry (the instance that accepted
+ * the caller's request). Parts for servers in another data centre go in one
+ * message to an instance there, the relay, and come back merged. If the relay
+ * is late or lost, parts are sent to the servers directly.
  */
 #ifndef RELAY_ASK_H
 #define RELAY_ASK_H
@@ -21,11 +22,11 @@
 struct relay_ask;
 struct relay_batch;
 
-/* Data centres that one request can use relays of. */
+/* Maximum number of data centres whose relays one request uses. */
 #define RELAY_BATCHES_MAX 16
 
 /**
- * struct relay_peer - what was seen of an instance as a relay
+ * struct relay_peer - observed performance of an instance as a relay
  */
 struct relay_peer {
 	char instance[FLEET_NAME_SIZE];
@@ -35,17 +36,22 @@
 
 /**
  * struct relay_client - a request that uses relays; the owner embeds it
- * @request: as sent to each server
- * @flush_after: a relay tells what is in by then; 0: each result at once. Set
- *to 0 by relay_ask_flush(): what is sent later is late already
- * @goal_at: the request is to be answered by then, microseconds
+ * @request: what is sent to each server
+ * @fingerprint: identifies the request if it crashes servers
+ * @deadline: time when the request ends, microseconds
+ * @flush_after: time after which a relay sends its first results, microseconds;
+ *	0: it sends each result at once. Set to 0 by relay_ask_flush(), as later
+ *	sends are late already
+ * @goal_at: time by which the request should be answered, microseconds
  * @priority: of the route, 0 is the most urgent
- * @records_max: of the merged answer
- * @taken: the greatest records of the parts that are in, or NULL
- * @result: a send's result came
- * @hold: results that belong together follow
- * @release: after the last of them; the request may end
- * @arg: handed to @hold and @release
+ * @records_max: maximum number of records in the merged answer
+ * @best_records: the greatest records of the answered parts, or NULL
+ * @connections_max: limit on connections to each server
+ * @result: called with the result of a send
+ * @begin_batch: called before a series of @result calls
+ * @end_batch: called after a series of @result calls; may end the request
+ * @arg: passed to @begin_batch and @end_batch
+ * @batches: list of batches of this request
  */
 struct relay_client {
 	const struct upstream_request *request;
@@ -66,10 +72,13 @@
 };
 
 /**
- * struct relay_ask - jobs that this instance gave to others
- * @usable: an instance may be used as a relay
- * @jobs: told and not over, by id
- * @asked: jobs given to relays
+ * struct relay_ask - jobs that this instance has sent to relays
+ * @is_usable: whether an instance may be used as a relay
+ * @arg: passed to @is_usable
+ * @relays: hash table of relays by instance name
+ * @jobs: hash table of unfinished jobs by ID
+ * @last_id: last ID assigned to a job
+ * @jobs_sent: number of jobs sent since start
  */
 struct relay_ask {
 	struct blackboard *board;
@@ -84,6 +93,12 @@
 	uint64_t jobs_sent;
 };
 
+/**
+ * relay_ask_init() - register for results on the connections to peers
+ * @board: outlives @relay, like the other arguments
+ * @is_usable: see struct relay_ask
+ * @arg: passed to @is_usable
+ */
 void relay_ask_init(struct relay_ask *relay, struct blackboard *board,
 		    struct peers *peers, struct registry *registry,
 		    bool (*is_usable)(void *arg,
@@ -92,26 +107,31 @@
 void relay_ask_finish(struct relay_ask *relay);
 
 /**
- * relay_ask_send() - have a send made by a relay
+ * relay_ask_send() - queue a send for a relay
  * @data_centre: of the relay
- * @instance: that shall make it; NULL: the best there
+ * @instance: name of the relay; NULL to use the best one in @data_centre
+ * @handle: set to a handle for relay_ask_abandon()
  *
- * It goes out with relay_ask_flush().
+ * relay_ask_flush() sends it.
  *
- * Return: 0; ERR_UNAVAILABLE if there is no relay, and it is not sent.
+ * Return: 0, or ERR_UNAVAILABLE if there is no such relay.
  */
 int relay_ask_send(struct relay_ask *relay, struct relay_client *client,
 		   struct dispatch_send *send, const char *data_centre,
 		   const char *instance, void **handle);
+
+/**
+ * relay_ask_flush() - send the queued sends of a request to their relays
+ */
 void relay_ask_flush(struct relay_ask *relay, struct relay_client *client);
 
 /**
- * relay_ask_abandon() - the result of a send is not needed any more
+ * relay_ask_abandon() - ignore the result of a send
  */
 void relay_ask_abandon(void *handle);
 
 /**
- * relay_client_finish() - the request is over; relays are told
+ * relay_client_finish() - end a request and cancel its jobs at the relays
  */
 void relay_client_finish(struct relay_ask *relay, struct relay_client *client);
 
--- a/relay_ask_private.h
+++ b/relay_ask_private.h
@@ -1,24 +1,39 @@
-/* Shared by the files of the entry's side of relaying. */
+/* Shared by the files of the requesting side of relaying. */
 #ifndef RELAY_ASK_PRIVATE_H
 #define RELAY_ASK_PRIVATE_H
 
 #include "relay_ask.h"
 
-/* One send within a batch. */
+/**
+ * struct relay_send - one send of a batch
+ * @send: NULL once it has ended or was abandoned
+ * @server: holds a reference
+ * @sent_at: time of relay_ask_send(), microseconds
+ * @ended: its result is recorded in @server
+ */
 struct relay_send {
 	struct relay_batch *batch;
-	struct dispatch_send *send; /* NULL once it is over or abandoned */
+	struct dispatch_send *send;
 	struct registry_server *server;
 	int64_t sent_at;
-	bool over;
+	bool ended;
 };
 
 /**
- * struct relay_batch - sends of one request to one data centre, told together
- * @client: NULL once the request is over
- * @told: it was given to the relay, as job @id
- * @level: of urgency, of the request
- * @floor_lost: later parts are measured by one that was not taken
+ * struct relay_batch - sends of a request to one relay, in one message
+ * @client: NULL once the request has ended
+ * @peer: the relay
+ * @id: job ID, once @sent
+ * @sent: it was sent to the relay, as job @id
+ * @answered: the relay has sent a message about it
+ * @floor_invalid: the relay's floor includes records of a part that was not
+ *	used here, so records above the real floor may be missing
+ * @sent_at: time when it was sent, microseconds
+ * @flush_after: value in struct relay_client when it was sent
+ * @level: urgency level of the request
+ * @sends: array of owned elements
+ * @cap_sends: allocated size of @sends
+ * @n_open: sends that have not ended
  */
 struct relay_batch {
 	struct relay_ask *relay;
@@ -26,28 +41,29 @@
 	struct relay_peer *peer;
 	char data_centre[REGISTRY_NAME_SIZE];
 	uint64_t id;
-	bool told;
-	bool heard;
-	bool floor_lost;
-	int64_t told_at;
+	bool sent;
+	bool answered;
+	bool floor_invalid;
+	int64_t sent_at;
 	int64_t flush_after;
 	int level;
 	struct relay_send **sends;
 	int n_sends;
 	int cap_sends;
 	int n_open;
-	struct relay_batch *prev; /* of the client */
+	struct relay_batch *prev; /* in the client's list */
 	struct relay_batch *next;
-	UT_hash_handle hh; /* of all that were told */
+	UT_hash_handle hh; /* in the table of jobs */
 };
 
 /**
- * relay_batch_is_late() - its relay should have told something by now
+ * relay_batch_is_late() - check whether a relay's first message is overdue
+ * @now: microseconds
  */
 bool relay_batch_is_late(const struct relay_batch *batch, int64_t now);
 
 /**
- * relay_peer_choose() - the best instance of a data centre
+ * relay_peer_choose() - choose the best relay in a data centre
  *
  * Return: NULL if none is good enough.
  */
@@ -55,32 +71,38 @@
 				     const char *data_centre);
 
 /**
- * relay_peer_find() - an instance that was named
+ * relay_peer_find() - find a relay by name
  *
- * Return: NULL if it cannot be asked.
+ * Return: NULL if it is not usable as a relay.
  */
 struct relay_peer *relay_peer_find(struct relay_ask *relay,
 				   const char *data_centre,
 				   const char *instance);
 
 /**
- * relay_send_end() - the server's observations, as if it had been asked
- * directly
+ * relay_send_end() - end a send and record its result for the server, as if it
+ * had been sent directly
  * @took: microseconds, for SERVER_ANSWERED and SERVER_SILENT
  */
-void relay_send_end(struct relay_send *entry, enum server_result result,
+void relay_send_end(struct relay_send *relayed, enum server_result result,
 		    int64_t took);
+
+/**
+ * relay_batch_free() - free a batch; sends that have not ended are dropped
+ */
 void relay_batch_free(struct relay_batch *batch);
 
 /**
- * relay_ask_find_job() - a batch that was told and is not over
+ * relay_ask_find_job() - find an unfinished batch by its job ID
  *
- * Return: NULL if there is none of that id.
+ * Return: NULL if there is none.
  */
 struct relay_batch *relay_ask_find_job(struct relay_ask *relay, uint64_t id);
 
 /**
- * relay_ask_handle_result() - a relay told results, perhaps none, of one job
+ * relay_ask_handle_result() - process a relay's message about a job
+ * @link: connection that the message came on
+ * @message: may have no results
  */
 void relay_ask_handle_result(struct relay_ask *relay,
 			     const struct peer_link *link,
--- a/relay_choose.c
+++ b/relay_choose.c
@@ -1,4 +1,4 @@
-/* Which instance of a data centre parts are given to. */
+/* Chooses the relay in a data centre. */
 #include "relay_ask_private.h"
 
 #include <string.h>
@@ -9,16 +9,16 @@
 #include "mem.h"
 
 /*
- * A relay tells what is in at the flush time, even if that is nothing. One
- * that has not done so this long after it is late: it hangs, or the way to it
- * is cut, and parts go another way.
+ * A relay sends a message at the flush time, even without results. If none has
+ * come this long after it, the relay hangs or is cut off and is not used.
  */
-#define LATE_AFTER MSEC(15)
-/* What a relay costs is judged like a server's latency; nothing is usual. */
+#define LATE_TOLERANCE MSEC(15)
+/* Relays are scored like servers, with these values as there is no default. */
 #define RELAY_SLOTS 64
-#define RELAY_USUAL 30000.0
+#define RELAY_USUAL_LATENCY 30000.0
 
-static struct relay_peer *peer_of(struct relay_ask *relay, const char *instance)
+static struct relay_peer *get_peer(struct relay_ask *relay,
+				   const char *instance)
 {
 	struct relay_peer *peer;
 
@@ -33,9 +33,9 @@
 
 bool relay_batch_is_late(const struct relay_batch *batch, int64_t now)
 {
-	/* Told each result at once, it says nothing before the first. */
-	return !batch->heard && batch->flush_after &&
-	       now > batch->told_at + batch->flush_after + LATE_AFTER;
+	/* Without a flush time, nothing is due before the first result. */
+	return !batch->answered && batch->flush_after &&
+	       now > batch->sent_at + batch->flush_after + LATE_TOLERANCE;
 }
 
 static bool has_late_job(const struct relay_ask *relay,
@@ -50,21 +50,21 @@
 	return false;
 }
 
-static double cost_of(const struct relay_ask *relay,
-		      const struct relay_peer *peer, int64_t now)
+static double get_peer_cost(const struct relay_ask *relay,
+			    const struct relay_peer *peer, int64_t now)
 {
-	static const struct server_traits traits = {.slots = RELAY_SLOTS,
-						    .usual = RELAY_USUAL};
+	static const struct server_traits traits = {
+		.slots = RELAY_SLOTS, .usual = RELAY_USUAL_LATENCY};
 
 	if (has_late_job(relay, peer, now))
 		return SERVER_COST_AVOID;
 	return server_score_cost(&peer->score, &traits, now);
 }
 
-/* The instance at the other end of a link, if it may relay there; or NULL. */
-static const struct fleet_member *relay_at(struct relay_ask *relay,
-					   const struct peer_link *link,
-					   const char *data_centre)
+/* Returns the instance that a link leads to, NULL if it is no usable relay. */
+static const struct fleet_member *
+find_usable_relay(struct relay_ask *relay, const struct peer_link *link,
+		  const char *data_centre)
 {
 	const struct fleet_member *member;
 
@@ -78,46 +78,48 @@
 	return member;
 }
 
-static uint32_t most_capacity(struct relay_ask *relay, const char *data_centre)
+static uint32_t get_max_capacity(struct relay_ask *relay,
+				 const char *data_centre)
 {
 	const struct peer_link *link;
-	uint32_t most = 0;
+	uint32_t max_capacity = 0;
 
 	DL_FOREACH (relay->peers->links, link) {
 		const struct fleet_member *member =
-			relay_at(relay, link, data_centre);
+			find_usable_relay(relay, link, data_centre);
 
-		if (member && member->capacity > most)
-			most = member->capacity;
+		if (member && member->capacity > max_capacity)
+			max_capacity = member->capacity;
 	}
-	return most;
+	return max_capacity;
 }
 
 struct relay_peer *relay_peer_choose(struct relay_ask *relay,
 				     const char *data_centre)
 {
-	uint32_t most = most_capacity(relay, data_centre);
+	uint32_t max_capacity = get_max_capacity(relay, data_centre);
 	int64_t now = clock_now(relay->board->clock);
 	const struct peer_link *link;
-	struct relay_peer *best = NULL;
-	double least = SERVER_COST_AVOID;
+	struct relay_peer *best_peer = NULL;
+	double lowest_cost = SERVER_COST_AVOID;
 
 	DL_FOREACH (relay->peers->links, link) {
 		const struct fleet_member *member =
-			relay_at(relay, link, data_centre);
+			find_usable_relay(relay, link, data_centre);
 		struct relay_peer *peer;
 		double cost;
 
-		if (!member || !directory_is_large(member->capacity, most))
+		if (!member ||
+		    !directory_is_large(member->capacity, max_capacity))
 			continue;
-		peer = peer_of(relay, member->instance);
-		cost = cost_of(relay, peer, now);
-		if (cost >= least)
+		peer = get_peer(relay, member->instance);
+		cost = get_peer_cost(relay, peer, now);
+		if (cost >= lowest_cost)
 			continue;
-		least = cost;
-		best = peer;
+		lowest_cost = cost;
+		best_peer = peer;
 	}
-	return best;
+	return best_peer;
 }
 
 struct relay_peer *relay_peer_find(struct relay_ask *relay,
@@ -128,8 +130,8 @@
 
 	DL_FOREACH (relay->peers->links, link) {
 		if (!strcmp(link->instance, instance) &&
-		    relay_at(relay, link, data_centre))
-			return peer_of(relay, instance);
+		    find_usable_relay(relay, link, data_centre))
+			return get_peer(relay, instance);
 	}
 	return NULL;
 }
--- a/relay_result.c
+++ b/relay_result.c
@@ -1,4 +1,4 @@
-/* What relays tell: results of servers, and what they saw of these. */
+/* Processes messages of relays: results and observations of servers. */
 #include "relay_ask_private.h"
 
 #include <stdlib.h>
@@ -9,12 +9,12 @@
 #include "records.h"
 #include "server_pace.h"
 
-/* To a relay of the same region and back: 3 ms, and its work. */
-#define WAY_MOST MSEC(4)
+/* Round trip to a relay in the same region, 3 ms, plus processing there. */
+#define NETWORK_TIME_MAX MSEC(4)
 
-/* The records of one part among those of a message. */
-static struct str records_of(const Peer__PartResult *message, size_t part,
-			     char *out)
+/* Copies the records of one part in a message to @out. */
+static struct str extract_records(const Peer__PartResult *message, size_t part,
+				  char *out)
 {
 	size_t n = message->origins.len;
 	size_t len = 0;
@@ -33,103 +33,105 @@
 }
 
 /**
- * struct part_times - where the time of a part went, microseconds
- * @server: what the server took
- * @way: there and back
- * @wait: for its turn at the relay
+ * struct part_times - breakdown of the time a part took, microseconds
+ * @server: time the server took
+ * @network: round trip to the relay
+ * @queue: time in the relay's server queue
  */
 struct part_times {
 	int64_t server;
-	int64_t way;
-	int64_t wait;
+	int64_t network;
+	int64_t queue;
 };
 
-static int64_t at_most(int64_t value, int64_t most)
+static int64_t clamp_max(int64_t value, int64_t max)
 {
-	return value < most ? value : most;
+	return value < max ? value : max;
 }
 
 /*
- * Without the time that the relay waited for other parts. A relay may tell any
- * number: nothing took longer than since the part was sent.
+ * Splits the time since a part was sent. Leaves out the time that the relay
+ * waited for other parts. The relay's values are not trusted: each is limited
+ * to the time that is left.
  */
-static struct part_times times_of(const struct relay_send *entry,
-				  const Peer__PartDone *done, int64_t now)
+static struct part_times split_times(const struct relay_send *relayed,
+				     const Peer__PartDone *done, int64_t now)
 {
-	int64_t left = now - entry->sent_at;
+	int64_t left = now - relayed->sent_at;
 	struct part_times times;
 
-	times.server = at_most(done->took_us, left);
+	times.server = clamp_max(done->took_us, left);
 	left -= times.server;
-	times.wait = at_most(done->wait_us, left);
-	left -= times.wait;
-	times.way = at_most(left, WAY_MOST);
+	times.queue = clamp_max(done->wait_us, left);
+	left -= times.queue;
+	times.network = clamp_max(left, NETWORK_TIME_MAX);
 	return times;
 }
 
-/* One that does not tell of servers is measured by what they took. */
-static void note_outlook(struct relay_send *entry, const Peer__PartDone *done,
-			 const struct part_times *times, int64_t now)
+/* If a relay does not report a server's pace, the time it took is used. */
+static void record_outlook(struct relay_send *relayed,
+			   const Peer__PartDone *done,
+			   const struct part_times *times, int64_t now)
 {
-	struct registry_server *server = entry->server;
+	struct registry_server *server = relayed->server;
 
 	if (done->pace_us) {
-		server_outlook_told(&server->outlook, entry->batch->level,
+		server_outlook_told(&server->outlook, relayed->batch->level,
 				    done->ahead_us, now);
 		server_pace_told(server, done->pace_us,
-				 entry->batch->peer->instance, now);
+				 relayed->batch->peer->instance, now);
 	} else if (server_result_of(done->code, done->success) ==
 		   SERVER_ANSWERED) {
 		server_pace_seen(server, times->server, now);
 	}
 }
 
-/* Others are asked until it is warm, but where there is no other. */
-static void note_cold(struct relay_send *entry, const Peer__PartDone *done)
+/* Until the server is warm, it is used only if there is no other. */
+static void record_cold(struct relay_send *relayed, const Peer__PartDone *done)
 {
-	registry_set_cold(entry->server, MSEC((int64_t)done->cold_for_ms),
-			  clock_now(entry->batch->relay->board->clock));
+	registry_set_cold(relayed->server, MSEC((int64_t)done->cold_for_ms),
+			  clock_now(relayed->batch->relay->board->clock));
 }
 
-static void take_part(struct relay_send *entry, const Peer__PartDone *done,
-		      struct str records, bool spoilt)
+static void handle_part(struct relay_send *relayed, const Peer__PartDone *done,
+			struct str records, bool incomplete)
 {
-	struct relay_batch *batch = entry->batch;
-	struct dispatch_send *send = entry->send;
+	struct relay_batch *batch = relayed->batch;
+	struct dispatch_send *send = relayed->send;
 	int64_t now = clock_now(batch->relay->board->clock);
-	struct part_times times = times_of(entry, done, now);
-	int64_t took = times.server + times.way;
+	struct part_times times = split_times(relayed, done, now);
+	int64_t took = times.server + times.network;
 	struct dispatch_answer answer = {
 		.code = done->code,
 		.success = done->success,
 		.not_run = done->not_run,
 		.stamp = str_from(done->stamp),
 		.body = records,
-		.took = took + times.wait,
+		.took = took + times.queue,
 	};
 
-	if (entry->over)
+	if (relayed->ended)
 		return;
-	note_outlook(entry, done, &times, now);
-	relay_send_end(entry, server_result_of(done->code, done->success),
+	record_outlook(relayed, done, &times, now);
+	relay_send_end(relayed, server_result_of(done->code, done->success),
 		       took);
-	/* It sees more of a server than each entry that asks it. */
+	/* A relay makes more sends to a server than a single entry. */
 	if (server_result_of(done->code, done->success) != SERVER_DROPPED)
-		server_score_told(&entry->server->score,
+		server_score_told(&relayed->server->score,
 				  (double)done->failures / 1000);
 	if (done->code == ERR_FOREIGN)
-		entry->server->gone = true;
+		relayed->server->gone = true;
 	if (done->code == ERR_COLD)
-		note_cold(entry, done);
-	if (done->success && spoilt)
+		record_cold(relayed, done);
+	if (done->success && incomplete)
 		answer.code = ERR_PROTOCOL;
-	entry->send = NULL;
+	relayed->send = NULL;
 	if (send)
 		batch->client->result(send, &answer);
 }
 
-static struct relay_send *entry_of(const struct relay_batch *batch,
-				   const Peer__PartDone *done)
+static struct relay_send *find_relay_send(const struct relay_batch *batch,
+					  const Peer__PartDone *done)
 {
 	if (done->index >= (uint32_t)batch->n_sends)
 		return NULL;
@@ -137,70 +139,71 @@
 }
 
 /*
- * Only the greatest records of all parts in a message come. If one of the parts
- * is not taken, because another server answered for it meanwhile, its records
- * may have displaced some of the others', and these would be missing.
+ * A message has only the greatest records of all its parts. If a part is not
+ * used, because another server has answered it meanwhile, its records may have
+ * displaced records of the other parts, which are then missing.
  */
-static bool has_untaken(const struct relay_batch *batch,
-			const Peer__PartResult *message)
+static bool has_unused_part(const struct relay_batch *batch,
+			    const Peer__PartResult *message)
 {
 	size_t i;
 
 	if (!batch->client)
 		return false;
 	for (i = 0; i < message->n_parts; i++) {
-		const struct relay_send *entry =
-			entry_of(batch, message->parts[i]);
+		const struct relay_send *relayed =
+			find_relay_send(batch, message->parts[i]);
 
-		if (message->parts[i]->success && (!entry || !entry->send))
+		if (message->parts[i]->success && (!relayed || !relayed->send))
 			return true;
 	}
 	return false;
 }
 
-static void heard(struct relay_batch *batch)
+static void mark_answered(struct relay_batch *batch)
 {
 	int64_t now = clock_now(batch->relay->board->clock);
 
-	if (batch->heard)
+	if (batch->answered)
 		return;
-	batch->heard = true;
+	batch->answered = true;
 	server_score_result(&batch->peer->score, SERVER_ANSWERED,
-			    now - batch->told_at, now);
+			    now - batch->sent_at, now);
 }
 
-/* Fewer than the answer's records: none was displaced. */
-static bool displaces(const struct relay_batch *batch,
-		      const Peer__PartResult *message)
+/* With fewer records than the answer may have, none was displaced. */
+static bool may_displace_records(const struct relay_batch *batch,
+				 const Peer__PartResult *message)
 {
 	return message->origins.len >= (size_t)batch->client->records_max;
 }
 
-static void take_parts(struct relay_batch *batch,
-		       const Peer__PartResult *message)
+static void handle_parts(struct relay_batch *batch,
+			 const Peer__PartResult *message)
 {
-	char *room = mem_zalloc(message->records.len);
-	bool untaken = has_untaken(batch, message);
-	bool spoilt =
-		batch->floor_lost || (untaken && displaces(batch, message));
+	char *buf = mem_zalloc(message->records.len);
+	bool has_unused = has_unused_part(batch, message);
+	bool incomplete = batch->floor_invalid ||
+			  (has_unused && may_displace_records(batch, message));
 	size_t i;
 
-	if (message->floor && untaken)
-		batch->floor_lost = true;
+	if (message->floor && has_unused)
+		batch->floor_invalid = true;
 	for (i = 0; i < message->n_parts; i++) {
 		const Peer__PartDone *done = message->parts[i];
-		struct relay_send *entry = entry_of(batch, done);
+		struct relay_send *relayed = find_relay_send(batch, done);
 
-		if (entry)
-			take_part(entry, done, records_of(message, i, room),
-				  spoilt);
+		if (relayed)
+			handle_part(relayed, done,
+				    extract_records(message, i, buf),
+				    incomplete);
 	}
-	free(room);
+	free(buf);
 }
 
-/* Only the instance that was asked answers: another's ids say nothing here. */
-static bool is_from(const struct relay_batch *batch,
-		    const struct peer_link *link)
+/* Job IDs are valid only in messages of the relay that got the job. */
+static bool is_from_relay(const struct relay_batch *batch,
+			  const struct peer_link *link)
 {
 	return link->outgoing && !strcmp(batch->peer->instance, link->instance);
 }
@@ -212,16 +215,16 @@
 	struct relay_batch *batch = relay_ask_find_job(relay, message->id);
 	struct relay_client *client;
 
-	if (!batch || !is_from(batch, link))
+	if (!batch || !is_from_relay(batch, link))
 		return;
-	heard(batch);
+	mark_answered(batch);
 	if (!message->n_parts)
 		return;
-	/* The request does not end between these, so that the batch stays. */
+	/* The request cannot end before end_batch(), so the batch is valid. */
 	client = batch->client;
 	if (client)
 		client->begin_batch(client->arg);
-	take_parts(batch, message);
+	handle_parts(batch, message);
 	if (!batch->n_open)
 		relay_batch_free(batch);
 	if (client)
--- a/relay_serve.c
+++ b/relay_serve.c
@@ -12,19 +12,25 @@
 #include "mem.h"
 #include "records.h"
 
-/* A job of more sends than this is malformed. */
+/* Jobs over these limits are refused as malformed. */
 #define SENDS_MAX 4096
 #define RECORDS_MAX 4096
-/* Parts of one message: records name theirs by a byte. */
+/* Parts in a message; each record has its part's index in one byte. */
 #define PARTS_MAX 255
 /*
- * The parts by which later ones are measured. Should the entry not take one of
- * them, it cannot take later ones: of the first to come it takes nearly all.
+ * Number of parts that raise the floor for later ones. If the entry does not
+ * use one of these, it cannot use later ones either; of the first parts to
+ * arrive it uses nearly all.
  */
 #define FLOOR_PARTS 6
 
-/* @turn: NULL once it is over */
-struct relay_send {
+/**
+ * struct job_send - one send of a job
+ * @server: NULL if it is not known here
+ * @turn: in the server queue; NULL once the send has ended
+ * @index: of the part in the entry's message
+ */
+struct job_send {
 	struct relay_job *job;
 	struct registry_server *server;
 	struct server_turn *turn;
@@ -33,15 +39,22 @@
 
 /**
  * struct relay_job - one message of an entry
- * @link: to answer on; NULL once it is down
- * @request: as it is sent to each server; its bytes are owned
- * @rank: among those that wait for the same server
- * @deadline: microseconds
- * @open: sends that have no result yet
- * @done: results that were not told yet
- * @flushed: the flush time is over; what comes later goes out at once
- * @told: the greatest records of the first @n_told parts
- * @floor: if @has_floor: what is less cannot be in the answer
+ * @link: connection to the entry; the job is freed when it closes
+ * @id: assigned by the entry
+ * @request: what is sent to each server; its bytes are owned
+ * @rank: position among sends that wait for the same server
+ * @deadline: time when the sends end, microseconds
+ * @connections_max: limit on connections to each server
+ * @timer: fires at the flush time
+ * @n_pending: sends without a result
+ * @results: results not returned to the entry yet, @n_results of them
+ * @result_ptrs: pointers to @results, for the message
+ * @records: the greatest records of @results
+ * @flushed: the flush time has passed; further results are returned at once
+ * @floor_records: the greatest records of the first @n_floor_parts parts
+ * @n_floor_parts: parts whose records raise @floor, up to FLOOR_PARTS
+ * @has_floor: @floor is set
+ * @floor: lesser records than this cannot be in the answer
  */
 struct relay_job {
 	struct relay_serve *relay;
@@ -52,33 +65,33 @@
 	int64_t deadline;
 	int64_t connections_max;
 	struct event *timer;
-	struct relay_send *sends;
+	struct job_send *sends;
 	int n_sends;
-	int open;
-	Peer__PartDone *done;
-	Peer__PartDone **pointers;
-	int n_done;
+	int n_pending;
+	Peer__PartDone *results;
+	Peer__PartDone **result_ptrs;
+	int n_results;
 	struct records records;
 	bool flushed;
-	struct records told;
-	int n_told;
+	struct records floor_records;
+	int n_floor_parts;
 	bool has_floor;
 	char floor[RECORD_SIZE];
 	struct relay_job *prev;
 	struct relay_job *next;
 };
 
-static void clear_done(struct relay_job *job)
+static void clear_results(struct relay_job *job)
 {
 	int i;
 
-	for (i = 0; i < job->n_done; i++)
-		free(job->done[i].stamp);
-	job->n_done = 0;
+	for (i = 0; i < job->n_results; i++)
+		free(job->results[i].stamp);
+	job->n_results = 0;
 	job->records.n = 0;
 }
 
-static int64_t linger_of(const struct relay_send *send)
+static int64_t get_linger(const struct job_send *send)
 {
 	return registry_linger(send->server,
 			       clock_now(send->job->relay->board->clock));
@@ -90,21 +103,21 @@
 
 	DL_DELETE(job->relay->jobs, job);
 	for (i = 0; i < job->n_sends; i++) {
-		struct relay_send *send = &job->sends[i];
+		struct job_send *send = &job->sends[i];
 
 		if (send->turn)
-			server_turn_abandon(send->turn, linger_of(send));
+			server_turn_abandon(send->turn, get_linger(send));
 	}
-	clear_done(job);
+	clear_results(job);
 	records_finish(&job->records);
-	records_finish(&job->told);
+	records_finish(&job->floor_records);
 	event_free(job->timer);
 	free((char *)job->request.head.data);
 	free((char *)job->request.body.data);
 	free((char *)job->request.id.data);
 	free(job->sends);
-	free(job->done);
-	free(job->pointers);
+	free(job->results);
+	free(job->result_ptrs);
 	free(job);
 }
 
@@ -117,24 +130,26 @@
 }
 
 /*
- * Most of what goes between data centres are records of late parts. Once the
- * first parts are told, only greater records than theirs matter.
+ * Adds the records about to be returned to the floor. Most traffic between data
+ * centres would be records of late parts, but after the first parts only
+ * greater records than theirs matter.
  *
- * Return: whether later parts are measured by those that are told now.
+ * Return: whether records of later parts depend on those returned now.
  */
 static bool extend_floor(struct relay_job *job)
 {
-	struct records *told = &job->told;
+	struct records *floor_records = &job->floor_records;
 
-	if (!job->n_done || job->n_told >= FLOOR_PARTS)
+	if (!job->n_results || job->n_floor_parts >= FLOOR_PARTS)
 		return false;
-	job->n_told += job->n_done;
-	records_add(told,
+	job->n_floor_parts += job->n_results;
+	records_add(floor_records,
 		    (struct str){job->records.bytes,
 				 (size_t)job->records.n * RECORD_SIZE},
 		    0);
-	if (told->n && told->n == told->max)
-		raise_floor(job, told->bytes + (told->n - 1) * RECORD_SIZE);
+	if (floor_records->n && floor_records->n == floor_records->max)
+		raise_floor(job, floor_records->bytes +
+					 (floor_records->n - 1) * RECORD_SIZE);
 	return true;
 }
 
@@ -146,22 +161,22 @@
 		records_cut(&job->records, job->floor);
 	message.id = job->id;
 	message.floor = extend_floor(job);
-	message.parts = job->pointers;
-	message.n_parts = (size_t)job->n_done;
+	message.parts = job->result_ptrs;
+	message.n_parts = (size_t)job->n_results;
 	message.records.data = (uint8_t *)job->records.bytes;
 	message.records.len = (size_t)job->records.n * RECORD_SIZE;
 	message.origins.data = job->records.tags;
 	message.origins.len = (size_t)job->records.n;
 	peer_send(job->link, FRAME_PART_RESULT, &message.base);
-	clear_done(job);
+	clear_results(job);
 }
 
-/* Return: whether the job goes on. */
-static bool review(struct relay_job *job, bool urgent)
+/* Return: false if the job has ended and was freed. */
+static bool flush_or_free(struct relay_job *job, bool urgent)
 {
-	if (!job->open || (job->n_done && (urgent || job->flushed)))
+	if (!job->n_pending || (job->n_results && (urgent || job->flushed)))
 		flush(job);
-	if (job->open)
+	if (job->n_pending)
 		return true;
 	free_job(job);
 	return false;
@@ -174,26 +189,26 @@
 	(void)fd;
 	(void)what;
 	job->flushed = true;
-	/* Even without results: it shows that this instance lives. */
+	/* Even without results, as it shows that this instance is alive. */
 	flush(job);
 }
 
-static Peer__PartDone *add_done(struct relay_job *job, uint32_t index, int code,
-				bool not_run)
+static Peer__PartDone *add_result(struct relay_job *job, uint32_t index,
+				  int code, bool not_run)
 {
-	Peer__PartDone *done = &job->done[job->n_done];
+	Peer__PartDone *done = &job->results[job->n_results];
 
 	peer__part_done__init(done);
 	done->index = index;
 	done->code = code;
 	done->not_run = not_run;
 	done->stamp = NULL;
-	job->pointers[job->n_done++] = done;
+	job->result_ptrs[job->n_results++] = done;
 	return done;
 }
 
-/* What one more such part would meet at the server. */
-static void add_outlook(const struct relay_send *send, Peer__PartDone *done)
+/* Adds the wait and service time to expect for another such part. */
+static void add_outlook(const struct job_send *send, Peer__PartDone *done)
 {
 	const struct relay_job *job = send->job;
 	const struct registry_server *server = send->server;
@@ -210,8 +225,8 @@
 					      server->service->latency, now);
 }
 
-/* Others are to be asked for so long. */
-static void add_cold(const struct relay_send *send, Peer__PartDone *done)
+/* Adds how long the entry should prefer other servers. */
+static void add_cold(const struct job_send *send, Peer__PartDone *done)
 {
 	int64_t left = send->server->cold_until -
 		       clock_now(send->job->relay->board->clock);
@@ -222,13 +237,13 @@
 
 static void on_result(void *arg, const struct exchange_result *result)
 {
-	struct relay_send *send = arg;
+	struct job_send *send = arg;
 	struct relay_job *job = send->job;
 	Peer__PartDone *done;
 
 	send->turn = NULL;
-	job->open--;
-	done = add_done(job, send->index, result->code, result->not_run);
+	job->n_pending--;
+	done = add_result(job, send->index, result->code, result->not_run);
 	done->stamp = mem_dup_len(result->stamp.data, result->stamp.len);
 	done->took_us = (uint32_t)result->took;
 	done->wait_us = (uint32_t)result->waited;
@@ -238,12 +253,12 @@
 		done->success = result->message->parser.status_code / 100 == 2;
 	if (done->success)
 		records_add(&job->records, http_message_body(result->message),
-			    (uint8_t)(job->n_done - 1));
-	/* What failed is tried elsewhere: the entry must know at once. */
-	review(job, !done->success || job->n_done == PARTS_MAX);
+			    (uint8_t)(job->n_results - 1));
+	/* Report failures at once, as the entry retries on other servers. */
+	flush_or_free(job, !done->success || job->n_results == PARTS_MAX);
 }
 
-static int start_send(struct relay_job *job, struct relay_send *send,
+static int start_send(struct relay_job *job, struct job_send *send,
 		      const Peer__PartSend *part)
 {
 	struct relay_serve *relay = job->relay;
@@ -260,11 +275,11 @@
 				 &send->turn);
 }
 
-/* Why a send did not go out. */
-static void add_unsent(struct relay_job *job, const struct relay_send *send,
+/* Adds the result of a send that could not be made. */
+static void add_unsent(struct relay_job *job, const struct job_send *send,
 		       int code)
 {
-	Peer__PartDone *done = add_done(job, send->index, code, true);
+	Peer__PartDone *done = add_result(job, send->index, code, true);
 
 	done->stamp = mem_dup("");
 	if (!send->server)
@@ -279,20 +294,20 @@
 	int i;
 
 	for (i = 0; i < job->n_sends; i++) {
-		struct relay_send *send = &job->sends[i];
+		struct job_send *send = &job->sends[i];
 
 		send->job = job;
 		send->index = message->sends[i]->index;
 		ret = start_send(job, send, message->sends[i]);
 		if (!ret)
-			job->open++;
+			job->n_pending++;
 		else
 			add_unsent(job, send, ret);
 	}
 }
 
-/* The message is gone when a part that waits has its turn. */
-static void keep_request(struct relay_job *job,
+/* Copies what queued sends need, as they outlive the message. */
+static void copy_request(struct relay_job *job,
 			 const Peer__PartRequest *message)
 {
 	struct upstream_request *request = &job->request;
@@ -311,8 +326,8 @@
 	job->connections_max = message->connections_max;
 }
 
-static void take_request(struct relay_serve *relay, struct peer_link *link,
-			 const Peer__PartRequest *message)
+static void handle_request(struct relay_serve *relay, struct peer_link *link,
+			   const Peer__PartRequest *message)
 {
 	struct timeval tv = {message->flush_ms / 1000,
 			     message->flush_ms % 1000 * 1000};
@@ -330,47 +345,50 @@
 	job->id = message->id;
 	job->n_sends = (int)n;
 	job->sends = mem_zalloc(n * sizeof(*job->sends));
-	job->done = mem_zalloc(n * sizeof(*job->done));
-	job->pointers = mem_zalloc(n * sizeof(*job->pointers));
+	job->results = mem_zalloc(n * sizeof(*job->results));
+	job->result_ptrs = mem_zalloc(n * sizeof(*job->result_ptrs));
 	records_init(&job->records, (int)message->records_max);
-	records_init(&job->told, (int)message->records_max);
-	/* Later sends of a request: their parts may come from others first. */
+	records_init(&job->floor_records, (int)message->records_max);
+	/*
+	 * No floor from later sends of a request: other servers may answer
+	 * their parts first.
+	 */
 	if (!message->flush_ms)
-		job->n_told = FLOOR_PARTS;
+		job->n_floor_parts = FLOOR_PARTS;
 	if (message->floor.len == RECORD_SIZE)
 		raise_floor(job, (const char *)message->floor.data);
 	job->timer = evtimer_new(relay->base, on_timer, job);
 	DL_APPEND(relay->jobs, job);
 	job->flushed = !message->flush_ms;
-	keep_request(job, message);
+	copy_request(job, message);
 	start_sends(job, message);
-	if (review(job, true) && message->flush_ms)
+	if (flush_or_free(job, true) && message->flush_ms)
 		evtimer_add(job->timer, &tv);
 }
 
 /*
- * Nobody waits any more. What still comes is told all the same: how long a
- * server took is what the entry chooses by.
+ * Shortens the timeouts of a cancelled job. Results are still returned, as the
+ * entry chooses servers by the time they take.
  */
-static void hurry(struct relay_job *job)
+static void shorten_timeouts(struct relay_job *job)
 {
 	int i;
 
 	for (i = 0; i < job->n_sends; i++) {
 		if (job->sends[i].turn)
 			server_turn_hurry(job->sends[i].turn,
-					  linger_of(&job->sends[i]));
+					  get_linger(&job->sends[i]));
 	}
 }
 
-static void take_cancel(struct relay_serve *relay, struct peer_link *link,
-			const Peer__PartCancel *message)
+static void handle_cancel(struct relay_serve *relay, struct peer_link *link,
+			  const Peer__PartCancel *message)
 {
 	struct relay_job *job;
 
 	DL_FOREACH (relay->jobs, job) {
 		if (job->link == link && job->id == message->id)
-			hurry(job);
+			shorten_timeouts(job);
 	}
 }
 
@@ -378,18 +396,18 @@
 {
 	struct relay_serve *relay = arg;
 
-	/* Entries ask on links that they opened. */
+	/* Jobs come on links that the entry opened. */
 	if (link->outgoing)
 		return;
 	if (frame->type == FRAME_PART_REQUEST)
-		take_request(relay, link,
-			     (const Peer__PartRequest *)frame->message);
+		handle_request(relay, link,
+			       (const Peer__PartRequest *)frame->message);
 	else
-		take_cancel(relay, link,
-			    (const Peer__PartCancel *)frame->message);
+		handle_cancel(relay, link,
+			      (const Peer__PartCancel *)frame->message);
 }
 
-static void on_down(void *arg, struct peer_link *link)
+static void on_link_down(void *arg, struct peer_link *link)
 {
 	struct relay_serve *relay = arg;
 	struct relay_job *job;
@@ -412,7 +430,7 @@
 	relay->registry = registry;
 	relay->queues = queues;
 	relay->handler.frame = on_frame;
-	relay->handler.down = on_down;
+	relay->handler.down = on_link_down;
 	relay->handler.types =
 		1u << FRAME_PART_REQUEST | 1u << FRAME_PART_CANCEL;
 	relay->handler.arg = relay;
--- a/relay_serve.h
+++ b/relay_serve.h
@@ -1,7 +1,8 @@
 /*
- * The relay's side: sends a request to backend servers near this instance for
- * an entry in another data centre, merges what comes and tells it in few
- * messages. It decides nothing: servers, retries and hedges are the entry's.
+ * Serving side of relaying: sends requests to backend servers in this data
+ * centre on behalf of another instance, merges the answers and returns them in
+ * few messages. Servers, retries and hedges are chosen by the entry, the
+ * instance that accepted the caller's request.
  */
 #ifndef RELAY_SERVE_H
 #define RELAY_SERVE_H
@@ -18,7 +19,9 @@
 struct relay_job;
 
 /**
- * struct relay_serve - jobs of other instances
+ * struct relay_serve - jobs that other instances have sent
+ * @queues: sends that wait for a backend server
+ * @jobs: list of unfinished jobs
  */
 struct relay_serve {
 	struct event_base *base;
@@ -30,6 +33,10 @@
 	struct relay_job *jobs;
 };
 
+/**
+ * relay_serve_init() - register for jobs on the connections from peers
+ * @board: outlives @relay, like the other arguments
+ */
 void relay_serve_init(struct relay_serve *relay, struct blackboard *board,
 		      struct peers *peers, struct registry *registry,
 		      struct server_queues *queues);
