--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -1,4 +1,7 @@
-/* An entry and what a relay tells it, on a paused clock and by hand. */
+/*
+ * Tests of the requesting side of relaying: results of a relay are passed to it
+ * directly, on a paused clock.
+ */
 #include <string.h>
 
 #include <event2/bufferevent.h>
@@ -10,9 +13,9 @@
 #include "unit.h"
 
 #define SERVERS 3
-#define RECORDS_MOST 2
+#define RECORDS_MAX 2
 
-struct world {
+struct fixture {
 	struct clock clock;
 	struct settings settings;
 	struct event_base *base;
@@ -20,7 +23,7 @@
 	struct registry registry;
 	struct peers peers;
 	struct peer_link link;
-	struct relay_ask ask;
+	struct relay_ask relay_ask;
 	struct relay_client client;
 	struct upstream_request request;
 	struct dispatch_send sends[SERVERS];
@@ -45,12 +48,12 @@
 static void on_result(struct dispatch_send *send,
 		      const struct dispatch_answer *answer)
 {
-	struct world *world = send->handle;
-	long i = send - world->sends;
+	struct fixture *fixture = send->handle;
+	long i = send - fixture->sends;
 
-	world->codes[i] = answer->code;
-	world->lens[i] = answer->body.len;
-	world->took[i] = answer->took;
+	fixture->codes[i] = answer->code;
+	fixture->lens[i] = answer->body.len;
+	fixture->took[i] = answer->took;
 }
 
 static void on_batch(void *arg)
@@ -58,90 +61,91 @@
 	(void)arg;
 }
 
-static void add_server(struct world *world, int i)
+static void add_server(struct fixture *fixture, int i)
 {
 	struct server_entry entry = {.slots = 2, .id = {(char)('a' + i)}};
 
 	str_copy(entry.service, sizeof(entry.service), STR("s"));
 	str_copy(entry.data_centre, sizeof(entry.data_centre), STR("there"));
-	registry_put(&world->registry, &entry, 1);
+	registry_put(&fixture->registry, &entry, 1);
 }
 
-static void ask(struct world *world, void **handles)
+static void send_parts(struct fixture *fixture, void **handles)
 {
 	int i;
 
 	for (i = 0; i < SERVERS; i++) {
 		const char id[] = {(char)('a' + i), 0};
 
-		world->sends[i].server =
-			registry_find(&world->registry, str_from(id));
-		world->sends[i].handle = world;
-		world->codes[i] = 1;
-		CU_ASSERT_EQUAL(relay_ask_send(&world->ask, &world->client,
-					       &world->sends[i], "there", NULL,
-					       &handles[i]),
+		fixture->sends[i].server =
+			registry_find(&fixture->registry, str_from(id));
+		fixture->sends[i].handle = fixture;
+		fixture->codes[i] = 1;
+		CU_ASSERT_EQUAL(relay_ask_send(&fixture->relay_ask,
+					       &fixture->client,
+					       &fixture->sends[i], "there",
+					       NULL, &handles[i]),
 				0);
 	}
-	relay_ask_flush(&world->ask, &world->client);
+	relay_ask_flush(&fixture->relay_ask, &fixture->client);
 }
 
-static void start(struct world *world)
+static void set_up(struct fixture *fixture)
 {
 	struct fleet_member *member;
 
-	memset(world, 0, sizeof(*world));
-	clock_init_paused(&world->clock, MSEC(1000000));
-	world->base = event_base_new();
-	blackboard_init(&world->board, &world->clock, &world->settings,
-			world->base, 1);
-	member = fleet_put(&world->board.fleet, STR("far"));
+	memset(fixture, 0, sizeof(*fixture));
+	clock_init_paused(&fixture->clock, MSEC(1000000));
+	fixture->base = event_base_new();
+	blackboard_init(&fixture->board, &fixture->clock, &fixture->settings,
+			fixture->base, 1);
+	member = fleet_put(&fixture->board.fleet, STR("far"));
 	member->status = FLEET_ALIVE;
 	str_copy(member->data_centre, sizeof(member->data_centre),
 		 STR("there"));
-	registry_init(&world->registry, STR("here"), on_closing, NULL);
-	add_server(world, 0);
-	add_server(world, 1);
-	add_server(world, 2);
-	world->peers.board = &world->board;
-	world->link.peers = &world->peers;
-	world->link.outgoing = true;
-	world->link.up = true;
-	str_copy(world->link.instance, sizeof(world->link.instance),
+	registry_init(&fixture->registry, STR("here"), on_closing, NULL);
+	add_server(fixture, 0);
+	add_server(fixture, 1);
+	add_server(fixture, 2);
+	fixture->peers.board = &fixture->board;
+	fixture->link.peers = &fixture->peers;
+	fixture->link.outgoing = true;
+	fixture->link.up = true;
+	str_copy(fixture->link.instance, sizeof(fixture->link.instance),
 		 STR("far"));
-	world->link.bev = bufferevent_socket_new(world->base, -1, 0);
-	DL_APPEND(world->peers.links, &world->link);
-	relay_ask_init(&world->ask, &world->board, &world->peers,
-		       &world->registry, on_usable, world);
-	world->client = (struct relay_client){
-		.request = &world->request,
+	fixture->link.bev = bufferevent_socket_new(fixture->base, -1, 0);
+	DL_APPEND(fixture->peers.links, &fixture->link);
+	relay_ask_init(&fixture->relay_ask, &fixture->board, &fixture->peers,
+		       &fixture->registry, on_usable, fixture);
+	fixture->client = (struct relay_client){
+		.request = &fixture->request,
 		.deadline = MSEC(1001000),
 		.flush_after = MSEC(20),
-		.records_max = RECORDS_MOST,
+		.records_max = RECORDS_MAX,
 		.result = on_result,
 		.begin_batch = on_batch,
 		.end_batch = on_batch,
-		.arg = world,
+		.arg = fixture,
 	};
 }
 
-static void finish(struct world *world)
+static void tear_down(struct fixture *fixture)
 {
-	relay_client_finish(&world->ask, &world->client);
-	relay_ask_finish(&world->ask);
-	registry_finish(&world->registry);
-	blackboard_finish(&world->board);
-	bufferevent_free(world->link.bev);
-	event_base_free(world->base);
+	relay_client_finish(&fixture->relay_ask, &fixture->client);
+	relay_ask_finish(&fixture->relay_ask);
+	registry_finish(&fixture->registry);
+	blackboard_finish(&fixture->board);
+	bufferevent_free(fixture->link.bev);
+	event_base_free(fixture->base);
 }
 
-static void tell_done(struct world *world, Peer__PartDone *done, bool floor,
-		      int n_records)
+static void receive_result(struct fixture *fixture, Peer__PartDone *done,
+			   bool floor, int n_records)
 {
 	Peer__PartResult message = PEER__PART_RESULT__INIT;
 	Peer__PartDone *parts[] = {done};
-	uint8_t records[RECORDS_MOST * 16] = {0};
-	uint8_t origins[RECORDS_MOST] = {0};
+	uint8_t records[RECORDS_MAX * 16] = {0};
+	uint8_t origins[RECORDS_MAX] = {0};
 	struct frame frame = {.type = FRAME_PART_RESULT};
 
 	done->stamp = (char *)"s";
@@ -154,197 +158,200 @@
 	message.origins.data = origins;
 	message.origins.len = (size_t)n_records;
 	frame.message = &message.base;
-	world->ask.handler.frame(&world->ask, &world->link, &frame);
+	fixture->relay_ask.handler.frame(&fixture->relay_ask, &fixture->link,
+					 &frame);
 }
 
-/* The relay tells one part with its records. */
-static void tell(struct world *world, uint32_t index, bool floor, int n_records)
+/* Passes on a successful result of one part, with its records. */
+static void receive_part(struct fixture *fixture, uint32_t index, bool floor,
+			 int n_records)
 {
 	Peer__PartDone done = PEER__PART_DONE__INIT;
 
 	done.index = index;
 	done.success = true;
-	tell_done(world, &done, floor, n_records);
+	receive_result(fixture, &done, floor, n_records);
 }
 
 /*
- * Half of the servers lose four answers of ten. An entry hears two answers a
- * second of each and took seconds to leave the unsound ones; a relay hears
- * those of all entries. What it tells beside a good answer turns the choice at
- * once.
+ * Guards against slow detection of failing servers. When half of the servers
+ * lost 4 of 10 answers, an entry, which gets two answers per second from each
+ * server, took seconds to avoid them. A relay sees the answers for all entries,
+ * so the failure rate that it sends along, even with a good answer, must be
+ * used at once.
  */
 static void test_relay_tells_failures(void)
 {
 	Peer__PartDone done = PEER__PART_DONE__INIT;
-	struct registry_server *unsound;
+	struct registry_server *failing;
 	void *handles[SERVERS];
-	struct world world;
+	struct fixture fixture;
 
-	start(&world);
-	unsound = registry_find(&world.registry, STR("a"));
-	ask(&world, handles);
+	set_up(&fixture);
+	failing = registry_find(&fixture.registry, STR("a"));
+	send_parts(&fixture, handles);
 	done.success = true;
 	done.failures = 400;
-	tell_done(&world, &done, false, 1);
-	CU_ASSERT_EQUAL(world.codes[0], 0);
-	CU_ASSERT_DOUBLE_EQUAL(unsound->score.failures, 0.4, 0.001);
-	finish(&world);
+	receive_result(&fixture, &done, false, 1);
+	CU_ASSERT_EQUAL(fixture.codes[0], 0);
+	CU_ASSERT_DOUBLE_EQUAL(failing->score.failures, 0.4, 0.001);
+	tear_down(&fixture);
 }
 
 /*
- * A server is cold and the relay has sent it what it bears: the part comes back
- * unsent, and the entry knows for how long to ask others first.
+ * If a cold server is at its limit, the relay returns the part unsent, and the
+ * entry must prefer other servers for the given time.
  */
 static void test_cold_part_comes_back(void)
 {
 	Peer__PartDone done = PEER__PART_DONE__INIT;
 	struct registry_server *cold;
 	void *handles[SERVERS];
-	struct world world;
+	struct fixture fixture;
 
-	start(&world);
-	cold = registry_find(&world.registry, STR("a"));
+	set_up(&fixture);
+	cold = registry_find(&fixture.registry, STR("a"));
 	cold->service->warmup.bound = 14;
-	ask(&world, handles);
+	send_parts(&fixture, handles);
 	done.code = ERR_COLD;
 	done.not_run = true;
 	done.cold_for_ms = UINT32_MAX;
-	tell_done(&world, &done, false, 0);
-	CU_ASSERT_EQUAL(world.codes[0], ERR_COLD);
-	CU_ASSERT(registry_is_cold(cold, clock_now(&world.clock)));
-	/* A relay may say any number: a minute is believed at most. */
-	clock_advance(&world.clock, MSEC(60001));
-	CU_ASSERT(!registry_is_cold(cold, clock_now(&world.clock)));
-	finish(&world);
+	receive_result(&fixture, &done, false, 0);
+	CU_ASSERT_EQUAL(fixture.codes[0], ERR_COLD);
+	CU_ASSERT(registry_is_cold(cold, clock_now(&fixture.clock)));
+	/* The relay's value is not trusted and limited to one minute. */
+	clock_advance(&fixture.clock, MSEC(60001));
+	CU_ASSERT(!registry_is_cold(cold, clock_now(&fixture.clock)));
+	tear_down(&fixture);
 }
 
 /*
- * Once a relay has told the greatest records, later parts come with those that
- * can still be among them, perhaps none. They count as whole.
+ * After a relay has returned the first records, later parts have only records
+ * that can still be in the answer, perhaps none. They count as complete.
  */
 static void test_floor(void)
 {
 	void *handles[SERVERS];
-	struct world world;
-
-	start(&world);
-	ask(&world, handles);
-	tell(&world, 0, true, 2);
-	CU_ASSERT_EQUAL(world.codes[0], 0);
-	CU_ASSERT_EQUAL(world.lens[0], 32);
-	tell(&world, 1, false, 0);
-	CU_ASSERT_EQUAL(world.codes[1], 0);
-	CU_ASSERT_EQUAL(world.lens[1], 0);
-	finish(&world);
+	struct fixture fixture;
+
+	set_up(&fixture);
+	send_parts(&fixture, handles);
+	receive_part(&fixture, 0, true, 2);
+	CU_ASSERT_EQUAL(fixture.codes[0], 0);
+	CU_ASSERT_EQUAL(fixture.lens[0], 32);
+	receive_part(&fixture, 1, false, 0);
+	CU_ASSERT_EQUAL(fixture.codes[1], 0);
+	CU_ASSERT_EQUAL(fixture.lens[1], 0);
+	tear_down(&fixture);
 }
 
 /*
- * Of the parts that later ones are measured by, one is not taken: another
- * server had answered for it. What was left out for its records may belong to
- * the answer, so that later parts of this relay are not whole.
+ * A part that raised the floor is not used, because another server has answered
+ * it. Records left out below that floor may be in the answer, so later parts of
+ * this relay are incomplete.
  */
 static void test_floor_not_taken(void)
 {
 	void *handles[SERVERS];
-	struct world world;
+	struct fixture fixture;
 
-	start(&world);
-	ask(&world, handles);
+	set_up(&fixture);
+	send_parts(&fixture, handles);
 	relay_ask_abandon(handles[0]);
-	tell(&world, 0, true, 2);
-	CU_ASSERT_EQUAL(world.codes[0], 1);
-	tell(&world, 1, false, 0);
-	CU_ASSERT_EQUAL(world.codes[1], ERR_PROTOCOL);
-	finish(&world);
+	receive_part(&fixture, 0, true, 2);
+	CU_ASSERT_EQUAL(fixture.codes[0], 1);
+	receive_part(&fixture, 1, false, 0);
+	CU_ASSERT_EQUAL(fixture.codes[1], ERR_PROTOCOL);
+	tear_down(&fixture);
 }
 
 /*
- * The first parts hold few records, so that none is displaced among them. One
- * is not taken; later ones are measured by it all the same.
+ * The same, with so few records in the first parts that none is displaced: the
+ * unused part still has raised the floor for later ones.
  */
 static void test_short_floor_not_taken(void)
 {
 	void *handles[SERVERS];
-	struct world world;
+	struct fixture fixture;
 
-	start(&world);
-	ask(&world, handles);
+	set_up(&fixture);
+	send_parts(&fixture, handles);
 	relay_ask_abandon(handles[0]);
-	tell(&world, 0, true, 1);
-	tell(&world, 1, true, 1);
-	CU_ASSERT_EQUAL(world.codes[1], ERR_PROTOCOL);
-	finish(&world);
+	receive_part(&fixture, 0, true, 1);
+	receive_part(&fixture, 1, true, 1);
+	CU_ASSERT_EQUAL(fixture.codes[1], ERR_PROTOCOL);
+	tear_down(&fixture);
 }
 
-/* A part that is not taken, but that nothing was measured by, does no harm. */
+/* An unused part that did not raise the floor leaves later parts complete. */
 static void test_no_floor(void)
 {
 	void *handles[SERVERS];
-	struct world world;
+	struct fixture fixture;
 
-	start(&world);
-	ask(&world, handles);
-	tell(&world, 0, true, 1);
+	set_up(&fixture);
+	send_parts(&fixture, handles);
+	receive_part(&fixture, 0, true, 1);
 	relay_ask_abandon(handles[1]);
-	tell(&world, 1, false, 2);
-	tell(&world, 2, false, 1);
-	CU_ASSERT_EQUAL(world.codes[2], 0);
-	CU_ASSERT_EQUAL(world.lens[2], 16);
-	finish(&world);
+	receive_part(&fixture, 1, false, 2);
+	receive_part(&fixture, 2, false, 1);
+	CU_ASSERT_EQUAL(fixture.codes[2], 0);
+	CU_ASSERT_EQUAL(fixture.lens[2], 16);
+	tear_down(&fixture);
 }
 
-/* Guards against a wait at the relay that counts as a slow server. */
+/* Guards against counting the wait in the relay's queue as server latency. */
 static void test_wait_is_not_the_servers(void)
 {
 	Peer__PartDone done = PEER__PART_DONE__INIT;
 	struct registry_server *server;
 	void *handles[SERVERS];
-	struct world world;
+	struct fixture fixture;
 	int64_t now;
 
-	start(&world);
-	world.client.priority = 1;
-	server = registry_find(&world.registry, STR("a"));
-	ask(&world, handles);
-	clock_advance(&world.clock, MSEC(50));
-	now = clock_now(&world.clock);
+	set_up(&fixture);
+	fixture.client.priority = 1;
+	server = registry_find(&fixture.registry, STR("a"));
+	send_parts(&fixture, handles);
+	clock_advance(&fixture.clock, MSEC(50));
+	now = clock_now(&fixture.clock);
 	done.success = true;
 	done.took_us = MSEC(8);
 	done.wait_us = MSEC(40);
 	done.ahead_us = MSEC(30);
 	done.pace_us = MSEC(9);
-	tell_done(&world, &done, false, 1);
-	CU_ASSERT_EQUAL(world.took[0], MSEC(50));
+	receive_result(&fixture, &done, false, 1);
+	CU_ASSERT_EQUAL(fixture.took[0], MSEC(50));
 	CU_ASSERT_DOUBLE_EQUAL(server->score.latency, MSEC(10), 1);
 	CU_ASSERT_EQUAL(server_outlook_ahead(&server->outlook, 1, now),
 			MSEC(30));
 	CU_ASSERT_EQUAL(server_outlook_ahead(&server->outlook, 0, now), 0);
 	CU_ASSERT_DOUBLE_EQUAL(server->outlook.pace, MSEC(9), 1);
-	finish(&world);
+	tear_down(&fixture);
 }
 
-/* Guards against a relay's figures that no part can have taken. */
+/* Guards against times from a relay that exceed the time since the send. */
 static void test_times_of_a_part_are_bounded(void)
 {
 	Peer__PartDone done = PEER__PART_DONE__INIT;
 	struct registry_server *server;
 	void *handles[SERVERS];
-	struct world world;
+	struct fixture fixture;
 
-	start(&world);
-	server = registry_find(&world.registry, STR("a"));
-	ask(&world, handles);
-	clock_advance(&world.clock, MSEC(50));
+	set_up(&fixture);
+	server = registry_find(&fixture.registry, STR("a"));
+	send_parts(&fixture, handles);
+	clock_advance(&fixture.clock, MSEC(50));
 	done.success = true;
 	done.took_us = UINT32_MAX;
 	done.wait_us = UINT32_MAX;
-	tell_done(&world, &done, false, 1);
-	CU_ASSERT_EQUAL(world.took[0], MSEC(50));
+	receive_result(&fixture, &done, false, 1);
+	CU_ASSERT_EQUAL(fixture.took[0], MSEC(50));
 	CU_ASSERT(server->score.latency <= MSEC(50));
-	/* It told no pace: what the part took is all that is known. */
+	/* Without a pace from the relay, the time of the part is used. */
 	CU_ASSERT(server->outlook.pace_at);
 	CU_ASSERT(server->outlook.pace <= MSEC(50));
-	finish(&world);
+	tear_down(&fixture);
 }
 
 static const struct unit_test tests[] = {
