--- a/gateway.h
+++ b/gateway.h
@@ -69,6 +69,8 @@
 
 /**
  * struct gateway - state of one instance
+ * @base: event loop
+ * @clock: time source of all its modules
  * @settings: owned by the caller, outlives the gateway; see
  *	gateway_apply_settings()
  * @names: names of HTTP headers, outlive the gateway
@@ -76,6 +78,7 @@
  * @upstream: connections to backend servers
  * @server_queues: sends that wait for a backend server
  * @inbound: connections from callers
+ * @store: connection to the platform's store
  * @sync: routes and servers as read from the store
  * @store_timer: fires when the store must be called next
  * @fleet: the other instances
@@ -92,6 +95,7 @@
  * @route_stats: hash table by route name
  * @counters: exposed metrics
  * @open_requests: list of requests without an answer yet
+ * @state: progress of a shutdown
  * @leaving_since: time of gateway_shut_down(), microseconds
  * @stop_timer: fires every STOP_CHECK_PERIOD during shutdown
  */
@@ -139,6 +143,10 @@
 		 const struct gateway_settings *settings,
 		 const struct gateway_header_names *names,
 		 const struct store_ops *store);
+
+/**
+ * gateway_finish() - free everything; open requests are not answered
+ */
 void gateway_finish(struct gateway *gateway);
 
 /**
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -422,10 +422,10 @@
 				  struct directory_candidate **out)
 {
 	const struct fleet_member *member = fleet->board.fleet.members;
-	size_t most = HASH_COUNT(fleet->board.fleet.members);
+	size_t n_members = HASH_COUNT(fleet->board.fleet.members);
 	int n = 0;
 
-	*out = mem_zalloc((most + 1) * sizeof(**out));
+	*out = mem_zalloc((n_members + 1) * sizeof(**out));
 	for (; member; member = member->hh.next) {
 		struct directory_candidate *candidate = &(*out)[n];
 
--- a/gateway_fleet.h
+++ b/gateway_fleet.h
@@ -54,6 +54,7 @@
 
 /**
  * struct fleet_peer_state - content of the last heartbeat of an instance
+ * @instance: its name
  * @incarnation: identifies the process that sent it
  * @routes_version: version of its routes, 0 if it has none
  */
@@ -66,6 +67,7 @@
 
 /**
  * struct gateway_fleet - this instance's state of the fleet
+ * @config: as passed to gateway_fleet_init()
  * @settings: generic settings derived from those in @config
  * @board: state shared by the modules below
  * @planned_links: instances that this one connects to
@@ -75,6 +77,8 @@
  * @poison: exchange of requests that crash servers
  * @loop_lag: monitor of event loop stalls
  * @views: distribution of the store's view
+ * @handler: receives views and requests for them
+ * @fleet_watch: calls back when members change
  * @peer_states: hash table by instance name
  * @periodic_timer: fires every VIEW_REQUEST_PERIOD_MS
  * @ticks: number of times @periodic_timer has fired
--- a/gateway_load.c
+++ b/gateway_load.c
@@ -4,7 +4,7 @@
 #include "gateway_request_private.h"
 #include "log.h"
 
-/* Callers wait for at most this fraction of their remaining time (1/3). */
+/* Callers follow a Retry-After of up to 1/3 of their remaining time. */
 #define WAIT_DEADLINE_DIVISOR 3
 /* Behind a larger backlog, the limits would be outdated on arrival. */
 #define LOAD_SHARE_BACKLOG_MAX (64 * 1024)
--- a/gateway_pages.c
+++ b/gateway_pages.c
@@ -66,9 +66,10 @@
 
 static double lifetime_s(const struct gateway *gateway)
 {
-	double most = gateway->settings->address_lifetime_max_s;
+	double lifetime_max = gateway->settings->address_lifetime_max_s;
 
-	return most < DIRECTORY_LIFETIME_S ? most : DIRECTORY_LIFETIME_S;
+	return lifetime_max < DIRECTORY_LIFETIME_S ? lifetime_max
+						   : DIRECTORY_LIFETIME_S;
 }
 
 static void on_directory(struct evhttp_request *http, void *arg)
--- a/gateway_pages.h
+++ b/gateway_pages.h
@@ -8,6 +8,8 @@
 
 /**
  * struct gateway_pages - HTTP server of the endpoints
+ * @gateway: the instance they report on
+ * @http: bound to all addresses
  */
 struct gateway_pages {
 	struct gateway *gateway;
--- a/gateway_request_private.h
+++ b/gateway_request_private.h
@@ -8,7 +8,7 @@
  * struct saved_answer - latest answer of a server, sent if no better one comes
  * @status: HTTP status code
  * @fields: header fields, owned; NULL if there is no answer
- * @body: owned
+ * @body: owned, @body_len bytes
  */
 struct saved_answer {
 	int status;
@@ -19,9 +19,11 @@
 
 /**
  * struct gateway_request - a caller's request, from receiving to answering it
+ * @gateway: the instance that handles it
  * @conn: connection of the caller
  * @routes: version of the routes used for it; holds a reference
  * @route: in @routes
+ * @dispatch: decides which sends are made, and when to answer
  * @request: what is sent to each server
  * @head: bytes of the request line and header fields in @request
  * @timer: fires when the dispatch has something to do
--- a/relay_ask.h
+++ b/relay_ask.h
@@ -27,6 +27,8 @@
 
 /**
  * struct relay_peer - observed performance of an instance as a relay
+ * @instance: its name
+ * @score: as of a server
  */
 struct relay_peer {
 	char instance[FLEET_NAME_SIZE];
@@ -73,8 +75,12 @@
 
 /**
  * struct relay_ask - jobs that this instance has sent to relays
+ * @board: clock and members of the fleet
+ * @peers: connections between instances
+ * @registry: backend servers
  * @is_usable: whether an instance may be used as a relay
  * @arg: passed to @is_usable
+ * @handler: receives results
  * @relays: hash table of relays by instance name
  * @jobs: hash table of unfinished jobs by ID
  * @last_id: last ID assigned to a job
--- a/relay_ask_private.h
+++ b/relay_ask_private.h
@@ -6,6 +6,7 @@
 
 /**
  * struct relay_send - one send of a batch
+ * @batch: the batch that owns it
  * @send: NULL once it has ended or was abandoned
  * @server: holds a reference
  * @sent_at: time of relay_ask_send(), microseconds
@@ -21,8 +22,10 @@
 
 /**
  * struct relay_batch - sends of a request to one relay, in one message
+ * @relay: state that owns it once it is sent
  * @client: NULL once the request has ended
  * @peer: the relay
+ * @data_centre: of the relay
  * @id: job ID, once @sent
  * @sent: it was sent to the relay, as job @id
  * @answered: the relay has sent a message about it
@@ -31,7 +34,7 @@
  * @sent_at: time when it was sent, microseconds
  * @flush_after: value in struct relay_client when it was sent
  * @level: urgency level of the request
- * @sends: array of owned elements
+ * @sends: array of @n_sends owned elements
  * @cap_sends: allocated size of @sends
  * @n_open: sends that have not ended
  */
--- a/relay_choose.c
+++ b/relay_choose.c
@@ -13,9 +13,9 @@
  * come this long after it, the relay hangs or is cut off and is not used.
  */
 #define LATE_TOLERANCE MSEC(15)
-/* Relays are scored like servers, with these values as there is no default. */
+/* Traits that score relays like servers; no service latency is known here. */
 #define RELAY_SLOTS 64
-#define RELAY_USUAL_LATENCY 30000.0
+#define RELAY_USUAL_LATENCY 30000.0 /* microseconds */
 
 static struct relay_peer *get_peer(struct relay_ask *relay,
 				   const char *instance)
--- a/relay_serve.c
+++ b/relay_serve.c
@@ -26,6 +26,7 @@
 
 /**
  * struct job_send - one send of a job
+ * @job: the job that owns it
  * @server: NULL if it is not known here
  * @turn: in the server queue; NULL once the send has ended
  * @index: of the part in the entry's message
@@ -39,6 +40,7 @@
 
 /**
  * struct relay_job - one message of an entry
+ * @relay: state that owns it
  * @link: connection to the entry; the job is freed when it closes
  * @id: assigned by the entry
  * @request: what is sent to each server; its bytes are owned
@@ -46,13 +48,15 @@
  * @deadline: time when the sends end, microseconds
  * @connections_max: limit on connections to each server
  * @timer: fires at the flush time
+ * @sends: @n_sends elements, owned
  * @n_pending: sends without a result
  * @results: results not returned to the entry yet, @n_results of them
  * @result_ptrs: pointers to @results, for the message
  * @records: the greatest records of @results
  * @flushed: the flush time has passed; further results are returned at once
  * @floor_records: the greatest records of the first @n_floor_parts parts
- * @n_floor_parts: parts whose records raise @floor, up to FLOOR_PARTS
+ * @n_floor_parts: parts whose records have raised @floor; from FLOOR_PARTS on
+ *	no more are added
  * @has_floor: @floor is set
  * @floor: lesser records than this cannot be in the answer
  */
--- a/relay_serve.h
+++ b/relay_serve.h
@@ -20,7 +20,12 @@
 
 /**
  * struct relay_serve - jobs that other instances have sent
+ * @base: event loop
+ * @board: clock and stalls of the event loop
+ * @peers: connections between instances
+ * @registry: backend servers
  * @queues: sends that wait for a backend server
+ * @handler: receives jobs and cancellations
  * @jobs: list of unfinished jobs
  */
 struct relay_serve {
