--- a/gateway.c
+++ b/gateway.c
@@ -72,13 +72,13 @@
 	retry_share_update(&gateway->retry_share, &retry, &membership,
 			   clock_now(&gateway->clock));
 	gateway->limits.budget = gateway->retry_share.limit;
-	gateway->upstream.limits.share_near =
+	gateway->upstream.limits.share_local =
 		LOCAL_CONNECTIONS_SHARE /
 		gateway_fleet_count_local_senders(&gateway->fleet);
 	gateway->server_queues.queues.senders =
 		gateway_fleet_count_local_senders(&gateway->fleet);
 	gateway->server_queues.queues.enabled = settings->load_control.turns;
-	gateway->upstream.limits.share_far =
+	gateway->upstream.limits.share_remote =
 		REMOTE_CONNECTIONS_SHARE / gateway->retry_share.entries_peak;
 	gateway->registry.shared_pace = settings->load_control.pace;
 }
--- a/gateway.h
+++ b/gateway.h
@@ -42,7 +42,7 @@
  * @parts_missing: header with the number of missing parts
  */
 struct gateway_header_names {
-	struct upstream_names upstream;
+	struct upstream_header_names upstream;
 	struct str part_stamps;
 	struct str parts_missing;
 };
--- a/gateway_answer.c
+++ b/gateway_answer.c
@@ -64,7 +64,7 @@
 		const struct server_load *load =
 			last->server ? &last->server->load : &unknown;
 
-		if (part->state == PART_IN || part->code == ERR_LEFT_OUT)
+		if (part->state == PART_ANSWERED || part->code == ERR_LEFT_OUT)
 			continue;
 		LOG_INFO("part_missing",
 			 LOG_STR("request", request->request.id),
@@ -155,7 +155,7 @@
 			 int64_t retry_after)
 {
 	const struct dispatch *dispatch = &request->dispatch;
-	const struct load_limit *load = dispatch_load(dispatch);
+	const struct load_limit *load = dispatch_load_limit(dispatch);
 	int64_t age = clock_now(dispatch->clock) - load->lowered_at;
 	int level = dispatch->level;
 
@@ -213,9 +213,9 @@
 	struct gateway_stats *counters = &request->gateway->counters;
 	enum dispatch_outcome outcome = request->dispatch.outcome;
 
-	if (outcome == DISPATCH_WHOLE || outcome == DISPATCH_PARTIAL) {
-		metric_inc(outcome == DISPATCH_WHOLE ? &counters->answered
-						     : &counters->partial);
+	if (outcome == DISPATCH_COMPLETE || outcome == DISPATCH_PARTIAL) {
+		metric_inc(outcome == DISPATCH_COMPLETE ? &counters->answered
+							: &counters->partial);
 		if (request->route->sharded)
 			send_merged_answer(request);
 		else
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -93,7 +93,7 @@
 {
 	struct gateway_fleet *fleet = arg;
 
-	member_table_greet(&fleet->members.members, link->instance);
+	member_table_probe_now(&fleet->members.members, link->instance);
 	view_share_met(&fleet->views, link->instance);
 }
 
@@ -170,11 +170,11 @@
 static void set_cold_senders(struct gateway_fleet *fleet)
 {
 	const struct view_share *views = &fleet->views;
-	char instances[HUBS_MOST][FLEET_NAME_SIZE];
+	char instances[HUBS_PER_DC_MAX][FLEET_NAME_SIZE];
 	int n = 0;
 	int i;
 
-	for (i = 0; i < views->n_members && n < HUBS_MOST; i++) {
+	for (i = 0; i < views->n_members && n < HUBS_PER_DC_MAX; i++) {
 		if (is_local_hub(fleet, &views->members[i]))
 			memcpy(instances[n++], views->members[i].instance,
 			       FLEET_NAME_SIZE);
@@ -213,7 +213,7 @@
 		if (!member->hub ||
 		    strcmp(member->data_centre, server->entry.data_centre))
 			continue;
-		score = warmup_score(id, member->instance);
+		score = warmup_hash(id, member->instance);
 		if (best_instance && score >= lowest_score)
 			continue;
 		lowest_score = score;
@@ -250,7 +250,8 @@
 		entries[i].caller_address = entries[i].peer_address;
 		entries[i].address_only = true;
 	}
-	member_table_seeds(&fleet->members.members, entries, settings->n_seeds);
+	member_table_apply_seeds(&fleet->members.members, entries,
+				 settings->n_seeds);
 }
 
 static void on_loop_tick(void *arg, int64_t lag)
@@ -393,8 +394,8 @@
 	/* Tell peers that this instance now has a view and accepts requests. */
 	for (link = fleet->peers.links; first && link; link = link->next) {
 		if (link->up)
-			member_table_greet(&fleet->members.members,
-					   link->instance);
+			member_table_probe_now(&fleet->members.members,
+					       link->instance);
 	}
 }
 
--- a/gateway_forecast.c
+++ b/gateway_forecast.c
@@ -56,7 +56,7 @@
 		len += (size_t)snprintf(
 			out + len, size - len, "%s%s:%lld", n++ ? " " : "",
 			part_of(dispatch, expected)->service->name,
-			(long long)(forecast_expected(expected) /
+			(long long)(forecast_answer_time(expected) /
 				    USEC_PER_MSEC));
 	}
 }
@@ -74,7 +74,8 @@
 		 LOG_I64("in_time", forecast->n_in_time),
 		 LOG_I64("needed", forecast->needed),
 		 LOG_I64("goal_left_us", forecast->goal),
-		 LOG_I64("enough_in_us", forecast_expected(forecast->deciding)),
+		 LOG_I64("enough_in_us",
+			 forecast_answer_time(forecast->deciding)),
 		 LOG_TEXT("worst", latest));
 }
 
--- a/gateway_load.c
+++ b/gateway_load.c
@@ -37,7 +37,7 @@
 
 static void on_limit_adopted(void *arg, const char *service,
 			     const struct load_limit *load,
-			     const struct load_view *view)
+			     const struct peer_load *view)
 {
 	(void)arg;
 	LOG_INFO("load_limit_adopted", LOG_TEXT("service", service),
@@ -60,8 +60,8 @@
 		return;
 	gateway->load.load_share.n_others =
 		gateway_fleet_count_entries(&gateway->fleet) - 1;
-	load_share_told(&gateway->load.load_share, link->instance,
-			(const Peer__LoadShare *)frame->message);
+	load_share_receive(&gateway->load.load_share, link->instance,
+			   (const Peer__LoadShare *)frame->message);
 }
 
 static void on_timer(void *arg)
@@ -76,9 +76,9 @@
 {
 	struct gateway_load *load = &gateway->load;
 
-	return_book_init(&load->return_book, &gateway->clock);
+	return_schedule_init(&load->return_schedule, &gateway->clock);
 	load_share_init(&load->load_share, &gateway->clock, &share_ops, gateway,
-			&load->return_book);
+			&load->return_schedule);
 	wake_timer_init(&load->timer, gateway->base, &gateway->clock, on_timer,
 			gateway);
 	load->handler.frame = on_frame;
@@ -92,7 +92,7 @@
 void gateway_load_finish(struct gateway *gateway)
 {
 	wake_timer_finish(&gateway->load.timer);
-	return_book_finish(&gateway->load.return_book);
+	return_schedule_finish(&gateway->load.return_schedule);
 }
 
 void gateway_load_arm_timer(struct gateway *gateway)
@@ -104,7 +104,7 @@
 
 const struct route_service *
 gateway_load_return_target(const struct route *route,
-			   const struct return_entry *entry)
+			   const struct scheduled_return *entry)
 {
 	int i;
 
@@ -118,7 +118,7 @@
 }
 
 static bool is_limited(struct gateway *gateway, const struct route *route,
-		       const struct return_entry *entry)
+		       const struct scheduled_return *entry)
 {
 	const struct route_service *target =
 		gateway_load_return_target(route, entry);
@@ -129,7 +129,7 @@
 }
 
 static void log_return(const struct gateway *gateway, struct str id,
-		       const struct return_entry *entry,
+		       const struct scheduled_return *entry,
 		       enum return_state state)
 {
 	int64_t early = entry->due - clock_now(&gateway->clock);
@@ -145,25 +145,28 @@
 			 LOG_I64("early_ms", early / USEC_PER_MSEC));
 }
 
-static void consume_return(struct gateway *gateway, struct return_entry *entry)
+static void consume_return(struct gateway *gateway,
+			   struct scheduled_return *entry)
 {
-	return_book_drop(&gateway->load.return_book, entry->fingerprint);
+	return_schedule_remove(&gateway->load.return_schedule,
+			       entry->fingerprint);
 	entry->taken = true;
-	load_share_return(&gateway->load.load_share, entry);
+	load_share_add_return(&gateway->load.load_share, entry);
 }
 
 enum return_state gateway_load_check_return(struct gateway *gateway,
 					    const struct route *route,
 					    uint64_t fingerprint, struct str id,
-					    struct return_entry *out)
+					    struct scheduled_return *out)
 {
-	const struct return_entry *entry;
+	const struct scheduled_return *entry;
 	enum return_state state;
 
 	if (!gateway->settings->load_control.returns)
 		return RETURN_NONE;
-	entry = return_book_find(&gateway->load.return_book, fingerprint);
-	state = return_book_arrive(&gateway->load.return_book, entry);
+	entry = return_schedule_find(&gateway->load.return_schedule,
+				     fingerprint);
+	state = return_schedule_check(&gateway->load.return_schedule, entry);
 	if (state == RETURN_NONE)
 		return RETURN_NONE;
 	*out = *entry;
@@ -181,8 +184,8 @@
 }
 
 static void log_promise(const struct gateway_request *request,
-			const struct return_ask *ask,
-			const struct return_entry *entry, int64_t wait)
+			const struct return_request *ask,
+			const struct scheduled_return *entry, int64_t wait)
 {
 	LOG_INFO("return_promised", LOG_STR("request", request->request.id),
 		 LOG_TEXT("service", request->dispatch.parts[0].service->name),
@@ -198,26 +201,27 @@
 	struct gateway *gateway = request->gateway;
 	const struct dispatch *dispatch = &request->dispatch;
 	int64_t now = clock_now(&gateway->clock);
-	const struct return_ask ask = {
+	const struct return_request ask = {
 		.fingerprint = request->fingerprint,
 		.service = str_hash(str_from(dispatch->parts[0].service->name)),
 		.level = dispatch->level,
 		.cost = dispatch->cost,
-		.room = dispatch_room(dispatch),
-		.room_in = dispatch_room_in(dispatch),
+		.room = dispatch_capacity(dispatch),
+		.room_in = dispatch_capacity_delay(dispatch),
 		.patience = (dispatch->deadline - now) / WAIT_DEADLINE_DIVISOR,
 	};
-	struct return_entry entry;
+	struct scheduled_return entry;
 	int64_t wait;
 
 	if (!gateway->settings->load_control.returns ||
-	    !dispatch_is_for_load(dispatch) || ask.patience <= 0)
+	    !dispatch_refused_for_load(dispatch) || ask.patience <= 0)
 		return dispatch_retry_after(dispatch);
-	wait = return_book_offer(&gateway->load.return_book, &ask, &entry);
+	wait = return_schedule_offer(&gateway->load.return_schedule, &ask,
+				     &entry);
 	metric_inc(entry.kept ? &gateway->counters.return_promised
 			      : &gateway->counters.return_unpromised);
 	log_promise(request, &ask, &entry, wait);
-	load_share_return(&gateway->load.load_share, &entry);
+	load_share_add_return(&gateway->load.load_share, &entry);
 	gateway_load_arm_timer(gateway);
 	return (wait + USEC_PER_MSEC - 1) / USEC_PER_MSEC;
 }
--- a/gateway_load.h
+++ b/gateway_load.h
@@ -16,13 +16,13 @@
 
 /**
  * struct gateway_load - state of overload handling
- * @return_book: capacity reserved for the retries of refused callers
+ * @return_schedule: capacity reserved for the retries of refused callers
  * @load_share: limits and reservations exchanged with other instances
  * @timer: fires when @load_share has something to send
  * @handler: receives messages of other instances
  */
 struct gateway_load {
-	struct return_book return_book;
+	struct return_schedule return_schedule;
 	struct load_share load_share;
 	struct wake_timer timer;
 	struct peer_handler handler;
@@ -53,7 +53,7 @@
 enum return_state gateway_load_check_return(struct gateway *gateway,
 					    const struct route *route,
 					    uint64_t fingerprint, struct str id,
-					    struct return_entry *out);
+					    struct scheduled_return *out);
 
 /**
  * gateway_load_return_target() - find the target that refused a request
@@ -62,7 +62,7 @@
  */
 const struct route_service *
 gateway_load_return_target(const struct route *route,
-			   const struct return_entry *entry);
+			   const struct scheduled_return *entry);
 
 /**
  * gateway_load_offer_return() - choose when a refused caller may retry, and
--- a/gateway_outage.c
+++ b/gateway_outage.c
@@ -23,7 +23,7 @@
 	struct open_check *open = arg;
 	struct gateway *gateway = open->gateway;
 
-	outage_checked(&gateway->outage, open->check, listens);
+	outage_check_done(&gateway->outage, open->check, listens);
 	free(open);
 	gateway_outage_arm_timer(gateway);
 }
@@ -38,7 +38,7 @@
 	open->check = check;
 	if (!upstream_check(&gateway->upstream, server, on_check_done, open))
 		return;
-	outage_checked(&gateway->outage, check, false);
+	outage_check_done(&gateway->outage, check, false);
 	free(open);
 }
 
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -95,7 +95,7 @@
 
 static bool is_gateway_header(const struct gateway *gateway, struct str name)
 {
-	const struct upstream_names *names = &gateway->names->upstream;
+	const struct upstream_header_names *names = &gateway->names->upstream;
 
 	return (name.len == names->deadline.len &&
 		!strncasecmp(name.data, names->deadline.data, name.len)) ||
@@ -175,7 +175,8 @@
 		.round_trip = inbound_conn_round_trip(conn),
 	};
 
-	return answer_due_after(&due) - blackboard_stall(&gateway->fleet.board);
+	return answer_due_timeout(&due) -
+	       blackboard_stall(&gateway->fleet.board);
 }
 
 static struct str host_of(const struct http_message *message)
@@ -204,7 +205,7 @@
 static void start_request(struct gateway *gateway, struct inbound_conn *conn,
 			  const struct http_message *message,
 			  const struct route *route, uint64_t fingerprint,
-			  const struct return_entry *due)
+			  const struct scheduled_return *due)
 {
 	struct gateway_request *request = mem_zalloc(sizeof(*request));
 	struct route_stats *stats = get_route_stats(gateway, route);
@@ -294,7 +295,7 @@
 			    const struct http_message *message,
 			    const struct route *route, uint64_t fingerprint)
 {
-	struct return_entry entry;
+	struct scheduled_return entry;
 	enum return_state state;
 
 	state = gateway_load_check_return(
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -133,14 +133,14 @@
 {
 	struct gateway_request *request = arg;
 
-	dispatch_hold(&request->dispatch);
+	dispatch_begin_batch(&request->dispatch);
 }
 
 static void end_batch(void *arg)
 {
 	struct gateway_request *request = arg;
 
-	request->on_outcome(request, dispatch_release(&request->dispatch));
+	request->on_outcome(request, dispatch_end_batch(&request->dispatch));
 }
 
 /* Callbacks of the dispatch. */
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -99,7 +99,7 @@
 	fixture->base = event_base_new();
 	blackboard_init(&fixture->board, &fixture->clock, &fixture->settings,
 			fixture->base, 1);
-	member = fleet_put(&fixture->board.fleet, STR("far"));
+	member = fleet_find_or_add(&fixture->board.fleet, STR("far"));
 	member->status = FLEET_ALIVE;
 	str_copy(member->data_centre, sizeof(member->data_centre),
 		 STR("there"));
