--- a/gateway_pages.c
+++ b/gateway_pages.c
@@ -14,8 +14,8 @@
 #include "log.h"
 
 /*
- * Callers keep the directory's answer for so long, and some three times as
- * long. Short, so that they soon leave an instance that is lost or stops.
+ * Cache lifetime of directory answers; some callers keep them three times as
+ * long. Short, so that callers soon leave an instance that fails or stops.
  */
 #define DIRECTORY_LIFETIME_S 2.0
 
@@ -35,7 +35,7 @@
 	reply(http, gateway_ready(pages->gateway) ? 200 : 503, NULL, NULL);
 }
 
-/* A member of the query; empty if it is not there. */
+/* Returns the value of a query parameter, empty if it is missing. */
 static struct str query_text(const struct evkeyvalq *query, const char *key)
 {
 	const char *text = evhttp_find_header(query, key);
@@ -66,9 +66,10 @@
 
 static double lifetime_s(const struct gateway *gateway)
 {
-	double most = gateway->settings->address_lifetime_max_s;
+	double lifetime_max = gateway->settings->address_lifetime_max_s;
 
-	return most < DIRECTORY_LIFETIME_S ? most : DIRECTORY_LIFETIME_S;
+	return lifetime_max < DIRECTORY_LIFETIME_S ? lifetime_max
+						   : DIRECTORY_LIFETIME_S;
 }
 
 static void on_directory(struct evhttp_request *http, void *arg)
@@ -78,7 +79,7 @@
 	struct evkeyvalq query = {NULL};
 	struct evbuffer *body;
 
-	/* Others may be ready; they are asked next. */
+	/* The caller asks another instance next, which may be ready. */
 	if (!store_sync_ready(&gateway->sync)) {
 		reply(http, 503, NULL, NULL);
 		return;
@@ -100,9 +101,11 @@
 	struct gateway_stats *counters = &gateway->counters;
 	int64_t age = store_sync_routes_age(&gateway->sync);
 
-	metric_set(&counters->opened, (int64_t)gateway->upstream.opened);
-	metric_set(&counters->relay_jobs, (int64_t)gateway->relay_ask.asked);
-	metric_set(&counters->links,
+	metric_set(&counters->server_connections_opened,
+		   (int64_t)gateway->upstream.opened);
+	metric_set(&counters->relay_jobs,
+		   (int64_t)gateway->relay_ask.jobs_sent);
+	metric_set(&counters->gateway_links,
 		   gateway->fleet.board.counters.peer_links.value);
 	metric_set(&counters->heartbeat_bytes,
 		   gateway->fleet.board.counters.member_bytes_out.value);
@@ -113,12 +116,14 @@
 	metric_set(&counters->routes_age, age / USEC_PER_MSEC);
 	metric_set(&counters->servers,
 		   (int64_t)HASH_COUNT(gateway->registry.servers));
-	metric_set(&counters->bad_loads, (int64_t)gateway->upstream.bad_loads);
+	metric_set(&counters->load_reports_refused,
+		   (int64_t)gateway->upstream.bad_loads);
 	metric_set(&counters->cordons, gateway->registry.cordons.n);
-	metric_set(&counters->conns, gateway->inbound.n);
-	metric_set(&counters->budget_refused,
+	metric_set(&counters->caller_connections, gateway->inbound.n);
+	metric_set(&counters->second_sends_refused,
 		   gateway_second_sends_refused(gateway));
-	metric_set(&counters->budget_entries, gateway->retry_share.divisor);
+	metric_set(&counters->second_sends_entries,
+		   gateway->retry_share.divisor);
 	metric_set(&counters->log_dropped, (int64_t)log_dropped());
 }
 
@@ -170,7 +175,7 @@
 		ret = bind_to(pages, &settings->directory_address);
 	if (!ret)
 		ret = bind_to(pages, &settings->control_address);
-	/* Callers matter more: it serves without a collector's address. */
+	/* Serving callers matters more than metrics: only log the failure. */
 	if (!ret && bind_to(pages, &settings->metrics_address))
 		LOG_WARN("no_metrics_address",
 			 LOG_I64("port", settings->metrics_address.port));
