--- a/relay_ask.c
+++ b/relay_ask.c
@@ -42,7 +42,7 @@
 	batch->relay = relay;
 	batch->client = client;
 	batch->peer = peer;
-	batch->level = server_outlook_level(client->priority);
+	batch->level = server_estimate_level(client->priority);
 	str_copy(batch->data_centre, sizeof(batch->data_centre),
 		 str_from(data_centre));
 	DL_APPEND(client->batches, batch);
@@ -84,7 +84,7 @@
 	relayed->batch->n_open--;
 	server_score_result(&relayed->server->score, result, took, now);
 	if (result == SERVER_ANSWERED)
-		registry_answered(relayed->server->service, took);
+		registry_record_latency(relayed->server->service, took);
 }
 
 void relay_batch_free(struct relay_batch *batch)
@@ -99,13 +99,13 @@
 			server_score_result(&batch->peer->score,
 					    relay_batch_is_late(batch, now)
 						    ? SERVER_SILENT
-						    : SERVER_DROPPED,
+						    : SERVER_ABANDONED,
 					    0, now);
 	}
 	if (batch->client)
 		DL_DELETE(batch->client->batches, batch);
 	for (i = 0; i < batch->n_sends; i++) {
-		relay_send_end(batch->sends[i], SERVER_DROPPED, 0);
+		relay_send_end(batch->sends[i], SERVER_ABANDONED, 0);
 		registry_server_unref(batch->sends[i]->server);
 		free(batch->sends[i]);
 	}
@@ -272,7 +272,7 @@
 		struct dispatch_send *send = relayed->send;
 
 		/* The lost connection says nothing about the server. */
-		relay_send_end(relayed, SERVER_DROPPED, 0);
+		relay_send_end(relayed, SERVER_ABANDONED, 0);
 		relayed->send = NULL;
 		if (send)
 			client->result(send, &lost_answer);
--- a/relay_result.c
+++ b/relay_result.c
@@ -76,13 +76,14 @@
 	struct registry_server *server = relayed->server;
 
 	if (done->pace_us) {
-		server_outlook_told(&server->outlook, relayed->batch->level,
-				    done->ahead_us, now);
-		server_pace_told(server, done->pace_us,
-				 relayed->batch->peer->instance, now);
+		server_estimate_set_wait(&server->outlook,
+					 relayed->batch->level, done->ahead_us,
+					 now);
+		server_timing_add_report(server, done->pace_us,
+					 relayed->batch->peer->instance, now);
 	} else if (server_result_of(done->code, done->success) ==
 		   SERVER_ANSWERED) {
-		server_pace_seen(server, times->server, now);
+		server_timing_add_sample(server, times->server, now);
 	}
 }
 
@@ -116,9 +117,9 @@
 	relay_send_end(relayed, server_result_of(done->code, done->success),
 		       took);
 	/* A relay makes more sends to a server than a single entry. */
-	if (server_result_of(done->code, done->success) != SERVER_DROPPED)
-		server_score_told(&relayed->server->score,
-				  (double)done->failures / 1000);
+	if (server_result_of(done->code, done->success) != SERVER_ABANDONED)
+		server_score_set_failures(&relayed->server->score,
+					  (double)done->failures / 1000);
 	if (done->code == ERR_FOREIGN)
 		relayed->server->gone = true;
 	if (done->code == ERR_COLD)
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -323,9 +323,9 @@
 	receive_result(&fixture, &done, false, 1);
 	CU_ASSERT_EQUAL(fixture.took[0], MSEC(50));
 	CU_ASSERT_DOUBLE_EQUAL(server->score.latency, MSEC(10), 1);
-	CU_ASSERT_EQUAL(server_outlook_ahead(&server->outlook, 1, now),
+	CU_ASSERT_EQUAL(server_estimate_wait(&server->outlook, 1, now),
 			MSEC(30));
-	CU_ASSERT_EQUAL(server_outlook_ahead(&server->outlook, 0, now), 0);
+	CU_ASSERT_EQUAL(server_estimate_wait(&server->outlook, 0, now), 0);
 	CU_ASSERT_DOUBLE_EQUAL(server->outlook.pace, MSEC(9), 1);
 	tear_down(&fixture);
 }
