--- a/gateway_answer.c
+++ b/gateway_answer.c
@@ -78,7 +78,7 @@
 			 LOG_TEXT("error", error_name(part->code)),
 			 LOG_F64("budget", part->service->budget.tokens),
 			 LOG_I64("told_waiting", load->waiting),
-			 LOG_I64("told_pace", load->pace),
+			 LOG_I64("told_pace", load->slowdown_pct),
 			 LOG_I64("told_age_ms",
 				 load->at ? (now - load->at) / USEC_PER_MSEC
 					  : -1));
--- a/server_load.c
+++ b/server_load.c
@@ -4,13 +4,13 @@
 
 #include "error.h"
 
-/* Three or four figures, each of at most so many digits. */
-#define FIGURES_LEAST 3
-#define FIGURES_MOST 4
-#define DIGITS_MOST 6
-/* Work a hundred times as long, or a hundredth: no machine's noise. */
-#define PACE_LEAST 1
-#define PACE_MOST 10000
+/* Comma-separated numbers, and their maximum length. */
+#define FIELDS_MIN 3
+#define FIELDS_MAX 4
+#define DIGITS_MAX 6
+/* 100 times slower or faster exceeds the noise of any machine. */
+#define SLOWDOWN_PCT_MIN 1
+#define SLOWDOWN_PCT_MAX 10000
 
 static bool is_space(char c)
 {
@@ -28,21 +28,21 @@
 	return text;
 }
 
-static int parse_figure(struct str text, int32_t *out)
+static int parse_field(struct str text, int32_t *out)
 {
 	uint64_t n;
 	int ret;
 
 	text = trim(text);
-	if (!text.len || text.len > DIGITS_MOST)
+	if (!text.len || text.len > DIGITS_MAX)
 		return text.len ? ERR_RANGE : ERR_SYNTAX;
 	ret = str_parse_u64(text, &n);
 	*out = (int32_t)n;
 	return ret;
 }
 
-/* Return: how many figures there are, or why they cannot be read. */
-static int parse_figures(struct str text, int32_t figures[FIGURES_MOST])
+/* Return: the number of fields, or an error code. */
+static int parse_fields(struct str text, int32_t fields[FIELDS_MAX])
 {
 	int n = 0;
 	size_t from = 0;
@@ -53,10 +53,10 @@
 
 		if (i < text.len && text.data[i] != ',')
 			continue;
-		if (n == FIGURES_MOST)
+		if (n == FIELDS_MAX)
 			return ERR_SYNTAX;
-		ret = parse_figure((struct str){text.data + from, i - from},
-				   &figures[n++]);
+		ret = parse_field((struct str){text.data + from, i - from},
+				  &fields[n++]);
 		if (ret)
 			return ret;
 		from = i + 1;
@@ -66,18 +66,19 @@
 
 int server_load_parse(struct str text, struct server_load *out)
 {
-	int32_t figures[FIGURES_MOST] = {0, 0, 0, SERVER_PACE_USUAL};
-	int n = parse_figures(text, figures);
+	int32_t fields[FIELDS_MAX] = {0, 0, 0, SERVER_SLOWDOWN_NONE};
+	int n = parse_fields(text, fields);
 
 	if (n < 0)
 		return n;
-	if (n < FIGURES_LEAST)
+	if (n < FIELDS_MIN)
 		return ERR_SYNTAX;
-	if (figures[2] < 1 || figures[3] < PACE_LEAST || figures[3] > PACE_MOST)
+	if (fields[2] < 1 || fields[3] < SLOWDOWN_PCT_MIN ||
+	    fields[3] > SLOWDOWN_PCT_MAX)
 		return ERR_RANGE;
-	out->running = figures[0];
-	out->waiting = figures[1];
-	out->slots = figures[2];
-	out->pace = figures[3];
+	out->running = fields[0];
+	out->waiting = fields[1];
+	out->slots = fields[2];
+	out->slowdown_pct = fields[3];
 	return 0;
 }
--- a/server_load.h
+++ b/server_load.h
@@ -1,4 +1,4 @@
-/* What a backend server says of its load beside each answer. */
+/* Load that a backend server reports with each answer. */
 #ifndef SERVER_LOAD_H
 #define SERVER_LOAD_H
 
@@ -6,32 +6,33 @@
 
 #include "str.h"
 
-/* Work takes as long as usual. */
-#define SERVER_PACE_USUAL 100
+/* Work takes as long as it normally does, percent. */
+#define SERVER_SLOWDOWN_NONE 100
 
 /**
- * struct server_load - as it was when the answer was sent
- * @running: requests that it runs
- * @waiting: and that wait for a slot
- * @slots: requests that it runs at once
- * @pace: how long work takes on its machine, percent of what is usual; 100 if
- *	it does not say
- * @at: when it came, microseconds; 0: never
+ * struct server_load - load of a server when it sent the answer
+ * @running: requests that it is running
+ * @waiting: requests that are waiting for a slot
+ * @slots: number of requests that it runs concurrently
+ * @slowdown_pct: duration of work on its machine, percent of the normal; 100 if
+ *	not reported
+ * @at: when the report arrived, microseconds; 0: never
  */
 struct server_load {
 	int32_t running;
 	int32_t waiting;
 	int32_t slots;
-	int32_t pace;
+	int32_t slowdown_pct;
 	int64_t at;
 };
 
 /**
- * server_load_parse() - read "running, waiting, slots[, pace]"
- * @out: set on success, but for its @at
+ * server_load_parse() - parse "running, waiting, slots[, slowdown]"
+ * @text: to parse
+ * @out: set on success, except for its @at
  *
- * Return: 0; ERR_SYNTAX if it is anything else, ERR_RANGE for figures that no
- * server has: nothing may be believed of it then.
+ * Return: 0; ERR_SYNTAX if the text is malformed, ERR_RANGE if a number is
+ * implausible. No part of the report is used then.
  */
 int server_load_parse(struct str text, struct server_load *out);
 
--- a/tests/test_server_load.c
+++ b/tests/test_server_load.c
@@ -10,23 +10,23 @@
 	return server_load_parse(str_from(text), load);
 }
 
-static void test_figures(void)
+static void test_fields(void)
 {
 	struct server_load load = {.at = NOW};
 
 	CU_ASSERT(!parse("3,0,8", &load));
 	CU_ASSERT(load.running == 3 && !load.waiting && load.slots == 8);
-	CU_ASSERT(load.pace == SERVER_PACE_USUAL);
+	CU_ASSERT(load.slowdown_pct == SERVER_SLOWDOWN_NONE);
 	CU_ASSERT(!parse(" 2 , 11 ,2,\t400 ", &load));
 	CU_ASSERT(load.running == 2 && load.waiting == 11 && load.slots == 2);
-	CU_ASSERT(load.pace == 400);
+	CU_ASSERT(load.slowdown_pct == 400);
 }
 
 /*
- * A server, or whatever answers at its address, says nonsense of its load. What
- * was known before stays, and no figure that cannot be is chosen by.
+ * A server, or whatever listens at its address, reports an invalid load. The
+ * last valid report stays, and no invalid number affects the choice of servers.
  */
-static void test_nonsense(void)
+static void test_invalid(void)
 {
 	static const char *const texts[] = {
 		"",
@@ -48,19 +48,21 @@
 		"0x3,0,8",
 		"3,0,8,+100",
 	};
-	struct server_load load = {.running = 1, .pace = 150, .at = NOW};
+	struct server_load load = {.running = 1,
+				   .slowdown_pct = 150,
+				   .at = NOW};
 	size_t i;
 
 	for (i = 0; i < sizeof(texts) / sizeof(texts[0]); i++) {
 		CU_ASSERT(parse(texts[i], &load) < 0);
-		CU_ASSERT(load.running == 1 && load.pace == 150);
+		CU_ASSERT(load.running == 1 && load.slowdown_pct == 150);
 		CU_ASSERT(load.at == NOW);
 	}
 }
 
 static const struct unit_test tests[] = {
-	{"figures", test_figures},
-	{"nonsense", test_nonsense},
+	{"fields", test_fields},
+	{"invalid", test_invalid},
 };
 
 UNIT_MAIN("server_load", tests)
