--- a/server_pool.c
+++ b/server_pool.c
@@ -16,9 +16,11 @@
 #include "mem.h"
 
 #define ABANDON_GRACE_MS 250
-/* Answers that need no slot: holdings and cancellations. */
+/* Limit for requests that need no slot: holdings and cancellations. */
 #define CONTROL_TIMEOUT_MS 2000
-/* Longer than any request: the timers here end requests, not those of evhttp.
+/*
+ * Longer than any request: requests are ended by the timers here, not by
+ * evhttp's.
  */
 #define IO_TIMEOUT_S 3600
 #define ANSWER_MAX_BYTES (64 * 1024 * 1024)
@@ -27,18 +29,27 @@
 enum conn_state {
 	CONN_IDLE,
 	CONN_BUSY,
-	CONN_ABANDONED, /* nobody wants the answer, but the server works */
-	CONN_DEAD,	/* to be closed by the reaper */
+	CONN_ABANDONED, /* answer not needed, the server still works on it */
+	CONN_DEAD,	/* to be freed by the reaper */
 };
 
 /**
  * struct server_conn - one connection
- * @sending: a request is being handed to evhttp
- * @failed: and it failed at once
- * @connecting: ends a connection that is not made in time
- * @silence: ends a request that is not answered in time
- * @begun_at: when the last request began
- * @answered_at: when the last answer came
+ * @pool: the pool that contains it
+ * @http: its evhttp connection, owned
+ * @state: see enum conn_state
+ * @connected: the connection is established, as far as known
+ * @sending: a request is being passed to evhttp
+ * @failed: evhttp called back with a failure while @sending
+ * @error: error that evhttp reported for the current request, or 0
+ * @done: callback of the current request, or NULL
+ * @arg: passed to @done
+ * @connect_timer: fails the request if no connection is made in time
+ * @answer_timer: fails the request if no answer arrives in time
+ * @requested_at: when the last request was started, microseconds
+ * @answered_at: when the last answer arrived, microseconds
+ * @prev: in the pool's list
+ * @next: in the pool's list
  */
 struct server_conn {
 	struct server_pool *pool;
@@ -50,9 +61,9 @@
 	int error;
 	server_reply_cb done;
 	void *arg;
-	struct event *connecting;
-	struct event *silence;
-	int64_t begun_at;
+	struct event *connect_timer;
+	struct event *answer_timer;
+	int64_t requested_at;
 	int64_t answered_at;
 	struct server_conn *prev;
 	struct server_conn *next;
@@ -64,14 +75,14 @@
 
 	DL_DELETE(pool->conns, conn);
 	pool->n_conns--;
-	event_free(conn->connecting);
-	event_free(conn->silence);
+	event_free(conn->connect_timer);
+	event_free(conn->answer_timer);
 	evhttp_connection_set_closecb(conn->http, NULL, NULL);
 	evhttp_connection_free(conn->http);
 	free(conn);
 }
 
-/* evhttp must not be freed from inside its own callbacks. */
+/* An evhttp connection must not be freed from inside its own callbacks. */
 static void reap(evutil_socket_t fd, short what, void *arg)
 {
 	struct server_pool *pool = arg;
@@ -89,7 +100,7 @@
 	}
 }
 
-static void want_reap(struct server_pool *pool)
+static void schedule_reap(struct server_pool *pool)
 {
 	event_active(pool->reaper, EV_TIMEOUT, 1);
 }
@@ -121,7 +132,7 @@
 void server_pool_set_max(struct server_pool *pool, uint32_t max)
 {
 	pool->max = max;
-	want_reap(pool);
+	schedule_reap(pool);
 }
 
 static void on_close(struct evhttp_connection *http, void *arg)
@@ -175,8 +186,9 @@
 }
 
 /*
- * evhttp takes a body without a length for whole when the connection ends, so
- * that one cut short by a crash would pass. The protocol asks for a length.
+ * evhttp treats the end of the connection as the end of a body without length,
+ * so a body truncated by a crash would be accepted. The protocol requires a
+ * length.
  */
 static bool has_length(const struct evkeyvalq *headers)
 {
@@ -197,7 +209,8 @@
 	}
 	reply->status = evhttp_request_get_response_code(request);
 	if (!reply->status) {
-		/* evhttp gives a request without status if connecting failed.
+		/*
+		 * evhttp passes a request without status if connecting failed.
 		 */
 		reply->code = ERR_CONNECT;
 		reply->sent = false;
@@ -228,7 +241,7 @@
 	server_reply_cb done = conn->done;
 	struct server_reply reply;
 
-	/* Callers must not be told before they know that it was sent. */
+	/* Callers must not get a result before the send call returned. */
 	if (conn->sending) {
 		conn->failed = true;
 		return;
@@ -240,41 +253,41 @@
 	if (reply.status)
 		conn->answered_at = clock_now(pool->board->clock);
 	conn->done = NULL;
-	evtimer_del(conn->connecting);
-	evtimer_del(conn->silence);
-	/* A broken connection is not used again, evhttp would reconnect it. */
+	evtimer_del(conn->connect_timer);
+	evtimer_del(conn->answer_timer);
+	/* Don't reuse a broken connection: evhttp would reconnect it. */
 	conn->state = reply.status && reply.code != ERR_PROTOCOL ? CONN_IDLE
 								 : CONN_DEAD;
 	if (conn->state == CONN_DEAD || pool->n_conns > pool->max)
-		want_reap(pool);
+		schedule_reap(pool);
 	if (done)
 		done(conn->arg, &reply);
 }
 
-static void give_up(struct server_conn *conn, const struct server_reply *reply)
+static void fail_request(struct server_conn *conn,
+			 const struct server_reply *reply)
 {
 	server_reply_cb done = conn->done;
 
 	conn->state = CONN_DEAD;
 	conn->done = NULL;
-	want_reap(conn->pool);
+	schedule_reap(conn->pool);
 	if (done)
 		done(conn->arg, reply);
 }
 
 /*
  * The server did not answer a cancellation, or a request that needs no slot:
- * the connection may have gone silent for good. Closing it frees its place in
- * the share.
+ * the connection may be dead. Closing it frees its place in the share.
  */
-static void on_silence(evutil_socket_t fd, short what, void *arg)
+static void on_answer_timeout(evutil_socket_t fd, short what, void *arg)
 {
 	static const struct server_reply reply = {.code = ERR_SILENT,
 						  .sent = true};
 
 	(void)fd;
 	(void)what;
-	give_up(arg, &reply);
+	fail_request(arg, &reply);
 }
 
 static bool is_connected(const struct server_conn *conn)
@@ -288,9 +301,9 @@
 }
 
 /*
- * evhttp has one limit for connecting, reading and writing. This one is for
- * connecting alone, so that a request may take longer. Without a connection
- * no byte of it was sent.
+ * evhttp has a single timeout for connecting, reading and writing. This timer
+ * covers only connecting, so that requests may take longer. No byte of the
+ * request was sent without a connection.
  */
 static void on_connect_timeout(evutil_socket_t fd, short what, void *arg)
 {
@@ -299,7 +312,7 @@
 	(void)fd;
 	(void)what;
 	if (!is_connected(arg))
-		give_up(arg, &reply);
+		fail_request(arg, &reply);
 }
 
 static struct server_conn *open_conn(struct server_pool *pool)
@@ -313,16 +326,17 @@
 	evhttp_connection_set_retries(conn->http, 0);
 	evhttp_connection_set_max_body_size(conn->http, ANSWER_MAX_BYTES);
 	evhttp_connection_set_closecb(conn->http, on_close, conn);
-	conn->connecting =
+	conn->connect_timer =
 		evtimer_new(pool->board->base, on_connect_timeout, conn);
-	conn->silence = evtimer_new(pool->board->base, on_silence, conn);
+	conn->answer_timer =
+		evtimer_new(pool->board->base, on_answer_timeout, conn);
 	DL_APPEND(pool->conns, conn);
 	pool->n_conns++;
 	return conn;
 }
 
-/* A connected one if there is, else one that has to connect. */
-static struct server_conn *take_conn(struct server_pool *pool)
+/* Prefers an idle connection that is open to one that has to connect. */
+static struct server_conn *acquire_conn(struct server_pool *pool)
 {
 	struct server_conn *closed = NULL;
 	struct server_conn *conn;
@@ -356,7 +370,7 @@
 	return request;
 }
 
-static void arm(struct event *timer, int64_t ms)
+static void start_timer(struct event *timer, int64_t ms)
 {
 	struct timeval tv = {ms / 1000, (ms % 1000) * USEC_PER_MSEC};
 
@@ -364,8 +378,8 @@
 }
 
 /*
- * Out of descriptors, connecting fails at once, and evhttp calls back before
- * this returns: the request has been released then.
+ * Without free descriptors, connecting fails at once: evhttp calls back before
+ * evhttp_make_request() returns, and has released the request.
  */
 static int send_request(struct server_conn *conn,
 			struct evhttp_request *request,
@@ -379,23 +393,24 @@
 	conn->sending = false;
 	if (!ret && !conn->failed) {
 		if (!conn->connected)
-			arm(conn->connecting, blackboard_tunables(pool->board)
-						      ->connect_timeout_ms);
+			start_timer(conn->connect_timer,
+				    blackboard_tunables(pool->board)
+					    ->connect_timeout_ms);
 		return 0;
 	}
-	/* evhttp took it off its list, but left it to us. */
+	/* evhttp removed it from its list, but did not free it. */
 	if (ret)
 		evhttp_request_free(request);
 	conn->state = CONN_DEAD;
 	conn->done = NULL;
-	want_reap(pool);
+	schedule_reap(pool);
 	return ERR_CONNECT;
 }
 
 int server_pool_get(struct server_pool *pool, const char *path,
 		    const char *etag, server_reply_cb done, void *arg)
 {
-	struct server_conn *conn = take_conn(pool);
+	struct server_conn *conn = acquire_conn(pool);
 	struct evhttp_request *request;
 	int ret;
 
@@ -407,7 +422,7 @@
 				  "If-None-Match", etag);
 	ret = send_request(conn, request, EVHTTP_REQ_GET, path);
 	if (!ret)
-		arm(conn->silence, CONTROL_TIMEOUT_MS);
+		start_timer(conn->answer_timer, CONTROL_TIMEOUT_MS);
 	return ret;
 }
 
@@ -429,7 +444,7 @@
 {
 	struct evhttp_request *request = new_request(conn, done, arg);
 
-	conn->begun_at = clock_now(conn->pool->board->clock);
+	conn->requested_at = clock_now(conn->pool->board->clock);
 	evhttp_add_header(evhttp_request_get_output_headers(request),
 			  "Content-Type", "application/x-protobuf");
 	add_message(evhttp_request_get_output_buffer(request), message);
@@ -440,7 +455,7 @@
 		     const ProtobufCMessage *message, server_reply_cb done,
 		     void *arg, void **handle)
 {
-	struct server_conn *conn = take_conn(pool);
+	struct server_conn *conn = acquire_conn(pool);
 	int ret;
 
 	if (!conn)
@@ -451,7 +466,7 @@
 	return ret;
 }
 
-bool server_pool_is_cut(const struct server_pool *pool)
+bool server_pool_is_disconnected(const struct server_pool *pool)
 {
 	const struct server_conn *conn;
 
@@ -471,14 +486,14 @@
 static void send_cancel(struct server_pool *pool, const char *request_id)
 {
 	Backend__CancelRequest message = BACKEND__CANCEL_REQUEST__INIT;
-	struct server_conn *conn = take_conn(pool);
+	struct server_conn *conn = acquire_conn(pool);
 
 	if (!conn)
 		return;
 	message.request_id = (char *)request_id;
 	metric_inc(&pool->board->counters.server_cancels);
 	if (!post(conn, "/v1/cancel", &message.base, ignore_reply, NULL))
-		arm(conn->silence, CONTROL_TIMEOUT_MS);
+		start_timer(conn->answer_timer, CONTROL_TIMEOUT_MS);
 }
 
 void server_pool_abandon(struct server_pool *pool, void *handle,
@@ -489,23 +504,23 @@
 	if (conn->state != CONN_BUSY)
 		return;
 	conn->state = CONN_ABANDONED;
-	arm(conn->silence, ABANDON_GRACE_MS);
+	start_timer(conn->answer_timer, ABANDON_GRACE_MS);
 	if (request_id)
 		send_cancel(pool, request_id);
 }
 
-void server_pool_give_up(struct server_pool *pool, void *handle)
+void server_pool_close_stalled(struct server_pool *pool, void *handle)
 {
-	struct server_conn *silent = handle;
+	struct server_conn *stalled = handle;
 	struct server_conn *conn;
 
-	if (silent->state != CONN_BUSY)
+	if (stalled->state != CONN_BUSY)
 		return;
 	DL_FOREACH (pool->conns, conn) {
 		if (conn->state == CONN_IDLE &&
-		    conn->answered_at < silent->begun_at)
+		    conn->answered_at < stalled->requested_at)
 			conn->state = CONN_DEAD;
 	}
-	on_silence(-1, 0, silent);
-	want_reap(pool);
+	on_answer_timeout(-1, 0, stalled);
+	schedule_reap(pool);
 }
--- a/server_pool.h
+++ b/server_pool.h
@@ -1,6 +1,6 @@
 /*
- * Connections to one backend server: kept open, never more than the share,
- * one request at a time on each.
+ * Persistent connections to one backend server, limited to this instance's
+ * share, with one request at a time on each.
  */
 #ifndef SERVER_POOL_H
 #define SERVER_POOL_H
@@ -17,13 +17,13 @@
 struct server_conn;
 
 /**
- * struct server_reply - how a request to a backend server ended
- * @code: 0 for 200; else a negative error
- * @status: HTTP status, 0 if none came
+ * struct server_reply - result of a request to a backend server
+ * @code: 0 for status 200 or 304; otherwise a negative error
+ * @status: HTTP status, 0 if none was received
  * @sent: bytes of the request may have reached the server
- * @retry_after_ms: the server's wish, 0 if none
- * @body: of a whole answer, else NULL; valid during the call
- * @etag: header of the answer, or NULL
+ * @retry_after_ms: delay that the server asks for, 0 if none
+ * @body: of a complete answer, otherwise NULL; valid during the call
+ * @etag: header of the answer, or NULL; valid during the call
  */
 struct server_reply {
 	int code;
@@ -38,7 +38,13 @@
 
 /**
  * struct server_pool - the connections of one home to one server
- * @max: share of the server's connections; surplus idle ones are closed
+ * @board: shared state of the instance, borrowed
+ * @address: of the server
+ * @host: value of the Host header
+ * @conns: list of connections, owned
+ * @n_conns: number of @conns
+ * @max: share of the server's connections; idle ones above it are closed
+ * @reaper: event that frees connections
  */
 struct server_pool {
 	struct blackboard *board;
@@ -54,55 +60,70 @@
 		      const struct address *address, uint32_t max);
 
 /**
- * server_pool_finish() - close everything; callbacks of open requests are not
- * called
+ * server_pool_finish() - close all connections; callbacks of requests in
+ * progress are not called
+ * @pool: the pool
  */
 void server_pool_finish(struct server_pool *pool);
 void server_pool_set_max(struct server_pool *pool, uint32_t max);
 
 /**
- * server_pool_get() - GET a path on an idle connection
+ * server_pool_get() - send a GET request on an idle connection
+ * @pool: the pool
+ * @path: URL path
  * @etag: for If-None-Match, may be NULL
+ * @done: called with the reply
+ * @arg: passed to the callback
  *
- * Return: 0, and @done follows, but not during the call; or ERR_NO_SLOT if no
- * connection is free, ERR_CONNECT if none can be made.
+ * Return: 0, and @done is called, but not during this call; or ERR_NO_SLOT if
+ * no connection is free, ERR_CONNECT if none can be made.
  */
 int server_pool_get(struct server_pool *pool, const char *path,
 		    const char *etag, server_reply_cb done, void *arg);
 
 /**
  * server_pool_post() - POST a protocol buffer on an idle connection
- * @handle: set on success to what server_pool_abandon() takes; may be NULL
+ * @pool: the pool
+ * @path: URL path
+ * @message: to send
+ * @done: called with the reply
+ * @arg: passed to the callback
+ * @handle: set on success, for server_pool_abandon(); may be NULL
  *
- * Return: as server_pool_get(); no byte was sent if it is not 0.
+ * Return: as server_pool_get(); if not 0, no byte was sent.
  */
 int server_pool_post(struct server_pool *pool, const char *path,
 		     const ProtobufCMessage *message, server_reply_cb done,
 		     void *arg, void **handle);
 
 /**
- * server_pool_is_cut() - whether no connection is open
+ * server_pool_is_disconnected() - whether no connection is open
+ * @pool: the pool
  */
-bool server_pool_is_cut(const struct server_pool *pool);
+bool server_pool_is_disconnected(const struct server_pool *pool);
 
 /**
- * server_pool_abandon() - give up a running request
- * @request_id: what the server shall cancel; NULL to let it work on
+ * server_pool_abandon() - abandon a request in progress
+ * @pool: the pool
+ * @handle: of the request, from server_pool_post()
+ * @request_id: to cancel at the server; NULL to let the server finish it
  *
- * The server is told to cancel on another connection; its answer, cancelled
- * or not, ends the request as usual and frees the connection. A connection
- * that then stays silent is closed.
+ * The cancellation is sent on another connection; the server's answer,
+ * cancelled or not, ends the request as usual and frees the connection. A
+ * connection that gets no answer is closed.
  */
 void server_pool_abandon(struct server_pool *pool, void *handle,
 			 const char *request_id);
 
 /**
- * server_pool_give_up() - the connection of a request makes no progress
+ * server_pool_close_stalled() - close the stalled connection of a request
+ * @pool: the pool
+ * @handle: of the request, from server_pool_post()
  *
- * It is closed, and the request ends with ERR_SILENT during the call. Idle
- * connections that have not been answered on since the request began are
- * closed too: whatever lost track of the one may have lost them as well.
+ * The request ends with ERR_SILENT during the call. Idle connections without an
+ * answer since the request was started are closed too: they may be dead for the
+ * same reason, for example lost connection state on the path.
  */
-void server_pool_give_up(struct server_pool *pool, void *handle);
+void server_pool_close_stalled(struct server_pool *pool, void *handle);
 
 #endif
--- a/tests/test_server_pool.c
+++ b/tests/test_server_pool.c
@@ -12,21 +12,21 @@
 #include "server_pool.h"
 #include "unit.h"
 
-#define BOUND_MS 10000 /* of every wait; reached only by a failure */
+#define BOUND_MS 10000 /* limit of every wait; only reached if a test fails */
 #define SERVER_CONNS_MAX 16
 #define DESCRIPTORS_MAX 1024
 
-/* What the server does with a connection or a request. */
+/* How the server handles a connection or a request. */
 enum behaviour {
 	ANSWER,
-	ANSWER_CLOSE,	   /* says so, and closes */
-	ANSWER_THEN_CLOSE, /* closes without a word */
+	ANSWER_CLOSE,	   /* announces it, and closes */
+	ANSWER_THEN_CLOSE, /* closes without announcing it */
 	ANSWER_CUT,	   /* closes in the middle of the body */
 	ANSWER_NO_LENGTH,  /* the body ends with the connection */
 	ANSWER_CUT_CHUNKS, /* closes between two chunks */
 	ANSWER_GARBAGE,
 	CLOSE_UNREAD, /* closes as soon as it accepted */
-	CLOSE_READ,   /* resets after the request came */
+	CLOSE_READ,   /* resets after it received the request */
 	SILENT,
 };
 
@@ -47,7 +47,7 @@
 	struct server_reply reply;
 	int n_replies;
 	char body[64];
-	bool is_inside; /* of a call to the pool */
+	bool is_inside; /* inside a call to the pool */
 	bool timed_out;
 };
 
@@ -235,7 +235,7 @@
 	world->timed_out = true;
 }
 
-/* Runs the loop until a number has the value wanted. */
+/* Runs the event loop until a counter reaches a value. */
 static void run_until(struct world *world, const int *number, int wanted)
 {
 	static const struct timeval bound = {BOUND_MS / 1000, 0};
@@ -248,7 +248,7 @@
 	event_free(timer);
 }
 
-/* Lets everything happen that is due already. */
+/* Processes all events that are already pending. */
 static void settle(struct world *world)
 {
 	int i;
@@ -296,7 +296,7 @@
 	tear_down(&world);
 }
 
-/* Nothing listens: the request provably did not run. */
+/* Nothing is listening: the request certainly did not run. */
 static void test_connect_refused_is_not_sent(void)
 {
 	struct world world;
@@ -312,7 +312,7 @@
 	tear_down(&world);
 }
 
-/* The server crashes on a request: whether it ran is not known. */
+/* The server crashes on a request: it may have run. */
 static void test_reset_after_sending_is_sent(void)
 {
 	struct world world;
@@ -322,7 +322,7 @@
 	ask(&world);
 	CU_ASSERT_EQUAL(world.reply.code, ERR_LOST);
 	CU_ASSERT_TRUE(world.reply.sent);
-	/* Nothing was sent a second time behind our back. */
+	/* The request was not sent again. */
 	settle(&world);
 	CU_ASSERT_EQUAL(world.n_requests, 1);
 	CU_ASSERT_EQUAL(world.n_accepted, 1);
@@ -333,8 +333,8 @@
 }
 
 /*
- * A server closes kept connections after each answer, or restarts. The next
- * request opens another; the closed one does not count against the share.
+ * A server closes connections after each answer, or restarts. The next request
+ * opens another; the closed one does not count against the share.
  */
 static void test_closed_between_requests(void)
 {
@@ -361,9 +361,8 @@
 }
 
 /*
- * The server closes a kept connection in the same moment in which a request
- * goes out on it. It may have been read: it counts as sent, and is not sent
- * again.
+ * The server closes an idle connection while a request is being sent on it. The
+ * request may have been read: it counts as sent, and is not sent again.
  */
 static void test_closed_while_sending(void)
 {
@@ -386,8 +385,8 @@
 
 /*
  * A connection above the server's limit is accepted and closed at once. The
- * request may be on its way by then, and looks like one that crashed the
- * server: it is lost.
+ * request may have been sent by then, which can't be told from a request that
+ * crashed the server: it must end as lost.
  */
 static void test_accepted_and_closed_is_lost(void)
 {
@@ -404,8 +403,8 @@
 }
 
 /*
- * A server dies in the middle of an answer. What came may read like a whole
- * one: without a length, the end of the connection looks like its end.
+ * A server crashes in the middle of an answer. Without a length, a truncated
+ * answer looks complete, as the end of the connection marks its end.
  */
 static void test_cut_answers_are_never_whole(void)
 {
@@ -428,7 +427,7 @@
 	}
 }
 
-/* Takes all descriptors but @spare. Returns how many there were. */
+/* Opens all descriptors but @spare. Returns how many are open. */
 static int take_descriptors(int *taken, struct rlimit *old, int spare)
 {
 	struct rlimit limit;
@@ -451,9 +450,9 @@
 }
 
 /*
- * The process runs out of descriptors. Opening a connection fails at once,
- * inside the call: the caller is told by its result and not called back, and
- * all is well when there are descriptors again.
+ * The process has no free descriptors. Opening a connection fails inside the
+ * call: the caller must get an error and no callback, and requests must work
+ * again once descriptors are free.
  */
 static void test_out_of_descriptors(void)
 {
@@ -487,8 +486,8 @@
 }
 
 /*
- * The server is silent. Abandoned requests keep their connection, so that the
- * server never sees more than the share, until they are taken for dead.
+ * The server does not answer. Abandoned requests must keep their connection
+ * until they time out, so that the server never sees more than the share.
  */
 static void test_never_more_than_the_share(void)
 {
@@ -538,8 +537,8 @@
 }
 
 /*
- * A question for holdings is not answered: a connection that went silent for
- * good. Without an end of its own the home would never ask again.
+ * A request for holdings gets no answer, as the connection is dead. Without a
+ * timeout of its own the home would never ask again.
  */
 static void test_silent_control_request_ends(void)
 {
@@ -556,9 +555,9 @@
 }
 
 /*
- * The server's machine swallows connection attempts, as with a full backlog.
- * The request provably was not sent, and must be given up in the time for
- * connecting rather than in that for answers.
+ * The server's machine drops connection attempts, as with a full backlog. The
+ * request was certainly not sent, and must fail after the connect timeout
+ * instead of that for answers.
  */
 static void test_connect_timeout(void)
 {
@@ -588,7 +587,7 @@
 	tear_down(&world);
 }
 
-/* The limit for connecting does not end a request that takes longer. */
+/* The connect timeout must not end a request that takes longer. */
 static void test_long_requests_are_possible(void)
 {
 	struct world world;
@@ -631,7 +630,7 @@
 	tear_down(&world);
 }
 
-/* An instance stops with requests out: nothing is called back or left. */
+/* An instance stops with requests in progress: no callback, no leak. */
 static void test_finish_with_open_requests(void)
 {
 	struct world world;
