--- a/load_limit.h
+++ b/load_limit.h
@@ -14,7 +14,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "server_outlook.h"
+#include "server_estimate.h"
 
 /**
  * struct load_level - what requests of a level of urgency have lately
--- a/registry.h
+++ b/registry.h
@@ -17,7 +17,7 @@
 #include "load_limit.h"
 #include "regions.h"
 #include "server_load.h"
-#include "server_outlook.h"
+#include "server_estimate.h"
 #include "server_score.h"
 #include "str.h"
 #include "warmup.h"
--- a/relay_result.c
+++ b/relay_result.c
@@ -7,7 +7,7 @@
 #include "error.h"
 #include "mem.h"
 #include "records.h"
-#include "server_pace.h"
+#include "server_timing.h"
 
 /* To a relay of the same region and back: 3 ms, and its work. */
 #define WAY_MOST MSEC(4)
--- a/return_book.h
+++ b/return_book.h
@@ -14,7 +14,7 @@
 #include <uthash.h>
 
 #include "clock.h"
-#include "server_outlook.h"
+#include "server_estimate.h"
 
 /* Callers that are remembered at a time. */
 #define RETURN_BOOK_MOST 2048
--- a/server_score.c
+++ b/server_score.c
@@ -4,7 +4,7 @@
 
 #include "clock.h"
 #include "error.h"
-#include "server_outlook.h"
+#include "server_estimate.h"
 
 /* Weight of the newest answer: ten answers make most of the average. */
 #define LATENCY_WEIGHT 0.1
--- a/server_pace.c
+++ b/server_timing.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "server_pace"
-#include "server_pace.h"
+#include "server_timing.h"
 
 #include "clock.h"
 #include "log.h"
--- a/tests/test_server_outlook.c
+++ b/tests/test_server_estimate.c
@@ -1,4 +1,4 @@
-#include "server_outlook.h"
+#include "server_estimate.h"
 
 #include "clock.h"
 #include "unit.h"
--- a/tests/test_server_pace.c
+++ b/tests/test_server_timing.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "registry.h"
-#include "server_pace.h"
+#include "server_timing.h"
 #include "unit.h"
 
 #define ENTRIES 6
--- a/upstream.c
+++ b/upstream.c
@@ -13,7 +13,7 @@
 #include "error.h"
 #include "log.h"
 #include "mem.h"
-#include "server_pace.h"
+#include "server_timing.h"
 
 #define CONNECT_TIMEOUT MSEC(250)
 /* Whoever waits gives up at the deadline; the connection just after it. */
