--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -38,13 +38,14 @@
 static double slowness(const struct registry_server *server, int64_t now)
 {
 	const struct server_score *score = &server->score;
-	double usual = server->service->usual;
+	double usual = server->service->baseline_latency;
 	double pace = usual;
 
 	if (usual <= 0)
 		return 1;
-	if (server->outlook.pace_at)
-		pace = server_outlook_pace(&server->outlook, usual, now);
+	if (server->estimate.processing_time_at)
+		pace = server_estimate_processing_time(&server->estimate, usual,
+						       now);
 	else if (score->latency_at && now - score->latency_at < TOLD_AGE_MOST)
 		pace = score->latency;
 	return fmin(fmax(pace / usual, SLOWNESS_LEAST), SLOWNESS_MOST);
@@ -52,7 +53,7 @@
 
 static int level_of(const struct dispatch *dispatch)
 {
-	return server_outlook_level(dispatch->route->priority);
+	return server_estimate_level(dispatch->route->priority);
 }
 
 static bool may_take(const struct dispatch *dispatch,
@@ -76,12 +77,12 @@
 	int n = 0;
 	int i;
 
-	if (!server->outlook.levels[level].at)
+	if (!server->estimate.levels[level].at)
 		return 0;
 	for (i = 0; i < service->n; i++) {
 		if (!may_take(dispatch, service->servers[i]))
 			continue;
-		sum += server_outlook_ahead(&service->servers[i]->outlook,
+		sum += server_estimate_wait(&service->servers[i]->estimate,
 					    level, now);
 		n++;
 	}
@@ -97,7 +98,7 @@
 	return (struct forecast_part){
 		.ahead = ahead_at(dispatch, server, now),
 		.run = (int64_t)run,
-		.told_at = server->outlook.levels[level_of(dispatch)].at,
+		.told_at = server->estimate.levels[level_of(dispatch)].at,
 	};
 }
 
@@ -246,21 +247,22 @@
 {
 	const struct dispatch *dispatch = send->part->dispatch;
 	struct registry_server *server = send->server;
-	struct server_outlook *outlook = &server->outlook;
+	struct server_estimate *outlook = &server->estimate;
 	int64_t now = clock_now(dispatch->clock);
 	int64_t slots = server->entry.slots > 0 ? server->entry.slots : 1;
 	int64_t more;
 	int i;
 
-	if (!can_expect(dispatch) || server->queue || !outlook->pace_at ||
-	    now - outlook->pace_at > TOLD_AGE_MOST)
+	if (!can_expect(dispatch) || server->queue ||
+	    !outlook->processing_time_at ||
+	    now - outlook->processing_time_at > TOLD_AGE_MOST)
 		return;
 	more = expect(dispatch, server, now).run / slots;
-	for (i = level_of(dispatch); i < OUTLOOK_LEVELS; i++)
-		server_outlook_told(outlook, i,
-				    server_outlook_ahead(outlook, i, now) +
-					    more,
-				    now);
+	for (i = level_of(dispatch); i < ESTIMATE_LEVELS; i++)
+		server_estimate_set_wait(outlook, i,
+					 server_estimate_wait(outlook, i, now) +
+						 more,
+					 now);
 }
 
 void dispatch_forecast_learn(const struct dispatch_send *send, int64_t took)
--- a/dispatch_load.c
+++ b/dispatch_load.c
@@ -66,7 +66,7 @@
 	dispatch->cost = 1;
 	if (is_by_priority(dispatch))
 		dispatch->level =
-			server_outlook_level(dispatch->route->priority);
+			server_estimate_level(dispatch->route->priority);
 	if (is_measured(dispatch))
 		dispatch->cost += (int64_t)(work_of(dispatch->latency) *
 					    dispatch->n_parts);
--- a/gateway.c
+++ b/gateway.c
@@ -79,7 +79,7 @@
 	gateway->turns.queues.enabled = settings->load_control.turns;
 	gateway->upstream.limits.share_far =
 		CONNECTIONS_FAR / gateway->retry_share.entries_peak;
-	gateway->registry.shared_pace = settings->load_control.pace;
+	gateway->registry.use_shared_estimates = settings->load_control.pace;
 }
 
 static void on_members_changed(void *arg)
@@ -103,9 +103,9 @@
 					 str_from(from->name));
 
 		service->warmup.cold_for =
-			from->cold_s * USEC_PER_SEC < REGISTRY_COLD_MOST
+			from->cold_s * USEC_PER_SEC < REGISTRY_COLD_MAX
 				? (int64_t)(from->cold_s * USEC_PER_SEC)
-				: REGISTRY_COLD_MOST;
+				: REGISTRY_COLD_MAX;
 		service->warmup.bound =
 			warmup_bound(from->cold_per_s, settings->cold_overrun,
 				     settings->cold_slack);
--- a/gateway_answer.c
+++ b/gateway_answer.c
@@ -171,7 +171,7 @@
 static struct metric *overload_level(const struct gateway_request *request)
 {
 	struct gateway_stats *counters = &request->gateway->counters;
-	struct metric *levels[OUTLOOK_LEVELS] = {
+	struct metric *levels[ESTIMATE_LEVELS] = {
 		&counters->overload_level0,
 		&counters->overload_level1,
 		&counters->overload_level2,
--- a/load_limit.c
+++ b/load_limit.c
@@ -36,7 +36,7 @@
 
 	load->at = now;
 	load->served *= left;
-	for (i = 0; i < OUTLOOK_LEVELS; i++) {
+	for (i = 0; i < ESTIMATE_LEVELS; i++) {
 		load->levels[i].asked *= left;
 		load->levels[i].admitted *= left;
 		load->levels[i].peak *= left;
@@ -69,7 +69,7 @@
 	double asked = 0;
 	int i;
 
-	for (i = 0; i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < ESTIMATE_LEVELS; i++)
 		asked += load->levels[i].asked;
 	return asked;
 }
@@ -94,7 +94,7 @@
 	load->open += cost;
 	load->levels[level].open += cost;
 	load->levels[level].admitted += per_second(cost);
-	for (i = level; i < OUTLOOK_LEVELS; i++)
+	for (i = level; i < ESTIMATE_LEVELS; i++)
 		load->levels[i].peak =
 			fmax(load->levels[i].peak, (double)open_up_to(load, i));
 }
@@ -126,7 +126,7 @@
 
 	if (!view || !own || !load->served)
 		return 0;
-	for (i = 0; i < OUTLOOK_LEVELS; i++) {
+	for (i = 0; i < ESTIMATE_LEVELS; i++) {
 		double asked = load->levels[i].asked + view->asked[i];
 
 		all += asked;
@@ -183,7 +183,7 @@
 	double all = 0;
 	int i;
 
-	for (i = 0; i < OUTLOOK_LEVELS; i++) {
+	for (i = 0; i < ESTIMATE_LEVELS; i++) {
 		all += load->levels[i].admitted;
 		rest += i >= level ? load->levels[i].admitted : 0;
 		if (i < level && is_recent(&load->levels[i], now) &&
@@ -215,7 +215,7 @@
 
 	for (i = 0; i < level; i++)
 		room -= load->levels[i].admitted;
-	for (i = 0; view && i < OUTLOOK_LEVELS; i++)
+	for (i = 0; view && i < ESTIMATE_LEVELS; i++)
 		all += view->asked[i];
 	room = fmax(room, load->served * FLOOR) * left;
 	return own > 0 ? room * all / own : room;
@@ -272,7 +272,7 @@
 	int n = 0;
 	int i;
 
-	for (i = 0; i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < ESTIMATE_LEVELS; i++)
 		n += is_recent(&load->levels[i], now);
 	if (n < 2 || (load->lowered_at && now - load->lowered_at < FULL_PERIOD))
 		return false;
--- a/load_limit.h
+++ b/load_limit.h
@@ -48,7 +48,7 @@
 	double served;
 	int64_t at;
 	int64_t lowered_at;
-	struct load_level levels[OUTLOOK_LEVELS];
+	struct load_level levels[ESTIMATE_LEVELS];
 };
 
 /**
@@ -64,7 +64,7 @@
 	int n_limited;
 	double ratio;
 	double limit;
-	double asked[OUTLOOK_LEVELS];
+	double asked[ESTIMATE_LEVELS];
 };
 
 /**
--- a/load_share.c
+++ b/load_share.c
@@ -65,7 +65,7 @@
 /* One service in a message, and what it points to. */
 struct load_part {
 	Peer__ServiceLoad message;
-	uint32_t asked[OUTLOOK_LEVELS];
+	uint32_t asked[ESTIMATE_LEVELS];
 };
 
 static void fill_load(struct load_part *part, uint64_t service,
@@ -79,9 +79,9 @@
 	part->message.limit_us = to_u32(load->limit);
 	part->message.open_us = to_u32((double)load->open);
 	part->message.age_ms = to_u32((double)age / USEC_PER_MSEC);
-	for (i = 0; i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < ESTIMATE_LEVELS; i++)
 		part->asked[i] = to_u32(load->levels[i].asked);
-	part->message.n_asked_us = OUTLOOK_LEVELS;
+	part->message.n_asked_us = ESTIMATE_LEVELS;
 	part->message.asked_us = part->asked;
 }
 
@@ -190,7 +190,7 @@
 	told->service = from->service;
 	told->limit = from->limit_us;
 	told->fell_at = now - MSEC(from->age_ms);
-	for (i = 0; i < from->n_asked_us && i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < from->n_asked_us && i < ESTIMATE_LEVELS; i++)
 		told->asked[i] = from->asked_us[i];
 }
 
@@ -202,7 +202,7 @@
 		.service = from->service,
 		.due = now + MSEC(from->due_in_ms),
 		.cost = from->cost_us,
-		.level = server_outlook_level(from->level),
+		.level = server_estimate_level(from->level),
 		.kept = from->cost_us,
 		.taken = from->taken,
 	};
@@ -267,7 +267,7 @@
 		if (!told)
 			continue;
 		out->limit += told->limit;
-		for (j = 0; j < OUTLOOK_LEVELS; j++) {
+		for (j = 0; j < ESTIMATE_LEVELS; j++) {
 			out->asked[j] += told->asked[j];
 			asked += told->asked[j];
 		}
--- a/load_share.h
+++ b/load_share.h
@@ -46,7 +46,7 @@
 	uint64_t service;
 	double limit;
 	int64_t fell_at;
-	double asked[OUTLOOK_LEVELS];
+	double asked[ESTIMATE_LEVELS];
 };
 
 struct load_share_peer {
--- a/registry.c
+++ b/registry.c
@@ -9,18 +9,18 @@
 #include "mem.h"
 #include "rng.h"
 
-/* Of a service that never answered, microseconds. */
-#define LATENCY_START 10000.0
-/* Weight of the newest answer of a service. */
+/* Latency of a service before the first answer, microseconds. */
+#define INITIAL_LATENCY 10000.0
+/* Weight of the latest answer in the latency of a service. */
 #define LATENCY_WEIGHT 0.02
 /*
- * Of the newest answer in what is usual. A shard that is eleven times slower
- * for 8 s gives an instance some hundred answers meanwhile.
+ * Weight of the latest answer in the baseline latency. While a shard is eleven
+ * times slower for 8 s, an instance gets some hundred answers from it.
  */
-#define USUAL_WEIGHT 0.001
+#define BASELINE_WEIGHT 0.001
 /*
- * Servers count down how long they are cold, and each word of it comes on a way
- * of its own: an end that is later by less than this is the same one.
+ * Servers publish the remaining cold time, and each update takes a different
+ * path: an end that is later by less than this is taken for the same.
  */
 #define COLD_TOLERANCE MSEC(500)
 
@@ -72,13 +72,13 @@
 	service = mem_zalloc(sizeof(*service));
 	service->registry = registry;
 	str_copy(service->name, sizeof(service->name), name);
-	service->latency = LATENCY_START;
+	service->latency = INITIAL_LATENCY;
 	HASH_ADD_KEYPTR(hh, registry->services, service->name,
 			strlen(service->name), service);
 	return service;
 }
 
-static void leave_service(struct registry_server *server)
+static void remove_from_service(struct registry_server *server)
 {
 	struct registry_service *service = server->service;
 	int i;
@@ -91,8 +91,8 @@
 	}
 }
 
-static void join_service(struct registry *registry,
-			 struct registry_server *server)
+static void add_to_service(struct registry *registry,
+			   struct registry_server *server)
 {
 	struct registry_service *service =
 		registry_service(registry, str_from(server->entry.service));
@@ -115,7 +115,7 @@
 		cordons_hold(&registry->cordons, str_from(entry->data_centre));
 	HASH_ADD_KEYPTR(hh, registry->servers, server->entry.id,
 			strlen(server->entry.id), server);
-	join_service(registry, server);
+	add_to_service(registry, server);
 	return server;
 }
 
@@ -123,37 +123,37 @@
 			  struct registry_server *server)
 {
 	HASH_DEL(registry->servers, server);
-	leave_service(server);
+	remove_from_service(server);
 	server->gone = true;
 	registry->closing(registry->arg, server);
 	registry_server_unref(server);
 }
 
 /*
- * The id is the same, all else is not: the process that starts holds nothing,
- * and what was seen of the one before says nothing of it. A server that hung
- * and was restarted would go unused for as long as it was avoided.
+ * Only the id stays the same: the new process holds no requests, and
+ * measurements of the previous one don't apply to it. Otherwise a server that
+ * hung and was restarted would go unused for as long as it was avoided.
  */
-static struct registry_server *restart(struct registry *registry,
-				       struct registry_server *server,
-				       const struct server_entry *entry)
+static struct registry_server *
+replace_restarted(struct registry *registry, struct registry_server *server,
+		  const struct server_entry *entry)
 {
-	struct registry_server *next;
+	struct registry_server *successor;
 
 	registry_server_ref(server);
 	remove_server(registry, server);
-	next = add(registry, entry);
-	next->earlier = server;
-	next->list = server->list;
-	return next;
+	successor = add(registry, entry);
+	successor->earlier = server;
+	successor->list_seq = server->list_seq;
+	return successor;
 }
 
 /*
- * An entry that lapsed and came back says what it said before. But others may
- * have taken the server out meanwhile, and hear of changes only: they would do
- * without it for good.
+ * Includes @created_at: an entry that expired and returned has the same
+ * content, but other instances may have removed the server meanwhile. They only
+ * receive changes and would never use it again.
  */
-static bool same(const struct server_entry *a, const struct server_entry *b)
+static bool entry_eq(const struct server_entry *a, const struct server_entry *b)
 {
 	return !strcmp(a->service, b->service) &&
 	       !strcmp(a->data_centre, b->data_centre) &&
@@ -201,7 +201,7 @@
 	removed->changed_at = changed_at;
 }
 
-const char *registry_word_name(enum registry_word word)
+const char *registry_order_name(enum registry_order order)
 {
 	static const char *const names[] = {
 		[REGISTRY_NEWER] = "newer",
@@ -211,10 +211,10 @@
 		[REGISTRY_REMOVED] = "removed",
 	};
 
-	return names[word];
+	return names[order];
 }
 
-uint64_t registry_known_at(const struct registry *registry, struct str id)
+uint64_t registry_known_revision(const struct registry *registry, struct str id)
 {
 	const struct registry_server *server = registry_find(registry, id);
 	const struct registry_removed *removed;
@@ -225,9 +225,9 @@
 	return removed ? removed->changed_at : 0;
 }
 
-enum registry_word registry_compare(const struct registry *registry,
-				    const struct server_entry *entry,
-				    uint64_t changed_at)
+enum registry_order registry_compare(const struct registry *registry,
+				     const struct server_entry *entry,
+				     uint64_t changed_at)
 {
 	const struct registry_server *server =
 		registry_find(registry, str_from(entry->id));
@@ -237,10 +237,11 @@
 			       ? REGISTRY_REMOVED
 			       : REGISTRY_NEWER;
 	if (changed_at < server->changed_at)
-		return same(&server->entry, entry) ? REGISTRY_REPEATED
-						   : REGISTRY_OLDER;
-	/* The last word of an earlier start came late. */
-	if (entry->born && entry->born < server->entry.born)
+		return entry_eq(&server->entry, entry) ? REGISTRY_REPEATED
+						       : REGISTRY_OLDER;
+	/* Late update of a previous process. */
+	if (entry->started_at_ms &&
+	    entry->started_at_ms < server->entry.started_at_ms)
 		return REGISTRY_EARLIER_START;
 	return REGISTRY_NEWER;
 }
@@ -250,7 +251,7 @@
 {
 	struct registry_server *server =
 		registry_find(registry, str_from(entry->id));
-	int64_t born;
+	int64_t started_at_ms;
 	bool changed;
 
 	if (registry_compare(registry, entry, changed_at) != REGISTRY_NEWER)
@@ -259,15 +260,15 @@
 		remove_server(registry, server);
 		server = NULL;
 	}
-	changed = !server || server->gone || !same(&server->entry, entry) ||
-		  entry->born > server->entry.born;
+	changed = !server || server->gone || !entry_eq(&server->entry, entry) ||
+		  entry->started_at_ms > server->entry.started_at_ms;
 	if (!server)
 		server = add(registry, entry);
-	else if (entry->born > server->entry.born)
-		server = restart(registry, server, entry);
-	born = server->entry.born;
+	else if (entry->started_at_ms > server->entry.started_at_ms)
+		server = replace_restarted(registry, server, entry);
+	started_at_ms = server->entry.started_at_ms;
 	server->entry = *entry;
-	server->entry.born = born;
+	server->entry.started_at_ms = started_at_ms;
 	server->gone = false;
 	server->changed_at = changed_at;
 	if (entry->draining && changed)
@@ -302,15 +303,15 @@
 bool registry_set_cold(struct registry_server *server, int64_t cold_for,
 		       int64_t now)
 {
-	bool news;
+	bool is_extended;
 
-	if (cold_for > REGISTRY_COLD_MOST)
-		cold_for = REGISTRY_COLD_MOST;
-	news = server->cold_until + COLD_TOLERANCE < now + cold_for;
+	if (cold_for > REGISTRY_COLD_MAX)
+		cold_for = REGISTRY_COLD_MAX;
+	is_extended = server->cold_until + COLD_TOLERANCE < now + cold_for;
 
 	if (now + cold_for > server->cold_until)
 		server->cold_until = now + cold_for;
-	return news;
+	return is_extended;
 }
 
 bool registry_is_cold(const struct registry_server *server, int64_t now)
@@ -341,30 +342,31 @@
 		server->changed_at = 0;
 }
 
-bool registry_left_before(const struct registry *registry, struct str id)
+bool registry_removed_in_earlier_era(const struct registry *registry,
+				     struct str id)
 {
 	const struct registry_removed *removed = find_removed(registry, id);
 
 	return removed && !removed->changed_at && !registry_find(registry, id);
 }
 
-struct registry_server *registry_born(struct registry *registry,
-				      struct registry_server *server,
-				      int64_t born)
+struct registry_server *registry_note_start(struct registry *registry,
+					    struct registry_server *server,
+					    int64_t started_at_ms)
 {
 	struct server_entry entry = server->entry;
 	uint64_t changed_at = server->changed_at;
 
-	if (born <= entry.born)
+	if (started_at_ms <= entry.started_at_ms)
 		return server;
-	entry.born = born;
-	server = restart(registry, server, &entry);
-	/* All else of the entry is still to come, and newer than this. */
+	entry.started_at_ms = started_at_ms;
+	server = replace_restarted(registry, server, &entry);
+	/* The full entry with a newer revision is still to arrive. */
 	server->changed_at = changed_at;
 	return server;
 }
 
-int registry_conns(struct registry_server *server)
+int registry_count_conns(struct registry_server *server)
 {
 	struct registry_server **at = &server->earlier;
 	int n = server->n_conns;
@@ -384,111 +386,115 @@
 	return n;
 }
 
-struct str registry_life(const struct registry_server *server,
-			 char out[REGISTRY_LIFE_SIZE])
+struct str registry_incarnation(const struct registry_server *server,
+				char out[REGISTRY_INCARNATION_SIZE])
 {
 	const struct server_entry *entry = &server->entry;
 
-	str_copy(out, REGISTRY_LIFE_SIZE, str_from(entry->id));
-	if (entry->born)
-		snprintf(out, REGISTRY_LIFE_SIZE, "%s@%" PRId64, entry->id,
-			 entry->born);
+	str_copy(out, REGISTRY_INCARNATION_SIZE, str_from(entry->id));
+	if (entry->started_at_ms)
+		snprintf(out, REGISTRY_INCARNATION_SIZE, "%s@%" PRId64,
+			 entry->id, entry->started_at_ms);
 	return str_from(out);
 }
 
 void registry_finish(struct registry *registry)
 {
 	struct registry_service *service;
-	struct registry_service *next;
+	struct registry_service *successor;
 
 	while (registry->servers)
 		remove_server(registry, registry->servers);
-	HASH_ITER (hh, registry->services, service, next) {
+	HASH_ITER (hh, registry->services, service, successor) {
 		HASH_DEL(registry->services, service);
 		free(service->servers);
 		free(service);
 	}
 }
 
-void registry_answered(struct registry_service *service, int64_t took)
+void registry_record_latency(struct registry_service *service, int64_t took)
 {
 	double weight = 1.0 / (double)++service->n_answers;
 
-	if (weight < USUAL_WEIGHT)
-		weight = USUAL_WEIGHT;
+	if (weight < BASELINE_WEIGHT)
+		weight = BASELINE_WEIGHT;
 	service->latency += ((double)took - service->latency) * LATENCY_WEIGHT;
-	service->usual += ((double)took - service->usual) * weight;
+	service->baseline_latency +=
+		((double)took - service->baseline_latency) * weight;
 }
 
 int64_t registry_linger(const struct registry_server *server, int64_t now)
 {
-	return server_score_linger(&server->score, server->service->usual, now);
+	return server_score_linger(&server->score,
+				   server->service->baseline_latency, now);
 }
 
-static bool is_tried(const struct registry_choice *choice,
+static bool is_tried(const struct registry_criteria *criteria,
 		     const struct registry_server *server)
 {
 	int i;
 
-	for (i = 0; i < choice->n_tried; i++) {
-		if (choice->tried[i] == server)
+	for (i = 0; i < criteria->n_tried; i++) {
+		if (criteria->tried[i] == server)
 			return true;
 	}
 	return false;
 }
 
-static bool may_take(const struct registry_choice *choice,
-		     const struct registry_server *server)
+static bool is_eligible(const struct registry_criteria *criteria,
+			const struct registry_server *server)
 {
 	return registry_is_open(server) &&
 	       !server_score_is_lost(&server->score) &&
-	       region_set_allows(choice->regions, server->region) &&
-	       !is_tried(choice, server);
+	       region_set_allows(criteria->regions, server->region) &&
+	       !is_tried(criteria, server);
 }
 
-static double cost_of(const struct registry_choice *choice,
-		      const struct registry_server *server, double spread,
+static double cost_of(const struct registry_criteria *criteria,
+		      const struct registry_server *server, double jitter,
 		      int64_t now)
 {
 	const struct server_traits traits = {
 		.slots = server->entry.slots,
-		.usual = server->service->latency,
+		.service_latency = server->service->latency,
 		.remote = server->remote,
-		.outlook = server->service->registry->shared_pace
-				   ? &server->outlook
-				   : NULL,
-		.relayed = choice->relayed,
-		.level = choice->level,
-		.spread = spread,
+		.estimate = server->service->registry->use_shared_estimates
+				    ? &server->estimate
+				    : NULL,
+		.relayed = criteria->relayed,
+		.level = criteria->level,
+		.jitter = jitter,
 	};
 	double cost = server_score_cost(&server->score, &traits, now);
 
-	/* It bears few requests: those for which there is no other server. */
+	/*
+	 * A cold server bears few requests: use it only if there is no other.
+	 */
 	if (registry_is_cold(server, now))
 		cost += SERVER_COST_AVOID;
 	return cost;
 }
 
 struct registry_server *registry_pick(const struct registry_service *service,
-				      const struct registry_choice *choice,
+				      const struct registry_criteria *criteria,
 				      int64_t now)
 {
 	struct registry_server *best = NULL;
-	double least = choice->fresh_only ? SERVER_COST_AVOID : 1e300;
+	double lowest = criteria->exclude_avoided ? SERVER_COST_AVOID : 1e300;
 	struct rng rng;
 	int i;
 
-	rng_init(&rng, choice->salt);
+	rng_init(&rng, criteria->salt);
 	for (i = 0; i < service->n; i++) {
 		struct registry_server *server = service->servers[i];
 		double cost;
 
-		if (!may_take(choice, server))
+		if (!is_eligible(criteria, server))
 			continue;
-		cost = cost_of(choice, server, rng_unit(&rng), now);
-		if (cost >= least)
+		cost = cost_of(criteria, server, rng_unit(&rng), now);
+		if (cost >= lowest)
 			continue;
-		least = cost;
+		lowest = cost;
 		best = server;
 	}
 	return best;
--- a/registry.h
+++ b/registry.h
@@ -1,6 +1,7 @@
 /*
- * The backend servers that are known, by id and by service. A server lives as
- * long as a request uses it; one that left or drains gets no new request.
+ * Registry of backend servers, by id and by service. A server is reference
+ * counted and stays allocated while requests use it; a server that was removed
+ * or is draining receives no new requests.
  */
 #ifndef REGISTRY_H
 #define REGISTRY_H
@@ -30,12 +31,18 @@
 
 /**
  * struct server_entry - what a backend server publishes about itself
- * @id: of the server; it may start again under the same one
- * @born: when it started, Unix time in milliseconds; 0: it did not say
- * @created_at: the store's revision at which its entry was made, 0: not known;
- *	one that lapsed and came back is made anew
- * @cold_for: that it takes few requests yet, microseconds from when it said so
- * @draining: it takes no new requests and ends soon
+ * @id: server id; the server may restart under the same one
+ * @service: name of the service that it belongs to
+ * @data_centre: where it runs
+ * @address: where it accepts connections
+ * @slots: number of requests that it runs concurrently
+ * @started_at_ms: process start time, Unix time in milliseconds; 0: not
+ *	published
+ * @created_at: store revision at which the entry was created, 0: unknown; an
+ *	entry that expires and returns gets a new one
+ * @cold_for: how much longer the server is cold and accepts few requests,
+ *	microseconds from publication
+ * @draining: it takes no new requests and will stop soon
  */
 struct server_entry {
 	char id[REGISTRY_NAME_SIZE];
@@ -43,45 +50,50 @@
 	char data_centre[REGISTRY_NAME_SIZE];
 	struct address address;
 	int64_t slots;
-	int64_t born;
+	int64_t started_at_ms;
 	uint64_t created_at;
 	int64_t cold_for;
 	bool draining;
 };
 
 /**
- * struct registry_server - one start of a server
- * @entry: as published last
- * @changed_at: the store's revision of it
- * @list: the last one that named it, see server_view.h
+ * struct registry_server - one run of a server process
+ * @entry: as last published
+ * @changed_at: store revision of @entry
+ * @list_seq: number of the last full list that contained it, see server_view.h
  * @gone: its entry was removed, or another server answers at its address
- * @cordoned: its data centre gets no new requests
+ * @cordoned: its data centre receives no new requests
  * @remote: in another data centre than this instance
- * @region: of its data centre, borrowed; empty if it is not known
- * @load: that it told last
- * @outlook: what one more request would meet there
- * @is_slow: it is believed to be, see server_pace
- * @slow_at: when that changed, microseconds
- * @queue: requests of this instance that wait for their turn, or NULL; owned by
- *	server_queue
- * @cold_until: it takes few requests until then, microseconds
- * @cold_sends: those that it was sent from here, or NULL
+ * @region: region of its data centre, borrowed; empty if unknown
+ * @load: last load that it reported
+ * @estimate: expected wait and processing time of one more request
+ * @is_slow: its processing time is well above the baseline, see server_timing.c
+ * @slow_changed_at: when @is_slow last changed, microseconds
+ * @queue: requests of this instance that are queued for the server, or NULL;
+ *	owned by server_queue
+ * @cold_until: end of the cold period, microseconds
+ * @cold_sends: requests that this instance sent during the cold period, or NULL
+ * @score: results of this instance's own requests
  * @conns: open connections, owned by upstream
- * @earlier: an earlier start under the same id with open connections, or NULL
- * @refs: registry, requests and a later start
+ * @n_conns: number of @conns
+ * @earlier: an earlier run under the same id that still has open connections,
+ *	or NULL; holds a reference
+ * @refs: reference count; held by the registry, by requests and by a later run
+ * @service: the service that it belongs to
+ * @hh: entry in registry.servers
  */
 struct registry_server {
 	struct server_entry entry;
 	uint64_t changed_at;
-	uint64_t list;
+	uint64_t list_seq;
 	bool gone;
 	bool cordoned;
 	bool remote;
 	const char *region;
 	struct server_load load;
-	struct server_outlook outlook;
+	struct server_estimate estimate;
 	bool is_slow;
-	int64_t slow_at;
+	int64_t slow_changed_at;
 	struct server_queue *queue;
 	int64_t cold_until;
 	struct warmup_sends *cold_sends;
@@ -96,14 +108,22 @@
 
 /**
  * struct registry_service - all servers of a service
- * @registry: that it belongs to
- * @budget: second sends to it that are left
+ * @registry: the registry that contains it
+ * @name: its name, the key in the registry
+ * @servers: array of its servers, owned
+ * @n: number of servers
+ * @cap: allocated size of @servers
+ * @budget: remaining budget for second sends to this service
  * @logged_budget: copy of @budget at the end of the last logging window
- * @latency: of its answers, a moving average, microseconds
- * @usual: the same over some minutes, so that slow seconds hardly move it
- * @n_answers: that came
- * @load: requests under way there, and to shards that it is the first of
- * @warmup: what its servers bear while they are cold
+ * @budget_set: @budget was initialized
+ * @latency: moving average of answer latency, microseconds
+ * @baseline_latency: the same over some minutes, so that a few slow seconds
+ *	hardly change it
+ * @n_answers: number of answers received
+ * @load: limit of concurrent requests, both to this service and to shards that
+ *	list it first
+ * @warmup: limits that apply while its servers are cold
+ * @hh: entry in registry.services
  */
 struct registry_service {
 	const struct registry *registry;
@@ -115,7 +135,7 @@
 	struct budget logged_budget;
 	bool budget_set;
 	double latency;
-	double usual;
+	double baseline_latency;
 	uint64_t n_answers;
 	struct load_limit load;
 	struct warmup_limit warmup;
@@ -123,15 +143,15 @@
 };
 
 /*
- * Servers that were removed, so that an older word does not bring them back.
- * More than a deployment replaces at once.
+ * Number of removals that are remembered, so that an outdated entry does not
+ * bring a removed server back. More than a deployment replaces at once.
  */
 #define REGISTRY_REMOVED_MAX 4096
 
 /**
- * struct registry_removed - the end of a server's entry
- * @id: hash of the server's
- * @changed_at: the store's revision; 0: in an earlier era
+ * struct registry_removed - a removed server
+ * @id: hash of the server id
+ * @changed_at: store revision of the removal; 0: in an earlier era of the store
  */
 struct registry_removed {
 	uint64_t id;
@@ -140,17 +160,25 @@
 
 /**
  * struct registry - all backend servers
- * @regions: of data centres; may be NULL, set by the owner
- * @shared_pace: servers are chosen by what all that send to them see; else by
- *	what this instance sees alone; set by the owner
- * @cordons: data centres that get no new requests; who changes them calls
- *	registry_apply_cordons()
+ * @removed: ring buffer of the last removals
+ * @n_removed: number of removals ever recorded
+ * @regions: regions of data centres; may be NULL, set by the owner
+ * @use_shared_estimates: choose servers by the estimates shared by all
+ *	instances that send to them, instead of by this instance's results only;
+ *	set by the owner
+ * @cordons: data centres that receive no new requests; call
+ *	registry_apply_cordons() after changing them
+ * @data_centre: of this instance
+ * @servers: hash table by server id
+ * @services: hash table by service name
+ * @closing: see registry_init()
+ * @arg: passed to @closing
  */
 struct registry {
 	struct registry_removed removed[REGISTRY_REMOVED_MAX];
 	uint64_t n_removed;
 	const struct regions *regions;
-	bool shared_pace;
+	bool use_shared_estimates;
 	struct cordons cordons;
 	char data_centre[REGISTRY_NAME_SIZE];
 	struct registry_server *servers;
@@ -160,47 +188,58 @@
 };
 
 /**
- * registry_init() - no servers
+ * registry_init() - initialize an empty registry
+ * @registry: to initialize
  * @data_centre: of this instance
- * @closing: a server is gone, its idle connections can be closed
+ * @closing: called when a server gets no new requests, so that its idle
+ *	connections can be closed
+ * @arg: passed to @closing
  */
 void registry_init(struct registry *registry, struct str data_centre,
 		   void (*closing)(void *arg, struct registry_server *server),
 		   void *arg);
 void registry_finish(struct registry *registry);
 
-/* What an entry that came is, beside what is known. */
-enum registry_word {
+/* How a received entry compares to the known state of its server. */
+enum registry_order {
 	REGISTRY_NEWER,
-	REGISTRY_REPEATED,	/* older, and says the same */
-	REGISTRY_OLDER,		/* and says something else */
-	REGISTRY_EARLIER_START, /* of the process that had the id before */
-	REGISTRY_REMOVED,	/* older than the end of its entry */
+	REGISTRY_REPEATED,	/* older, with the same content */
+	REGISTRY_OLDER,		/* older, with different content */
+	REGISTRY_EARLIER_START, /* of a previous process with this id */
+	REGISTRY_REMOVED,	/* older than the removal of its entry */
 };
 
 /**
- * registry_word_name() - for the log
+ * registry_order_name() - name of a comparison result, for log lines
+ * @order: result of registry_compare()
  */
-const char *registry_word_name(enum registry_word word);
+const char *registry_order_name(enum registry_order order);
 
 /**
- * registry_compare() - a server's entry came
- * @changed_at: the store's revision
+ * registry_compare() - compare a received entry with the known state
+ * @registry: the registry
+ * @entry: the received entry
+ * @changed_at: store revision of @entry
  */
-enum registry_word registry_compare(const struct registry *registry,
-				    const struct server_entry *entry,
-				    uint64_t changed_at);
+enum registry_order registry_compare(const struct registry *registry,
+				     const struct server_entry *entry,
+				     uint64_t changed_at);
 
 /**
- * registry_known_at() - the store's revision of a server's entry, or of its end
+ * registry_known_revision() - store revision of a server's entry or removal
+ * @registry: the registry
+ * @id: server id
  *
- * Return: 0 if neither is known, or they are of an earlier era.
+ * Return: 0 if neither is known, or if it is from an earlier era.
  */
-uint64_t registry_known_at(const struct registry *registry, struct str id);
+uint64_t registry_known_revision(const struct registry *registry,
+				 struct str id);
 
 /**
- * registry_put() - a server's entry came
- * @changed_at: the store's revision; an older one changes nothing
+ * registry_put() - add or update a server
+ * @registry: the registry
+ * @entry: copied
+ * @changed_at: store revision of @entry; an older one than the known is ignored
  *
  * Return: whether anything but the revision changed.
  */
@@ -208,92 +247,114 @@
 		  uint64_t changed_at);
 
 /**
- * registry_apply_cordons() - @registry->cordons changed
+ * registry_apply_cordons() - update all servers after a change of @cordons
+ * @registry: the registry
+ * @now: current time, microseconds
  *
- * Servers that get requests again may have been stopped meanwhile: they are
- * taken for cold.
+ * Servers that receive requests again may have been stopped in the meantime, so
+ * they are treated as cold.
  */
 void registry_apply_cordons(struct registry *registry, int64_t now);
 
 /**
- * registry_is_open() - a server may get new requests
+ * registry_is_open() - whether a server may receive new requests
+ * @server: the server
  */
 bool registry_is_open(const struct registry_server *server);
 
 /*
- * Servers, peers and writers of entries may say any time; none is cold for so
- * long. Microseconds.
+ * Upper bound of the cold period, microseconds. Servers, peers and writers of
+ * entries may announce any value; no server is cold for so long.
  */
-#define REGISTRY_COLD_MOST MSEC(60000)
+#define REGISTRY_COLD_MAX MSEC(60000)
 
 /**
- * registry_set_cold() - a server takes few requests for a while
- * @cold_for: microseconds, REGISTRY_COLD_MOST at most; a time that ends sooner
- *	than what is known changes nothing
+ * registry_set_cold() - mark a server as cold
+ * @server: the server
+ * @cold_for: microseconds, capped at REGISTRY_COLD_MAX; a period that ends
+ *	before the known one changes nothing
+ * @now: current time, microseconds
  *
- * Return: whether that is news.
+ * Return: whether this extends the known cold period noticeably.
  */
 bool registry_set_cold(struct registry_server *server, int64_t cold_for,
 		       int64_t now);
 
 /**
- * registry_is_cold() - a server is cold, and what it bears then is bounded
+ * registry_is_cold() - whether a server is cold and its load is limited for it
+ * @server: the server
+ * @now: current time, microseconds
  */
 bool registry_is_cold(const struct registry_server *server, int64_t now);
 
 /**
- * registry_born() - a peer names a start of a server
- * @server: as it is known here
- * @born: as the peer knows it; 0: it does not
+ * registry_note_start() - handle the start time that a peer reports for a
+ * server
+ * @registry: the registry
+ * @server: as known here
+ * @started_at_ms: as known to the peer, Unix time in milliseconds; 0: unknown
  *
- * A later start than the one known here ends what is believed of that one. An
- * earlier one is late news and changes nothing.
+ * A later start than the known one replaces the server by a new one, without
+ * what was measured of the previous process. An earlier one is outdated and is
+ * ignored.
  *
- * Return: the server as it is known now.
+ * Return: the current server.
  */
-struct registry_server *registry_born(struct registry *registry,
-				      struct registry_server *server,
-				      int64_t born);
+struct registry_server *registry_note_start(struct registry *registry,
+					    struct registry_server *server,
+					    int64_t started_at_ms);
 
 /**
- * registry_conns() - connections to a server that are open
+ * registry_count_conns() - number of open connections to a server
+ * @server: the server
  *
- * Those of its earlier starts count: whether the server has noticed their end
- * is not known here, and it accepts so many in all.
+ * Includes those to its earlier runs: it is not known here whether the server
+ * has noticed that they were closed, and it limits their total.
  */
-int registry_conns(struct registry_server *server);
+int registry_count_conns(struct registry_server *server);
 
-/* Room for the text of registry_life(). */
-#define REGISTRY_LIFE_SIZE (REGISTRY_NAME_SIZE + 24)
+/* Buffer size for registry_incarnation(). */
+#define REGISTRY_INCARNATION_SIZE (REGISTRY_NAME_SIZE + 24)
 
 /**
- * registry_life() - a name for this start of a server, the same everywhere
+ * registry_incarnation() - identifier of one run of a server, the same on all
+ * instances
+ * @server: the server
+ * @out: buffer for the text
+ *
+ * Return: the text in @out.
  */
-struct str registry_life(const struct registry_server *server,
-			 char out[REGISTRY_LIFE_SIZE]);
+struct str registry_incarnation(const struct registry_server *server,
+				char out[REGISTRY_INCARNATION_SIZE]);
 
 /**
- * registry_remove() - a server's entry is gone
- * @changed_at: the store's revision of that; an older one than the entry's
- *	changes nothing. Remembered also if the server is not known.
+ * registry_remove() - remove a server
+ * @registry: the registry
+ * @id: server id
+ * @changed_at: store revision of the removal; ignored if older than that of the
+ *	entry. Remembered even if the server is not known.
  *
- * Return: whether it was there.
+ * Return: whether the server was removed.
  */
 bool registry_remove(struct registry *registry, struct str id,
 		     uint64_t changed_at);
 
 /**
- * registry_enter_era() - revisions are given out again
+ * registry_enter_era() - start a new era, in which store revisions restart
+ * @registry: the registry
  *
- * What is known stays, older than any word that comes.
+ * All known entries and removals are kept, as older than any received later.
  */
 void registry_enter_era(struct registry *registry);
 
 /**
- * registry_left_before() - a server's entry ended in an earlier era, and it was
- * not heard of in this one
+ * registry_removed_in_earlier_era() - whether a server was removed in an
+ * earlier era and not seen in the current one
+ * @registry: the registry
+ * @id: server id
  */
-bool registry_left_before(const struct registry *registry, struct str id);
+bool registry_removed_in_earlier_era(const struct registry *registry,
+				     struct str id);
 
 struct registry_server *registry_find(const struct registry *registry,
 				      struct str id);
@@ -301,30 +362,37 @@
 					  struct str name);
 
 /**
- * registry_answered() - an answer of the service took so long, microseconds
+ * registry_record_latency() - record the latency of an answer of a service
+ * @service: the service
+ * @took: microseconds
  */
-void registry_answered(struct registry_service *service, int64_t took);
+void registry_record_latency(struct registry_service *service, int64_t took);
 
 /**
- * registry_linger() - how long a server's answer that nobody needs may still
- * come, microseconds
+ * registry_linger() - how long to wait for an answer that is no longer needed
+ * before closing the connection
+ * @server: the server
+ * @now: current time, microseconds
+ *
+ * Return: microseconds.
  */
 int64_t registry_linger(const struct registry_server *server, int64_t now);
 
 /**
- * struct registry_choice - what server is looked for
- * @tried: servers not to be taken
- * @fresh_only: pass over those that are better avoided
- * @regions: it must be in one of them; NULL: anywhere
- * @relayed: requests to other data centres go by relays
- * @level: of the request's urgency, see server_outlook.h
- * @salt: another one for each request, so that not all choose the same one of
- *	servers that look alike
+ * struct registry_criteria - requirements of a request for its server
+ * @tried: servers to exclude
+ * @n_tried: number of @tried
+ * @exclude_avoided: exclude servers with a cost of SERVER_COST_AVOID or more
+ * @regions: regions that the server must be in; NULL: anywhere
+ * @relayed: requests to other data centres go through relays
+ * @level: urgency level of the request, see server_estimate.h
+ * @salt: different for each request, to spread requests over servers of similar
+ *	cost
  */
-struct registry_choice {
+struct registry_criteria {
 	struct registry_server *const *tried;
 	int n_tried;
-	bool fresh_only;
+	bool exclude_avoided;
 	const struct region_set *regions;
 	bool relayed;
 	int level;
@@ -332,15 +400,18 @@
 };
 
 /**
- * registry_pick() - the best server for a request
+ * registry_pick() - choose the server with the lowest expected cost
+ * @service: the service
+ * @criteria: requirements of the request
+ * @now: microseconds
  *
- * One that is lost is not picked: it is found again by checks (see outage.h),
- * and not at the cost of callers' requests.
+ * Unreachable servers are not chosen: health checks detect their return (see
+ * outage.h) instead of callers' requests.
  *
- * Return: NULL if there is none.
+ * Return: NULL if no server qualifies.
  */
 struct registry_server *registry_pick(const struct registry_service *service,
-				      const struct registry_choice *choice,
+				      const struct registry_criteria *criteria,
 				      int64_t now);
 
 struct registry_server *registry_server_ref(struct registry_server *server);
--- a/relay_choose.c
+++ b/relay_choose.c
@@ -54,7 +54,8 @@
 		      const struct relay_peer *peer, int64_t now)
 {
 	static const struct server_traits traits = {.slots = RELAY_SLOTS,
-						    .usual = RELAY_USUAL};
+						    .service_latency =
+							    RELAY_USUAL};
 
 	if (has_late_job(relay, peer, now))
 		return SERVER_COST_AVOID;
--- a/relay_serve.c
+++ b/relay_serve.c
@@ -197,17 +197,16 @@
 {
 	const struct relay_job *job = send->job;
 	const struct registry_server *server = send->server;
-	int level = server_outlook_level(job->rank.priority);
+	int level = server_estimate_level(job->rank.priority);
 	int64_t now = clock_now(job->relay->board->clock);
 
 	done->failures = (uint32_t)(server->score.failures * 1000);
 	if (!job->relay->queues->enabled)
 		return;
 	done->ahead_us =
-		(uint32_t)server_outlook_ahead(&server->outlook, level, now);
-	done->pace_us =
-		(uint32_t)server_outlook_pace(&server->outlook,
-					      server->service->latency, now);
+		(uint32_t)server_estimate_wait(&server->estimate, level, now);
+	done->pace_us = (uint32_t)server_estimate_processing_time(
+		&server->estimate, server->service->latency, now);
 }
 
 /* Others are to be asked for so long. */
@@ -252,7 +251,7 @@
 
 	if (!server || !registry_is_open(server))
 		return ERR_DRAINING;
-	server = registry_born(relay->registry, server, part->born);
+	server = registry_note_start(relay->registry, server, part->born);
 	send->server = server;
 	return server_queue_send(relay->queues, server, &job->request,
 				 &job->rank, job->deadline,
--- a/return_book.c
+++ b/return_book.c
@@ -97,7 +97,7 @@
 {
 	int i;
 
-	for (i = level; i < OUTLOOK_LEVELS; i++) {
+	for (i = level; i < ESTIMATE_LEVELS; i++) {
 		if (!line->room[i])
 			continue;
 		if (line->free_at[i] < now)
--- a/return_book.h
+++ b/return_book.h
@@ -48,8 +48,8 @@
  */
 struct return_line {
 	uint64_t service;
-	double room[OUTLOOK_LEVELS];
-	int64_t free_at[OUTLOOK_LEVELS];
+	double room[ESTIMATE_LEVELS];
+	int64_t free_at[ESTIMATE_LEVELS];
 	int64_t used_at;
 };
 
--- a/server_queue.h
+++ b/server_queue.h
@@ -100,7 +100,7 @@
 	struct gateway_stats *stats;
 	int senders;
 	bool enabled;
-	double costs[OUTLOOK_LEVELS];
+	double costs[ESTIMATE_LEVELS];
 	int64_t by_lot_until;
 	struct server_queue *waiting;
 	struct server_turn *ended;
--- a/server_queue_capacity.c
+++ b/server_queue_capacity.c
@@ -38,8 +38,9 @@
 double server_queue_pace(const struct server_queues *queues,
 			 const struct registry_server *server)
 {
-	return server_outlook_pace(&server->outlook, server->service->latency,
-				   clock_now(queues->clock));
+	return server_estimate_processing_time(&server->estimate,
+					       server->service->latency,
+					       clock_now(queues->clock));
 }
 
 /*
@@ -83,17 +84,17 @@
 	if (!queues->enabled)
 		return;
 	next = until_next(queues, server);
-	for (level = 0; level < OUTLOOK_LEVELS; level++) {
-		int priority = level < OUTLOOK_LEVELS - 1 ? level : INT_MAX;
+	for (level = 0; level < ESTIMATE_LEVELS; level++) {
+		int priority = level < ESTIMATE_LEVELS - 1 ? level : INT_MAX;
 
-		server_outlook_told(&server->outlook, level,
-				    ahead_of(server, priority, next), now);
+		server_estimate_set_wait(&server->estimate, level,
+					 ahead_of(server, priority, next), now);
 	}
 }
 
 double server_queue_cost(const struct server_queues *queues, int64_t priority)
 {
-	double cost = queues->costs[server_outlook_level(priority)];
+	double cost = queues->costs[server_estimate_level(priority)];
 
 	return cost > 0 ? cost : 1;
 }
@@ -101,7 +102,7 @@
 /* Behind others, it would show the time of these as well. */
 void server_queue_learn(const struct server_turn *turn, int64_t took)
 {
-	int level = server_outlook_level(turn->item.priority);
+	int level = server_estimate_level(turn->item.priority);
 	double *cost = &turn->queues->costs[level];
 	double sample;
 
--- a/server_timing.h
+++ b/server_timing.h
@@ -1,35 +1,45 @@
 /*
- * What this instance believes of the pace of backend servers, from answers to
- * its own requests and from what relays tell. Logs a belief that changes much.
+ * Updates the estimated processing times of backend servers, from answers to
+ * this instance's own requests and from reports of relays. Logs when a server
+ * becomes slow or recovers.
  */
-#ifndef SERVER_PACE_H
-#define SERVER_PACE_H
+#ifndef SERVER_TIMING_H
+#define SERVER_TIMING_H
 
 #include <stdint.h>
 
 #include "registry.h"
 
 /**
- * server_pace_result() - a request that this instance sent to a server ended
- * @took: as for server_score_result(), without what it waited here
+ * server_timing_result() - a request that this instance sent to a server ended
+ * @server: the server
+ * @result: how the request ended
+ * @took: as for server_score_result(), without the wait on this instance
+ * @now: current time, microseconds
  */
-void server_pace_result(struct registry_server *server,
-			enum server_result result, int64_t took, int64_t now);
+void server_timing_result(struct registry_server *server,
+			  enum server_result result, int64_t took, int64_t now);
 
 /**
- * server_pace_seen() - a server answered a request after so long
- * @took: microseconds, without what it waited for its turn and the way of a
- *	relay
+ * server_timing_add_sample() - record a processing time measured by this
+ * instance
+ * @server: the server
+ * @took: microseconds, without the wait in the queue and the transfer to and
+ *	from a relay
+ * @now: current time, microseconds
  */
-void server_pace_seen(struct registry_server *server, int64_t took,
-		      int64_t now);
+void server_timing_add_sample(struct registry_server *server, int64_t took,
+			      int64_t now);
 
 /**
- * server_pace_told() - a relay tells how long a server takes lately
- * @pace: microseconds
- * @by: its instance, for the log
+ * server_timing_add_report() - record a processing time reported by a relay
+ * @server: the server
+ * @processing_time: microseconds
+ * @source: instance id of the relay, for log lines
+ * @now: current time, microseconds
  */
-void server_pace_told(struct registry_server *server, double pace,
-		      const char *by, int64_t now);
+void server_timing_add_report(struct registry_server *server,
+			      double processing_time, const char *source,
+			      int64_t now);
 
 #endif
--- a/server_view.c
+++ b/server_view.c
@@ -188,14 +188,14 @@
 static bool is_taken(const struct server_view *view,
 		     const struct server_entry *entry, uint64_t changed_at)
 {
-	enum registry_word word =
+	enum registry_order word =
 		registry_compare(view->registry, entry, changed_at);
 
 	if (word == REGISTRY_NEWER || word == REGISTRY_REPEATED)
 		return true;
-	log_word(entry->id, state_of(entry), registry_word_name(word),
+	log_word(entry->id, state_of(entry), registry_order_name(word),
 		 changed_at,
-		 registry_known_at(view->registry, str_from(entry->id)));
+		 registry_known_revision(view->registry, str_from(entry->id)));
 	return false;
 }
 
@@ -229,7 +229,8 @@
 		registry_find(view->registry, str_from(entry->id));
 
 	return is_era_new(view) && server && server->entry.draining &&
-	       !entry->draining && server->entry.born == entry->born &&
+	       !entry->draining &&
+	       server->entry.started_at_ms == entry->started_at_ms &&
 	       address_eq(&server->entry.address, &entry->address);
 }
 
@@ -251,7 +252,7 @@
 		LOG_INFO("server_changed", LOG_TEXT("server", entry->id),
 			 LOG_TEXT("service", entry->service),
 			 LOG_TEXT("state", state_of(entry)),
-			 LOG_I64("born", entry->born),
+			 LOG_I64("born", entry->started_at_ms),
 			 LOG_I64("cold_for_ms",
 				 entry->cold_for / USEC_PER_MSEC),
 			 LOG_U64("store_revision", changed_at));
@@ -277,7 +278,8 @@
 	struct registry_server *server;
 
 	if (is_era_new(view) &&
-	    registry_left_before(view->registry, str_from(entry->id))) {
+	    registry_removed_in_earlier_era(view->registry,
+					    str_from(entry->id))) {
 		log_word(entry->id, state_of(entry), "left_before", changed_at,
 			 0);
 		view->passed_over = true;
@@ -286,7 +288,7 @@
 	server_view_put(view, entry, changed_at);
 	server = registry_find(view->registry, str_from(entry->id));
 	if (server)
-		server->list = view->list;
+		server->list_seq = view->list;
 }
 
 void server_view_begin_list(struct server_view *view)
@@ -303,7 +305,7 @@
 	char id[REGISTRY_NAME_SIZE];
 
 	HASH_ITER (hh, view->registry->servers, server, next) {
-		if (server->list == view->list || server->changed_at > at)
+		if (server->list_seq == view->list || server->changed_at > at)
 			continue;
 		/* The server, and its id with it, may be freed. */
 		str_copy(id, sizeof(id), str_from(server->entry.id));
--- a/tests/fuzz/fuzz_entry.c
+++ b/tests/fuzz/fuzz_entry.c
@@ -10,7 +10,8 @@
 {
 	if (!entry->id[0] || !entry->service[0] || !entry->data_centre[0])
 		abort();
-	if (!entry->address.port || entry->slots < 0 || entry->born < 0)
+	if (!entry->address.port || entry->slots < 0 ||
+	    entry->started_at_ms < 0)
 		abort();
 }
 
--- a/tests/store_world.c
+++ b/tests/store_world.c
@@ -16,7 +16,7 @@
 	str_copy(entry->id, sizeof(entry->id), str_from(item->name));
 	snprintf(entry->service, sizeof(entry->service), "s");
 	entry->draining = str_eq(item->value, STR("draining"));
-	entry->born = 1;
+	entry->started_at_ms = 1;
 	return 0;
 }
 
--- a/tests/test_dispatch_forecast.c
+++ b/tests/test_dispatch_forecast.c
@@ -13,8 +13,9 @@
 	     server = server->hh.next) {
 		if (server->entry.service[1] - '0' < first)
 			continue;
-		server_outlook_told(&server->outlook, 0, ahead, now);
-		server_outlook_paced(&server->outlook, (double)USUAL, now);
+		server_estimate_set_wait(&server->estimate, 0, ahead, now);
+		server_estimate_add_report(&server->estimate, (double)USUAL,
+					   now);
 	}
 }
 
@@ -28,7 +29,7 @@
 	latency_add_unloaded(&world->latency, (double)USUAL);
 	for (server = world->registry.servers; server;
 	     server = server->hh.next) {
-		server->service->usual = (double)USUAL;
+		server->service->baseline_latency = (double)USUAL;
 		server->score.outstanding = n_others;
 		server->score.waiting_since = clock_now(&world->clock);
 	}
@@ -174,16 +175,16 @@
  */
 static void test_own_sends_count(void)
 {
-	const struct server_outlook *outlook;
+	const struct server_estimate *outlook;
 	struct world world;
 
 	init(&world, 0);
 	tell(&world, 0, 0);
 	start(&world, "/shards/");
-	outlook = &world.sent[0]->server->outlook;
-	CU_ASSERT(server_outlook_ahead(outlook, 0, world.dispatch.start) ==
+	outlook = &world.sent[0]->server->estimate;
+	CU_ASSERT(server_estimate_wait(outlook, 0, world.dispatch.start) ==
 		  USUAL / 2);
-	CU_ASSERT(server_outlook_ahead(outlook, 3, world.dispatch.start) ==
+	CU_ASSERT(server_estimate_wait(outlook, 3, world.dispatch.start) ==
 		  USUAL / 2);
 	world_finish(&world);
 }
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -44,15 +44,15 @@
 
 static struct registry_server *pick(struct registry *registry,
 				    struct registry_server *tried,
-				    bool fresh_only, int64_t now)
+				    bool exclude_avoided, int64_t now)
 {
-	const struct registry_choice choice = {
+	const struct registry_criteria criteria = {
 		.tried = &tried,
 		.n_tried = tried ? 1 : 0,
-		.fresh_only = fresh_only,
+		.exclude_avoided = exclude_avoided,
 	};
 
-	return registry_pick(registry_service(registry, STR("s")), &choice,
+	return registry_pick(registry_service(registry, STR("s")), &criteria,
 			     now);
 }
 
@@ -67,7 +67,7 @@
 	near = put(&registry, "near", "dc1", 2);
 	CU_ASSERT(pick(&registry, NULL, false, START) == near);
 	CU_ASSERT(pick(&registry, near, false, START) == far);
-	/* A queue there is worse than the way. */
+	/* A queue at the near server costs more than the distance. */
 	server_score_sent(&near->score, START);
 	server_score_sent(&near->score, START);
 	server_score_sent(&near->score, START);
@@ -76,8 +76,8 @@
 }
 
 /*
- * A server stops for 150 ms without a word. Requests sent to it meanwhile would
- * all be late; the first one that is, shows it, and others are asked until it
+ * A server stops for 150 ms. Requests sent to it in that time would all be
+ * late. The first overdue answer must divert requests to other servers until it
  * answers again.
  */
 static void test_stopped_server(void)
@@ -97,7 +97,7 @@
 	now += MSEC(40);
 	CU_ASSERT(pick(&registry, NULL, true, now) == b);
 	CU_ASSERT(!pick(&registry, b, true, now));
-	/* Better a late one than none. */
+	/* A late answer is better than none. */
 	CU_ASSERT(pick(&registry, b, false, now) == a);
 	server_score_result(&a->score, SERVER_ANSWERED, MSEC(150),
 			    now + MSEC(110));
@@ -107,7 +107,7 @@
 
 /*
  * One server of a pair crashed and the other is slow. The crashed one answers
- * nothing, so that it must not seem the better one for having been faster.
+ * nothing and must not be preferred for its low past latency.
  */
 static void test_dead_is_worse_than_late(void)
 {
@@ -124,7 +124,7 @@
 	now += MSEC(50);
 	server_score_result(&dead->score, SERVER_UNREACHABLE, 0, now);
 	CU_ASSERT(pick(&registry, NULL, false, now) == late);
-	/* It is tried again after a while, and then left alone for longer. */
+	/* It is retried after a while, then avoided for longer. */
 	CU_ASSERT(now >= dead->score.avoid_until - MSEC(100));
 	server_score_sent(&dead->score, now);
 	server_score_result(&dead->score, SERVER_SILENT, MSEC(250), now);
@@ -133,8 +133,9 @@
 }
 
 /*
- * A request is given up soon after it was sent, because another server had
- * answered. That says nothing of the server: it may only have paused.
+ * A request is cancelled soon after it was sent, because another server
+ * answered first. It must not count against the server, which may only have
+ * paused.
  */
 static void test_short_silence(void)
 {
@@ -152,9 +153,10 @@
 }
 
 /*
- * A server is eleven times slower for seconds, and callers' requests pile up in
- * its queue. Those that were answered without it are closed soon, so that the
- * slots go to the others; a server that only paused keeps its connections.
+ * A server is eleven times slower for seconds, and requests accumulate in its
+ * queue. Requests to it that were answered elsewhere must be closed soon, so
+ * that its slots serve the others; a server that only paused keeps its
+ * connections.
  */
 static void test_slow_server_is_not_kept_busy(void)
 {
@@ -168,13 +170,13 @@
 	slow = put(&registry, "slow", "dc1", 1);
 	paused = put(&registry, "paused", "dc1", 2);
 	for (i = 0; i < 200; i++) {
-		registry_answered(slow->service, MSEC(15));
+		registry_record_latency(slow->service, MSEC(15));
 		server_score_sent(&paused->score, now);
 		server_score_result(&paused->score, SERVER_ANSWERED, MSEC(15),
 				    now);
 	}
 	for (i = 0; i < 20; i++) {
-		registry_answered(slow->service, MSEC(165));
+		registry_record_latency(slow->service, MSEC(165));
 		server_score_sent(&slow->score, now);
 		server_score_result(&slow->score, SERVER_ANSWERED, MSEC(165),
 				    now);
@@ -182,15 +184,15 @@
 	now += MSEC(150);
 	CU_ASSERT(registry_linger(slow, now) <= MSEC(30));
 	CU_ASSERT(registry_linger(paused, now) >= MSEC(300));
-	/* What was seen long ago says nothing about its queue now. */
+	/* Old measurements say nothing about its current queue. */
 	CU_ASSERT(registry_linger(slow, now + MSEC(1000)) >= MSEC(300));
 	registry_finish(&registry);
 }
 
 /*
- * A server was eleven times slower, and its requests went to the other one. It
- * has recovered since, which only a request can show: what was seen of it must
- * not count against it for good, or the other one bears the load of both.
+ * A server was eleven times slower, so its requests went to the other one. It
+ * has recovered, which only a request can show: without decay of old
+ * measurements the other server would carry the load of both for good.
  */
 static void test_old_slowness_fades(void)
 {
@@ -221,9 +223,9 @@
 }
 
 /*
- * One server of a pair refuses six of ten requests for seconds, at once, and
- * the other has a queue of five. Each refused request costs a second send of a
- * budget that all share, so that the queue is the better choice.
+ * One server of a pair immediately refuses six of ten requests for seconds, and
+ * the other has a queue of five. Each refusal costs a second send from a shared
+ * budget, so the queue is the better choice.
  */
 static void test_refusals_turn_the_choice(void)
 {
@@ -279,7 +281,7 @@
 	CU_ASSERT(registry_put(&registry, &entry, 2));
 	CU_ASSERT(n_closed == 1);
 	CU_ASSERT(!pick(&registry, NULL, false, START));
-	/* An older word that comes late changes nothing. */
+	/* An older update that arrives late is ignored. */
 	entry.draining = false;
 	CU_ASSERT(!registry_put(&registry, &entry, 1));
 	CU_ASSERT(!pick(&registry, NULL, false, START));
@@ -287,8 +289,8 @@
 }
 
 /*
- * A server's entry is removed, and a peer that has not heard of it tells the
- * older entry. The server must not come back: its address may be another's.
+ * A server's entry is removed, and a peer that does not know yet sends the
+ * older entry. The server must not come back: its address may be reused.
  */
 static void test_removed_stays_removed(void)
 {
@@ -300,26 +302,27 @@
 	CU_ASSERT(registry_remove(&registry, STR("a"), 6));
 	CU_ASSERT(!put(&registry, "a", "dc1", 5));
 	CU_ASSERT(put(&registry, "a", "dc1", 7) != NULL);
-	/* The word of a removal may come before the entry itself. */
+	/* The removal may be received before the entry itself. */
 	CU_ASSERT(!registry_remove(&registry, STR("b"), 9));
 	CU_ASSERT(!put(&registry, "b", "dc1", 8));
 	registry_finish(&registry);
 }
 
-static struct registry_server *put_born(struct registry *registry, int64_t born,
-					uint64_t changed_at)
+static struct registry_server *put_started(struct registry *registry,
+					   int64_t started_at_ms,
+					   uint64_t changed_at)
 {
 	struct server_entry entry = entry_of("a", "dc1");
 
-	entry.born = born;
+	entry.started_at_ms = started_at_ms;
 	registry_put(registry, &entry, changed_at);
 	return registry_find(registry, STR("a"));
 }
 
 /*
- * A server hung, was avoided, and was started again under its id. It holds
- * nothing of what it was: requests must go to it at once, on new connections,
- * and results of what the earlier process was sent say nothing of this one.
+ * A server hung, was avoided and was restarted under its id. Requests must go
+ * to the new process at once, on new connections, and results of requests to
+ * the previous process must not count against it.
  */
 static void test_restart_is_another_server(void)
 {
@@ -329,14 +332,14 @@
 	int64_t now = START;
 
 	init(&registry);
-	earlier = put_born(&registry, 1000, 1);
+	earlier = put_started(&registry, 1000, 1);
 	registry_server_ref(earlier);
 	server_score_sent(&earlier->score, now);
 	server_score_sent(&earlier->score, now);
 	server_score_unreachable(&earlier->score, now);
 	server_score_unreachable(&earlier->score, now);
 	CU_ASSERT(!pick(&registry, NULL, false, now));
-	server = put_born(&registry, 2000, 2);
+	server = put_started(&registry, 2000, 2);
 	CU_ASSERT(server != earlier);
 	CU_ASSERT(earlier->gone);
 	CU_ASSERT(n_closed == 1);
@@ -350,33 +353,33 @@
 }
 
 /*
- * The last word of a process reaches the store, or a peer tells of it, after
- * its successor was heard. Taken for news it would bring back an address where
- * another service may listen by now.
+ * The last update of a process arrives from the store or a peer after that of
+ * its successor. If it were accepted, requests would go to an old address where
+ * another service may be listening.
  */
-static void test_word_of_an_earlier_start(void)
+static void test_update_of_an_earlier_start(void)
 {
 	struct registry registry;
 	struct registry_server *server;
 
 	init(&registry);
-	server = put_born(&registry, 2000, 5);
-	CU_ASSERT(put_born(&registry, 1000, 4) == server);
-	CU_ASSERT(put_born(&registry, 1000, 6) == server);
-	CU_ASSERT(server->entry.born == 2000);
-	CU_ASSERT(registry_born(&registry, server, 1000) == server);
-	/* One that does not say when it started is the one that is known. */
-	CU_ASSERT(put_born(&registry, 0, 7) == server);
-	CU_ASSERT(server->entry.born == 2000);
-	CU_ASSERT(registry_born(&registry, server, 0) == server);
+	server = put_started(&registry, 2000, 5);
+	CU_ASSERT(put_started(&registry, 1000, 4) == server);
+	CU_ASSERT(put_started(&registry, 1000, 6) == server);
+	CU_ASSERT(server->entry.started_at_ms == 2000);
+	CU_ASSERT(registry_note_start(&registry, server, 1000) == server);
+	/* Without a start time, it is taken for the known process. */
+	CU_ASSERT(put_started(&registry, 0, 7) == server);
+	CU_ASSERT(server->entry.started_at_ms == 2000);
+	CU_ASSERT(registry_note_start(&registry, server, 0) == server);
 	CU_ASSERT(n_closed == 0);
-	/* Which is the earlier is told by the later one, not by a removal. */
+	/* After a removal, an earlier start is accepted again. */
 	CU_ASSERT(registry_remove(&registry, STR("a"), 8));
-	CU_ASSERT(put_born(&registry, 1000, 9) != NULL);
+	CU_ASSERT(put_started(&registry, 1000, 9) != NULL);
 	registry_finish(&registry);
 }
 
-/* An entry that asks for a send knows of the restart before this instance. */
+/* A peer that requests a send learns of a restart before this instance. */
 static void test_restart_by_a_peer(void)
 {
 	struct registry registry;
@@ -384,22 +387,22 @@
 	struct registry_server *server;
 
 	init(&registry);
-	earlier = put_born(&registry, 1000, 1);
-	server = registry_born(&registry, earlier, 2000);
+	earlier = put_started(&registry, 1000, 1);
+	server = registry_note_start(&registry, earlier, 2000);
 	CU_ASSERT(server != earlier);
-	CU_ASSERT(server->entry.born == 2000);
+	CU_ASSERT(server->entry.started_at_ms == 2000);
 	CU_ASSERT(n_closed == 1);
 	CU_ASSERT(registry_find(&registry, STR("a")) == server);
-	/* The store's own word of that start is no other one. */
-	CU_ASSERT(put_born(&registry, 2000, 2) == server);
+	/* The store's entry for the same start is not another restart. */
+	CU_ASSERT(put_started(&registry, 2000, 2) == server);
 	CU_ASSERT(n_closed == 1);
 	registry_finish(&registry);
 }
 
 /*
- * Each start of a server that restarts again and again finds connections of
- * the one before still open here. In all they must stay within what the server
- * accepts from this instance.
+ * A server restarts repeatedly while connections to its earlier processes are
+ * still open. Together they must stay within the server's limit for this
+ * instance.
  */
 static void test_connections_outlive_a_start(void)
 {
@@ -409,35 +412,35 @@
 	struct registry_server *third;
 
 	init(&registry);
-	first = registry_server_ref(put_born(&registry, 1000, 1));
+	first = registry_server_ref(put_started(&registry, 1000, 1));
 	first->n_conns = 2;
-	second = registry_server_ref(put_born(&registry, 2000, 2));
+	second = registry_server_ref(put_started(&registry, 2000, 2));
 	second->n_conns = 1;
-	CU_ASSERT(registry_conns(second) == 3);
-	third = put_born(&registry, 3000, 3);
-	CU_ASSERT(registry_conns(third) == 3);
+	CU_ASSERT(registry_count_conns(second) == 3);
+	third = put_started(&registry, 3000, 3);
+	CU_ASSERT(registry_count_conns(third) == 3);
 	second->n_conns = 0;
-	CU_ASSERT(registry_conns(third) == 2);
+	CU_ASSERT(registry_count_conns(third) == 2);
 	first->n_conns = 0;
-	CU_ASSERT(registry_conns(third) == 0);
+	CU_ASSERT(registry_count_conns(third) == 0);
 	CU_ASSERT(!third->earlier);
 	registry_server_unref(first);
 	registry_server_unref(second);
 	registry_finish(&registry);
 }
 
-/* What a request did to a server is told among instances by this name. */
-static void test_name_of_a_start(void)
+/* Instances exchange the effects of requests on a server by this identifier. */
+static void test_incarnation(void)
 {
-	char a[REGISTRY_LIFE_SIZE];
-	char b[REGISTRY_LIFE_SIZE];
+	char a[REGISTRY_INCARNATION_SIZE];
+	char b[REGISTRY_INCARNATION_SIZE];
 	struct registry registry;
 
 	init(&registry);
-	CU_ASSERT(
-		str_eq(registry_life(put_born(&registry, 0, 1), a), STR("a")));
-	registry_life(put_born(&registry, 1000, 2), a);
-	registry_life(put_born(&registry, 2000, 3), b);
+	CU_ASSERT(str_eq(registry_incarnation(put_started(&registry, 0, 1), a),
+			 STR("a")));
+	registry_incarnation(put_started(&registry, 1000, 2), a);
+	registry_incarnation(put_started(&registry, 2000, 3), b);
 	CU_ASSERT(strcmp(a, b));
 	registry_finish(&registry);
 }
@@ -454,10 +457,10 @@
 	{"draining gets nothing", test_draining_gets_nothing},
 	{"removed stays removed", test_removed_stays_removed},
 	{"a restart is another server", test_restart_is_another_server},
-	{"word of an earlier start", test_word_of_an_earlier_start},
-	{"a restart told by a peer", test_restart_by_a_peer},
+	{"update of an earlier start", test_update_of_an_earlier_start},
+	{"a restart reported by a peer", test_restart_by_a_peer},
 	{"connections outlive a start", test_connections_outlive_a_start},
-	{"name of a start", test_name_of_a_start},
+	{"incarnation", test_incarnation},
 };
 
 UNIT_MAIN("registry", tests)
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -316,10 +316,10 @@
 	tell_done(&world, &done, false, 1);
 	CU_ASSERT_EQUAL(world.took[0], MSEC(50));
 	CU_ASSERT_DOUBLE_EQUAL(server->score.latency, MSEC(10), 1);
-	CU_ASSERT_EQUAL(server_outlook_ahead(&server->outlook, 1, now),
+	CU_ASSERT_EQUAL(server_estimate_wait(&server->estimate, 1, now),
 			MSEC(30));
-	CU_ASSERT_EQUAL(server_outlook_ahead(&server->outlook, 0, now), 0);
-	CU_ASSERT_DOUBLE_EQUAL(server->outlook.pace, MSEC(9), 1);
+	CU_ASSERT_EQUAL(server_estimate_wait(&server->estimate, 0, now), 0);
+	CU_ASSERT_DOUBLE_EQUAL(server->estimate.processing_time, MSEC(9), 1);
 	finish(&world);
 }
 
@@ -342,8 +342,8 @@
 	CU_ASSERT_EQUAL(world.took[0], MSEC(50));
 	CU_ASSERT(server->score.latency <= MSEC(50));
 	/* It told no pace: what the part took is all that is known. */
-	CU_ASSERT(server->outlook.pace_at);
-	CU_ASSERT(server->outlook.pace <= MSEC(50));
+	CU_ASSERT(server->estimate.processing_time_at);
+	CU_ASSERT(server->estimate.processing_time <= MSEC(50));
 	finish(&world);
 }
 
--- a/tests/test_server_entry.c
+++ b/tests/test_server_entry.c
@@ -25,7 +25,7 @@
 	return read_as("i-1", value, &entry);
 }
 
-/* @from of the good entry in other words. */
+/* Parses the valid entry with @from replaced by @to. */
 static int read_with(const char *from, const char *to)
 {
 	const char *at = strstr(GOOD, from);
@@ -52,8 +52,8 @@
 }
 
 /*
- * Another program writes an entry without some of the fields. Read as zeros and
- * empty texts it would name a server that callers' requests are sent to.
+ * Another program writes an entry without some of the fields. If they defaulted
+ * to zero or empty, requests would go to a server that does not exist.
  */
 static void test_missing(void)
 {
@@ -78,29 +78,29 @@
 }
 
 /*
- * A server that starts again under its id tells so by when it started. One that
- * does not tell is taken as before; what cannot be read names no server.
+ * A changed start time signals that a server restarted under its id. An entry
+ * without one is accepted; an invalid one makes the whole entry invalid.
  */
 static void test_born(void)
 {
 	struct server_entry entry;
 
 	CU_ASSERT(!read_as("i-1", GOOD, &entry));
-	CU_ASSERT(entry.born == 0);
+	CU_ASSERT(entry.started_at_ms == 0);
 	CU_ASSERT(!read_as("i-1",
 			   "{\"service\":\"s\",\"address\":\"10.1.0.9:80\","
 			   "\"data_centre\":\"dc\",\"slots\":2,\"state\":"
 			   "\"ready\",\"cold_for_ms\":0,"
 			   "\"born\":1796256000123}",
 			   &entry));
-	CU_ASSERT(entry.born == 1796256000123);
+	CU_ASSERT(entry.started_at_ms == 1796256000123);
 	CU_ASSERT(read_with("{", "{\"born\":\"1796256000123\",") == ERR_TYPE);
 	CU_ASSERT(read_with("{", "{\"born\":1.5,") == ERR_TYPE);
 	CU_ASSERT(read_with("{", "{\"born\":null,") == ERR_TYPE);
 	CU_ASSERT(read_with("{", "{\"born\":-1,") == ERR_RANGE);
 }
 
-/* A state that nobody has heard of is no reason to send requests there. */
+/* A server in an unknown state must not receive requests. */
 static void test_unknown_state(void)
 {
 	CU_ASSERT(read_with("\"ready\"", "\"stopping\"") == ERR_REFERENCE);
@@ -147,7 +147,7 @@
 	return era;
 }
 
-/* A header that is no number must not move the fleet to another era. */
+/* A malformed header must not move all instances to another era. */
 static void test_era(void)
 {
 	CU_ASSERT_EQUAL(era_of(200, "7"), 7);
--- a/tests/test_server_queue.c
+++ b/tests/test_server_queue.c
@@ -356,7 +356,7 @@
 	for (i = 0; i < 100; i++) {
 		CU_ASSERT(!server_turn_waits(
 			ask(&world, 1, MSEC(100), MSEC(4))->turn));
-		CU_ASSERT_EQUAL(server_outlook_ahead(&world.server->outlook, 1,
+		CU_ASSERT_EQUAL(server_estimate_wait(&world.server->estimate, 1,
 						     clock_now(&world.clock)),
 				0);
 		pass(&world, MSEC(5));
@@ -368,21 +368,21 @@
 /* The outlook counts what goes first, by urgency. */
 static void test_outlook(void)
 {
-	struct server_outlook *outlook;
+	struct server_estimate *outlook;
 	struct world world;
 	int64_t now;
 	int i;
 
 	start(&world);
-	outlook = &world.server->outlook;
+	outlook = &world.server->estimate;
 	for (i = 0; i < MOST + 3; i++)
 		ask(&world, 1, MSEC(500), MSEC(10));
 	now = clock_now(&world.clock);
-	CU_ASSERT_EQUAL(server_outlook_ahead(outlook, 0, now), MSEC(10) / MOST);
-	CU_ASSERT_EQUAL(server_outlook_ahead(outlook, 1, now),
+	CU_ASSERT_EQUAL(server_estimate_wait(outlook, 0, now), MSEC(10) / MOST);
+	CU_ASSERT_EQUAL(server_estimate_wait(outlook, 1, now),
 			4 * MSEC(10) / MOST);
 	pass(&world, MSEC(100));
-	CU_ASSERT_EQUAL(server_outlook_ahead(outlook, 1,
+	CU_ASSERT_EQUAL(server_estimate_wait(outlook, 1,
 					     clock_now(&world.clock)),
 			0);
 	finish(&world);
@@ -419,7 +419,7 @@
 	for (i = 0; i < MOST + 1; i++)
 		ask(&world, 1, MSEC(500), MSEC(10));
 	entry = world.server->entry;
-	entry.born = 1;
+	entry.started_at_ms = 1;
 	registry_put(&world.registry, &entry, 2);
 	server_queue_tick(&world.queues);
 	CU_ASSERT_EQUAL(world.asked[MOST].code, ERR_DRAINING);
--- a/tests/test_view_order.c
+++ b/tests/test_view_order.c
@@ -261,14 +261,14 @@
 	node = &world.nodes[0];
 	node_hear_server(node, 1, 1000, 70);
 	server = registry_find(&node->registry, STR("server"));
-	CU_ASSERT(!server->entry.born);
+	CU_ASSERT(!server->entry.started_at_ms);
 	CU_ASSERT(node->sync.feeds[STORE_SERVERS].at < 70);
 	node_hear_server(node, 0, 1000, 70);
-	CU_ASSERT(!server->entry.born);
+	CU_ASSERT(!server->entry.started_at_ms);
 	/* One of a later era is believed, whatever its revision. */
 	node_hear_server(node, 3, 1000, 7);
 	server = registry_find(&node->registry, STR("server"));
-	CU_ASSERT_EQUAL(server->entry.born, 1000);
+	CU_ASSERT_EQUAL(server->entry.started_at_ms, 1000);
 	CU_ASSERT_EQUAL(node->sync.era, 3);
 	world_finish(&world);
 }
--- a/tests/test_view_share.c
+++ b/tests/test_view_share.c
@@ -292,12 +292,12 @@
 	CU_ASSERT(server_score_is_lost(&server->score));
 	hear_server(node, 2000, 7);
 	server = registry_find(&node->registry, STR("server"));
-	CU_ASSERT(server->entry.born == 2000);
+	CU_ASSERT(server->entry.started_at_ms == 2000);
 	CU_ASSERT(!server_score_is_lost(&server->score));
 	hear_server(node, 1000, 6);
 	hear_server(node, 1000, 8);
 	CU_ASSERT(registry_find(&node->registry, STR("server")) == server);
-	CU_ASSERT(server->entry.born == 2000);
+	CU_ASSERT(server->entry.started_at_ms == 2000);
 	CU_ASSERT(!server->gone);
 	world_finish(&world);
 }
--- a/upstream.c
+++ b/upstream.c
@@ -77,9 +77,9 @@
 		!result->code && result->message->parser.status_code <
 					 HTTP_STATUS_INTERNAL_SERVER_ERROR;
 
-	server_pace_result(conn->server,
-			   server_result_of(result->code, success),
-			   result->took, now);
+	server_timing_result(conn->server,
+			     server_result_of(result->code, success),
+			     result->took, now);
 }
 
 /* The exchange is over; the connection decides for itself what follows. */
--- a/upstream_limits.c
+++ b/upstream_limits.c
@@ -78,7 +78,7 @@
 		most = floor((double)connections_max * limits->share_near);
 	if (!server->remote && most < CONNS_NEAR_LEAST)
 		most = CONNS_NEAR_LEAST;
-	return registry_conns(server) < most;
+	return registry_count_conns(server) < most;
 }
 
 /* Its answer is lost: the server has answered since for longer than it takes.
--- a/view_take.c
+++ b/view_take.c
@@ -24,7 +24,7 @@
 		 str_from(row->data_centre));
 	entry.slots = row->slots;
 	entry.draining = row->draining;
-	entry.born = row->born;
+	entry.started_at_ms = row->born;
 	entry.created_at = row->created_at;
 	entry.cold_for = MSEC((int64_t)row->cold_for_ms);
 	if (address_parse(str_from(row->address), &entry.address))
--- a/view_update.c
+++ b/view_update.c
@@ -52,7 +52,7 @@
 	row->slots = (uint32_t)server->entry.slots;
 	row->draining = server->entry.draining;
 	row->changed_at = server->changed_at;
-	row->born = server->entry.born;
+	row->born = server->entry.started_at_ms;
 	row->created_at = server->entry.created_at;
 	if (server->cold_until > now)
 		row->cold_for_ms =
