--- a/gateway_send.c
+++ b/gateway_send.c
@@ -225,11 +225,11 @@
 {
 	struct gateway_request *request = arg;
 	struct gateway *gateway = request->gateway;
-	const struct server_rank rank = {
+	const struct server_job_rank rank = {
 		.priority = request->route->priority,
 		.goal_at = request->dispatch.answer_at,
 	};
-	struct server_turn *turn;
+	struct server_job *turn;
 	int ret;
 
 	if (!relay_part(request, send))
@@ -258,13 +258,13 @@
 	/* Cut off, nobody would know whether it ran. */
 	if (!request->route->repeatable)
 		linger = request->dispatch.deadline - now;
-	server_turn_abandon(send->handle, linger > 0 ? linger : 0);
+	server_job_abandon(send->handle, linger > 0 ? linger : 0);
 }
 
 static bool waits(void *arg, const struct dispatch_send *send)
 {
 	(void)arg;
-	return !send->relayed && server_turn_waits(send->handle);
+	return !send->relayed && server_job_is_unsent(send->handle);
 }
 
 static void decided(void *arg, const struct dispatch_send *send)
--- a/home.c
+++ b/home.c
@@ -125,15 +125,15 @@
 	const struct tunables *tunables = blackboard_tunables(home->board);
 	int ret;
 
-	server->queue.plain = tunables->admission == SWITCH_OFF;
-	server->queue.max = server->queue.plain
+	server->queue.deadline_only = tunables->admission == SWITCH_OFF;
+	server->queue.max = server->queue.deadline_only
 				    ? SIZE_MAX
 				    : (size_t)tunables->server_queue_max;
 	server->queue.slots = (int)server->slots;
 	job->item.priority = (int)job->query->message->priority;
 	job->item.goal = job->query->deadline_at;
 	job->item.deadline = job->query->deadline_at;
-	job->item.lot = 0;
+	job->item.random_rank = 0;
 	job->item.cost = 1;
 	ret = slot_queue_push(&server->queue, &job->item, on_drop, home);
 	if (ret)
@@ -491,7 +491,7 @@
 			   half_life(home));
 	if (!code) {
 		learn_latency(server, latency);
-		slot_queue_served(&server->queue, latency);
+		slot_queue_record_time(&server->queue, latency);
 		metric_histogram_add(
 			&home->board->counters.server_time.histogram, latency);
 	}
--- a/relay_serve.c
+++ b/relay_serve.c
@@ -27,7 +27,7 @@
 struct relay_send {
 	struct relay_job *job;
 	struct registry_server *server;
-	struct server_turn *turn;
+	struct server_job *turn;
 	uint32_t index;
 };
 
@@ -48,7 +48,7 @@
 	struct peer_link *link;
 	uint64_t id;
 	struct upstream_request request;
-	struct server_rank rank;
+	struct server_job_rank rank;
 	int64_t deadline;
 	int64_t connections_max;
 	struct event *timer;
@@ -93,7 +93,7 @@
 		struct relay_send *send = &job->sends[i];
 
 		if (send->turn)
-			server_turn_abandon(send->turn, linger_of(send));
+			server_job_abandon(send->turn, linger_of(send));
 	}
 	clear_done(job);
 	records_finish(&job->records);
@@ -357,8 +357,8 @@
 
 	for (i = 0; i < job->n_sends; i++) {
 		if (job->sends[i].turn)
-			server_turn_hurry(job->sends[i].turn,
-					  linger_of(&job->sends[i]));
+			server_job_hurry(job->sends[i].turn,
+					 linger_of(&job->sends[i]));
 	}
 }
 
--- a/server_queue.c
+++ b/server_queue.c
@@ -11,14 +11,19 @@
 #include "log.h"
 #include "mem.h"
 
-/* So many turns go before the least urgent has one. */
-#define FLOOR_TURNS 8
-/* Lots that are drawn for requests. */
-#define LOTS 8
-/* Since it was found that not all can be in time, at any server. */
-#define BY_LOT_FOR MSEC(500)
-/* How often what waits is looked through for what cannot be served in time. */
-#define TICK MSEC(20)
+/*
+ * Prevents starvation: the least urgent item is bypassed fewer than this many
+ * times in a row.
+ */
+#define BYPASS_LIMIT 8
+/* Number of random ranks for requests. */
+#define RANDOM_RANKS 8
+/*
+ * How long to use the random order after an overload at any server was found.
+ */
+#define RANDOM_ORDER_PERIOD MSEC(500)
+/* How often queues are checked for requests that can't be served in time. */
+#define TICK_PERIOD MSEC(20)
 
 void server_queues_init(struct server_queues *queues, const struct clock *clock,
 			const struct server_queue_ops *ops, void *arg,
@@ -37,58 +42,61 @@
 	return clock_now(queues->clock);
 }
 
-static struct server_turn *turn_of(struct slot_item *item)
+static struct server_job *job_of(struct slot_item *item)
 {
-	return (struct server_turn *)((char *)item -
-				      offsetof(struct server_turn, item));
+	return (struct server_job *)((char *)item -
+				     offsetof(struct server_job, item));
 }
 
-static void free_turn(struct server_turn *turn)
+static void free_job(struct server_job *job)
 {
-	registry_server_unref(turn->server);
-	free(turn);
+	registry_server_unref(job->server);
+	free(job);
 }
 
-/* Reported later: whoever has to hear of it may be at work on its requests. */
-static void end_unsent(struct server_turn *turn, int code)
+/*
+ * Reported on the next tick, as the caller may be iterating over its requests.
+ */
+static void finish_unsent(struct server_job *job, int code)
 {
-	struct server_queues *queues = turn->queues;
+	struct server_queues *queues = job->queues;
 
-	turn->state = TURN_ENDED;
-	turn->code = code;
-	DL_APPEND(queues->ended, turn);
+	job->state = JOB_UNSENT;
+	job->code = code;
+	DL_APPEND(queues->ended, job);
 	queues->ops->wake(queues->arg, now_of(queues));
 }
 
-static void log_turn_dropped(const struct server_turn *turn, int code)
+static void log_job_dropped(const struct server_job *job, int code)
 {
-	const struct server_queues *queues = turn->queues;
+	const struct server_queues *queues = job->queues;
 	int64_t now = now_of(queues);
 
-	LOG_INFO("turn_dropped", LOG_STR("request", turn->request->id),
-		 LOG_TEXT("server", turn->server->entry.id),
+	LOG_INFO("turn_dropped", LOG_STR("request", job->request->id),
+		 LOG_TEXT("server", job->server->entry.id),
 		 LOG_TEXT("error", error_name(code)),
-		 LOG_I64("priority", turn->item.priority),
-		 LOG_I64("waited_us", now - turn->queued_at),
-		 LOG_I64("left_us", turn->deadline - now),
-		 LOG_I64("ahead_us", server_queue_ahead(queues, turn->server,
-							turn->item.priority)),
-		 LOG_F64("pace_us", server_queue_pace(queues, turn->server)));
+		 LOG_I64("priority", job->item.priority),
+		 LOG_I64("waited_us", now - job->queued_at),
+		 LOG_I64("left_us", job->deadline - now),
+		 LOG_I64("ahead_us", server_queue_wait(queues, job->server,
+						       job->item.priority)),
+		 LOG_F64("pace_us",
+			 server_queue_processing_time(queues, job->server)));
 }
 
-static void drop(struct server_turn *turn, int code)
+static void drop(struct server_job *job, int code)
 {
-	metric_inc(&turn->queues->stats->turns_dropped);
-	log_turn_dropped(turn, code);
-	end_unsent(turn, code);
+	metric_inc(&job->queues->stats->turns_dropped);
+	log_job_dropped(job, code);
+	finish_unsent(job, code);
 }
 
-/* It would not have been answered in time, or the queue is full. */
+/* It could not be answered in time, or the queue is full. */
 static void on_drop(void *ctx, struct slot_item *item, int code)
 {
 	(void)ctx;
 	(void)code;
-	drop(turn_of(item), ERR_OVERLOAD);
+	drop(job_of(item), ERR_OVERLOAD);
 }
 
 static struct server_queue *queue_of(struct server_queues *queues,
@@ -100,96 +108,102 @@
 		queue = mem_zalloc(sizeof(*queue));
 		queue->server = server;
 		slot_queue_init(&queue->items, queues->clock, SERVER_QUEUE_MAX);
-		queue->items.floor = FLOOR_TURNS;
+		queue->items.bypass_limit = BYPASS_LIMIT;
 		DL_APPEND(queues->waiting, queue);
 		server->queue = queue;
-		queues->ops->wake(queues->arg, now_of(queues) + TICK);
+		queues->ops->wake(queues->arg, now_of(queues) + TICK_PERIOD);
 	}
-	queue->items.slots = server_queue_most(queues, server);
-	queue->items.usual = server_queue_pace(queues, server);
-	queue->items.mean = queue->items.usual;
-	slot_queue_set_by_lot(&queue->items,
-			      now_of(queues) < queues->by_lot_until);
+	queue->items.slots = server_queue_limit(queues, server);
+	queue->items.assumed_time =
+		server_queue_processing_time(queues, server);
+	queue->items.mean_time = queue->items.assumed_time;
+	slot_queue_set_random_order(&queue->items,
+				    now_of(queues) <
+					    queues->random_order_until);
 	return queue;
 }
 
-static void note_short(struct server_queues *queues,
-		       const struct server_queue *queue)
+static void extend_random_order(struct server_queues *queues,
+				const struct server_queue *queue)
 {
-	int64_t until = queue->items.short_at + BY_LOT_FOR;
+	int64_t until = queue->items.overloaded_at + RANDOM_ORDER_PERIOD;
 
-	if (queue->items.short_at && until > queues->by_lot_until)
-		queues->by_lot_until = until;
+	if (queue->items.overloaded_at && until > queues->random_order_until)
+		queues->random_order_until = until;
 }
 
-/* The queue ends with the last that waits. */
-static void review(struct server_queues *queues, struct registry_server *server)
+/* Frees the queue if it is empty, and updates the estimate. */
+static void update_queue(struct server_queues *queues,
+			 struct registry_server *server)
 {
 	struct server_queue *queue = server->queue;
 
 	if (queue)
-		note_short(queues, queue);
+		extend_random_order(queues, queue);
 	if (queue && !queue->items.n) {
 		DL_DELETE(queues->waiting, queue);
 		slot_queue_finish(&queue->items);
 		free(queue);
 		server->queue = NULL;
 	}
-	server_queue_tell(queues, server);
+	server_queue_update_estimate(queues, server);
 }
 
-static int send_now(struct server_turn *turn)
+static int send_now(struct server_job *job)
 {
-	struct server_queues *queues = turn->queues;
+	struct server_queues *queues = job->queues;
 	bool alone = queues->enabled &&
-		     !queues->ops->under_way(queues->arg, turn->server);
+		     !queues->ops->under_way(queues->arg, job->server);
 
-	turn->pace = alone ? server_queue_pace(queues, turn->server) : 0;
-	turn->state = TURN_SENT;
-	turn->sent_at = now_of(queues);
-	return queues->ops->send(queues->arg, turn);
+	job->processing_time =
+		alone ? server_queue_processing_time(queues, job->server) : 0;
+	job->state = JOB_SENT;
+	job->sent_at = now_of(queues);
+	return queues->ops->send(queues->arg, job);
 }
 
-static void note_wait(const struct server_turn *turn)
+static void record_wait(const struct server_job *job)
 {
-	struct server_queues *queues = turn->queues;
+	struct server_queues *queues = job->queues;
 	int64_t now = now_of(queues);
-	int64_t waited = now - turn->queued_at;
+	int64_t waited = now - job->queued_at;
 
 	metric_histogram_add(&queues->stats->turn_wait.histogram, waited);
-	if (!turn->item.late)
+	if (!job->item.missed_goal)
 		return;
 	metric_inc(&queues->stats->turns_late);
-	LOG_INFO("turn_late", LOG_STR("request", turn->request->id),
-		 LOG_TEXT("server", turn->server->entry.id),
-		 LOG_I64("priority", turn->item.priority),
+	LOG_INFO("turn_late", LOG_STR("request", job->request->id),
+		 LOG_TEXT("server", job->server->entry.id),
+		 LOG_I64("priority", job->item.priority),
 		 LOG_I64("waited_us", waited),
-		 LOG_I64("goal_in_us", turn->item.goal - now),
-		 LOG_F64("pace_us", server_queue_pace(queues, turn->server)));
+		 LOG_I64("goal_in_us", job->item.goal - now),
+		 LOG_F64("pace_us",
+			 server_queue_processing_time(queues, job->server)));
 }
 
-/* Why nothing that waits can be sent any more; 0: it can. */
-static int reason_to_close(const struct registry_server *server)
+/* Error for requests that can't be sent because the server is closed, or 0. */
+static int closed_error(const struct registry_server *server)
 {
 	if (!registry_is_open(server))
 		return ERR_DRAINING;
 	return server_score_is_lost(&server->score) ? ERR_CONNECT : 0;
 }
 
-static void return_all(struct server_queue *queue, int code)
+static void drop_all(struct server_queue *queue, int code)
 {
 	while (queue->items.n) {
-		struct server_turn *turn = turn_of(queue->items.items[0]);
+		struct server_job *job = job_of(queue->items.items[0]);
 
-		slot_queue_remove(&queue->items, &turn->item);
-		drop(turn, code);
+		slot_queue_remove(&queue->items, &job->item);
+		drop(job, code);
 	}
 }
 
-/* Send what may go out. */
-static void go_on(struct server_queues *queues, struct registry_server *server)
+/* Sends queued requests as far as the limit allows. */
+static void send_waiting(struct server_queues *queues,
+			 struct registry_server *server)
 {
-	int code = reason_to_close(server);
+	int code = closed_error(server);
 	struct server_queue *queue;
 	struct slot_item *item;
 	int ret;
@@ -198,37 +212,37 @@
 		return;
 	queue = queue_of(queues, server);
 	if (code)
-		return_all(queue, code);
-	while (queue->items.n &&
-	       (!queues->enabled || server_queue_has_room(queues, server))) {
+		drop_all(queue, code);
+	while (queue->items.n && (!queues->enabled ||
+				  server_queue_has_capacity(queues, server))) {
 		item = slot_queue_pop(&queue->items, on_drop, queues);
 		if (!item)
 			break;
-		note_wait(turn_of(item));
-		ret = send_now(turn_of(item));
+		record_wait(job_of(item));
+		ret = send_now(job_of(item));
 		if (ret)
-			end_unsent(turn_of(item), ret);
+			finish_unsent(job_of(item), ret);
 	}
 }
 
-static int enqueue(struct server_turn *turn)
+static int enqueue(struct server_job *job)
 {
-	struct server_queues *queues = turn->queues;
-	struct registry_server *server = turn->server;
+	struct server_queues *queues = job->queues;
+	struct registry_server *server = job->server;
 	struct server_queue *queue;
-	int ret = reason_to_close(server);
+	int ret = closed_error(server);
 
 	if (ret)
 		return ret;
 	queue = queue_of(queues, server);
-	ret = slot_queue_push(&queue->items, &turn->item, on_drop, queues);
+	ret = slot_queue_push(&queue->items, &job->item, on_drop, queues);
 	if (ret) {
 		metric_inc(&queues->stats->turns_dropped);
-		log_turn_dropped(turn, ERR_OVERLOAD);
+		log_job_dropped(job, ERR_OVERLOAD);
 		return ERR_OVERLOAD;
 	}
 	metric_inc(&queues->stats->turns_waited);
-	go_on(queues, server);
+	send_waiting(queues, server);
 	return 0;
 }
 
@@ -236,126 +250,125 @@
 		      const struct registry_server *server)
 {
 	return queues->enabled &&
-	       (server->queue || !server_queue_has_room(queues, server));
+	       (server->queue || !server_queue_has_capacity(queues, server));
 }
 
-static struct server_turn *new_turn(struct server_queues *queues,
-				    struct registry_server *server,
-				    const struct upstream_request *request,
-				    const struct server_rank *rank,
-				    int64_t deadline)
+static struct server_job *new_job(struct server_queues *queues,
+				  struct registry_server *server,
+				  const struct upstream_request *request,
+				  const struct server_job_rank *rank,
+				  int64_t deadline)
 {
-	struct server_turn *turn = mem_zalloc(sizeof(*turn));
-
-	turn->queues = queues;
-	turn->request = request;
-	turn->server = registry_server_ref(server);
-	turn->deadline = deadline;
-	turn->queued_at = now_of(queues);
-	turn->item.priority =
+	struct server_job *job = mem_zalloc(sizeof(*job));
+
+	job->queues = queues;
+	job->request = request;
+	job->server = registry_server_ref(server);
+	job->deadline = deadline;
+	job->queued_at = now_of(queues);
+	job->item.priority =
 		rank->priority < INT_MAX ? (int)rank->priority : INT_MAX;
-	turn->item.goal = rank->goal_at < deadline ? rank->goal_at : deadline;
-	turn->item.deadline = deadline;
-	turn->item.lot = (int)(str_hash(request->id) % LOTS);
-	turn->item.cost = server_queue_cost(queues, rank->priority);
-	return turn;
+	job->item.goal = rank->goal_at < deadline ? rank->goal_at : deadline;
+	job->item.deadline = deadline;
+	job->item.random_rank = (int)(str_hash(request->id) % RANDOM_RANKS);
+	job->item.cost = server_queue_cost(queues, rank->priority);
+	return job;
 }
 
 int server_queue_send(struct server_queues *queues,
 		      struct registry_server *server,
 		      const struct upstream_request *request,
-		      const struct server_rank *rank, int64_t deadline,
+		      const struct server_job_rank *rank, int64_t deadline,
 		      int64_t connections_max, exchange_cb cb, void *arg,
-		      struct server_turn **out)
+		      struct server_job **out)
 {
-	struct server_turn *turn =
-		new_turn(queues, server, request, rank, deadline);
+	struct server_job *job =
+		new_job(queues, server, request, rank, deadline);
 	int ret;
 
-	turn->connections_max = connections_max;
-	turn->cb = cb;
-	turn->arg = arg;
-	ret = must_wait(queues, server) ? enqueue(turn) : send_now(turn);
-	review(queues, server);
+	job->connections_max = connections_max;
+	job->cb = cb;
+	job->arg = arg;
+	ret = must_wait(queues, server) ? enqueue(job) : send_now(job);
+	update_queue(queues, server);
 	if (ret)
-		free_turn(turn);
+		free_job(job);
 	else
-		*out = turn;
+		*out = job;
 	return ret;
 }
 
-bool server_turn_waits(const struct server_turn *turn)
+bool server_job_is_unsent(const struct server_job *job)
 {
-	return turn->state != TURN_SENT;
+	return job->state != JOB_SENT;
 }
 
-static void leave_queue(struct server_turn *turn)
+static void dequeue(struct server_job *job)
 {
-	slot_queue_remove(&turn->server->queue->items, &turn->item);
-	metric_inc(&turn->queues->stats->turns_forgotten);
-	review(turn->queues, turn->server);
+	slot_queue_remove(&job->server->queue->items, &job->item);
+	metric_inc(&job->queues->stats->turns_forgotten);
+	update_queue(job->queues, job->server);
 }
 
-void server_turn_abandon(struct server_turn *turn, int64_t linger)
+void server_job_abandon(struct server_job *job, int64_t linger)
 {
-	struct server_queues *queues = turn->queues;
+	struct server_queues *queues = job->queues;
 
-	if (turn->state == TURN_WAITING)
-		leave_queue(turn);
-	else if (turn->state == TURN_ENDED)
-		DL_DELETE(queues->ended, turn);
+	if (job->state == JOB_WAITING)
+		dequeue(job);
+	else if (job->state == JOB_UNSENT)
+		DL_DELETE(queues->ended, job);
 	else
-		queues->ops->abandon(queues->arg, turn, linger);
-	free_turn(turn);
+		queues->ops->abandon(queues->arg, job, linger);
+	free_job(job);
 }
 
-void server_turn_hurry(struct server_turn *turn, int64_t linger)
+void server_job_hurry(struct server_job *job, int64_t linger)
 {
-	struct server_queues *queues = turn->queues;
+	struct server_queues *queues = job->queues;
 
-	if (turn->state == TURN_SENT)
-		queues->ops->hurry(queues->arg, turn, linger);
-	if (turn->state != TURN_WAITING)
+	if (job->state == JOB_SENT)
+		queues->ops->hurry(queues->arg, job, linger);
+	if (job->state != JOB_WAITING)
 		return;
-	leave_queue(turn);
-	end_unsent(turn, ERR_CANCELLED);
+	dequeue(job);
+	finish_unsent(job, ERR_CANCELLED);
 }
 
-static void report(struct server_turn *turn,
-		   const struct exchange_result *result)
+static void report(struct server_job *job, const struct exchange_result *result)
 {
-	exchange_cb cb = turn->cb;
-	void *arg = turn->arg;
+	exchange_cb cb = job->cb;
+	void *arg = job->arg;
 
-	free_turn(turn);
+	free_job(job);
 	cb(arg, result);
 }
 
-void server_turn_over(struct server_turn *turn,
-		      const struct exchange_result *result)
+void server_job_done(struct server_job *job,
+		     const struct exchange_result *result)
 {
-	struct exchange_result told = *result;
+	struct exchange_result reported = *result;
 
-	told.waited = turn->sent_at - turn->queued_at;
-	if (!result->code && turn->queues->enabled)
-		server_queue_learn(turn, result->took);
-	report(turn, &told);
+	reported.waited = job->sent_at - job->queued_at;
+	if (!result->code && job->queues->enabled)
+		server_queue_learn_cost(job, result->took);
+	report(job, &reported);
 }
 
-void server_queue_freed(struct server_queues *queues,
-			struct registry_server *server)
+void server_queue_capacity_freed(struct server_queues *queues,
+				 struct registry_server *server)
 {
-	go_on(queues, server);
-	review(queues, server);
+	send_waiting(queues, server);
+	update_queue(queues, server);
 }
 
 void server_queue_close(struct server_queues *queues,
 			struct registry_server *server)
 {
-	server_queue_freed(queues, server);
+	server_queue_capacity_freed(queues, server);
 }
 
-static void look_through(struct server_queues *queues)
+static void expire_waiting(struct server_queues *queues)
 {
 	struct server_queue *queue;
 	struct server_queue *next;
@@ -364,26 +377,26 @@
 		struct registry_server *server = queue->server;
 
 		slot_queue_expire(&queue->items, on_drop, queues);
-		go_on(queues, server);
-		review(queues, server);
+		send_waiting(queues, server);
+		update_queue(queues, server);
 	}
 	if (queues->waiting)
-		queues->ops->wake(queues->arg, now_of(queues) + TICK);
+		queues->ops->wake(queues->arg, now_of(queues) + TICK_PERIOD);
 }
 
 void server_queue_tick(struct server_queues *queues)
 {
-	look_through(queues);
+	expire_waiting(queues);
 	while (queues->ended) {
-		struct server_turn *turn = queues->ended;
+		struct server_job *job = queues->ended;
 		const struct exchange_result result = {
-			.code = turn->code,
+			.code = job->code,
 			.not_run = true,
 			.stamp = STR(""),
-			.waited = now_of(queues) - turn->queued_at,
+			.waited = now_of(queues) - job->queued_at,
 		};
 
-		DL_DELETE(queues->ended, turn);
-		report(turn, &result);
+		DL_DELETE(queues->ended, job);
+		report(job, &result);
 	}
 }
--- a/server_queue.h
+++ b/server_queue.h
@@ -1,13 +1,14 @@
 /*
- * Requests of this instance that wait for their turn at a backend server: the
- * most urgent first, then the one with the least time left to its goal. Answers
- * the load that servers cannot bear: what stands in a server's own queue cannot
- * be overtaken or taken back, so that few are sent to it at a time. What cannot
- * be served in time goes back to who gave it, unsent.
+ * Queues of this instance's requests to backend servers: the most urgent first,
+ * then the one with the least time left to its goal. Under overload only few
+ * requests are sent to a server at a time, since those in the server's own
+ * queue can't be overtaken or withdrawn. Requests that can't be served in time
+ * are returned to the caller unsent.
  *
- * Decides without sockets: sends go out through struct server_queue_ops, their
- * ends come in by server_turn_over() and server_queue_freed(), and time by
- * server_queue_tick(). See docs/design/turns.md.
+ * Does no I/O: requests are sent through struct server_queue_ops, their results
+ * arrive through server_job_done() and server_queue_capacity_freed(), and
+ * timers through server_queue_tick(). See docs/design/turns.md; logs and
+ * metrics call a job a turn.
  */
 #ifndef SERVER_QUEUE_H
 #define SERVER_QUEUE_H
@@ -24,29 +25,43 @@
 struct server_queues;
 
 /**
- * struct server_rank - the place of a request among those that wait
+ * struct server_job_rank - position of a request in the queue
  * @priority: of its route, 0 is the most urgent
- * @goal_at: an answer later than this is worth little, microseconds
+ * @goal_at: soft deadline: an answer after it is worth little, microseconds
  */
-struct server_rank {
+struct server_job_rank {
 	int64_t priority;
 	int64_t goal_at;
 };
 
-enum server_turn_state {
-	TURN_WAITING,
-	TURN_SENT,
-	TURN_ENDED, /* unsent; that is yet to be reported */
+enum server_job_state {
+	JOB_WAITING,
+	JOB_SENT,
+	JOB_UNSENT, /* not sent; to be reported */
 };
 
 /**
- * struct server_turn - one request
- * @server: held
- * @handle: of the owner of the operations, while it is sent
+ * struct server_job - one request
+ * @queues: borrowed
+ * @server: holds a reference
+ * @request: borrowed
+ * @deadline: microseconds
+ * @connections_max: as of upstream_send()
+ * @cb: called with the result
+ * @arg: passed to @cb
+ * @handle: for the owner of the operations, while the request is sent
  * @watch: the same
- * @code: why it ended unsent
+ * @state: see enum server_job_state
+ * @queued_at: when it was passed to the queue, microseconds
+ * @sent_at: when it was sent, microseconds
+ * @processing_time: expected by server_queue_processing_time(), microseconds;
+ *	0 if other requests were in progress when it was sent
+ * @code: error of a request that ended unsent
+ * @item: its entry in the queue
+ * @prev: in the list of jobs that ended unsent
+ * @next: in the list of jobs that ended unsent
  */
-struct server_turn {
+struct server_job {
 	struct server_queues *queues;
 	struct registry_server *server;
 	const struct upstream_request *request;
@@ -56,42 +71,48 @@
 	void *arg;
 	void *handle;
 	void *watch;
-	enum server_turn_state state;
+	enum server_job_state state;
 	int64_t queued_at;
 	int64_t sent_at;
-	double pace; /* of the server when it was sent alone; else 0 */
+	double processing_time;
 	int code;
 	struct slot_item item;
-	struct server_turn *prev; /* of those that ended */
-	struct server_turn *next;
+	struct server_job *prev;
+	struct server_job *next;
 };
 
 /**
- * struct server_queue_ops - what the module wants done
- * @send: send a request now. Return: 0 with @turn->handle set, as the owner
- *	likes; or why not, as upstream_send()
- * @abandon: see server_turn_abandon()
- * @hurry: see server_turn_hurry()
- * @under_way: requests of this instance that a server has not ended
- * @wake: call server_queue_tick() at the latest at a time
+ * struct server_queue_ops - operations of the owner
+ * @send: send a request now. Return: 0 with @job->handle set to any value;
+ *	otherwise an error as from upstream_send()
+ * @abandon: see server_job_abandon()
+ * @hurry: see server_job_hurry()
+ * @under_way: number of requests of this instance in progress at a server
+ * @wake: call server_queue_tick() at the given time or earlier
  */
 struct server_queue_ops {
-	int (*send)(void *arg, struct server_turn *turn);
-	void (*abandon)(void *arg, struct server_turn *turn, int64_t linger);
-	void (*hurry)(void *arg, struct server_turn *turn, int64_t linger);
+	int (*send)(void *arg, struct server_job *job);
+	void (*abandon)(void *arg, struct server_job *job, int64_t linger);
+	void (*hurry)(void *arg, struct server_job *job, int64_t linger);
 	int (*under_way)(void *arg, const struct registry_server *server);
 	void (*wake)(void *arg, int64_t at);
 };
 
 /**
- * struct server_queues - what the queues of all servers share
- * @senders: instances that send to the servers of this data centre, whose slots
- *	they share; at least 1
- * @enabled: else all is sent at once
- * @costs: of requests by level of urgency, compared to the mean; 0: not known
- * @by_lot_until: not all can be in time, see slot_queue_set_by_lot()
- * @waiting: servers for which requests wait
- * @ended: turns that ended unsent, not reported yet
+ * struct server_queues - state shared by the queues of all servers
+ * @clock: borrowed
+ * @ops: operations of the owner, borrowed
+ * @arg: passed to @ops
+ * @stats: counters, borrowed
+ * @senders: number of instances that send to the servers of this data centre
+ *	and share their slots; at least 1
+ * @enabled: otherwise requests are sent at once
+ * @costs: processing time of requests by urgency level, relative to the mean;
+ *	0: unknown
+ * @random_order_until: use the random order until then, as not all requests can
+ *	meet their goals; see slot_queue_set_random_order()
+ * @waiting: queues of servers that have queued requests
+ * @ended: jobs that ended unsent and were not reported yet
  */
 struct server_queues {
 	const struct clock *clock;
@@ -101,9 +122,9 @@
 	int senders;
 	bool enabled;
 	double costs[ESTIMATE_LEVELS];
-	int64_t by_lot_until;
+	int64_t random_order_until;
 	struct server_queue *waiting;
-	struct server_turn *ended;
+	struct server_job *ended;
 };
 
 void server_queues_init(struct server_queues *queues, const struct clock *clock,
@@ -111,11 +132,17 @@
 			struct gateway_stats *stats);
 
 /**
- * server_queue_send() - send a request, now or when its turn comes
- * @request: borrowed until @cb is called or the turn is abandoned
- * @cb: as of upstream_send(); with ERR_OVERLOAD it was not sent, since it would
- *	not have been answered in time
- * @out: valid until @cb is called or it is abandoned
+ * server_queue_send() - send a request now, or queue it
+ * @queues: the queues of this instance
+ * @server: the server
+ * @request: borrowed until @cb is called or the job is abandoned
+ * @rank: copied
+ * @deadline: microseconds
+ * @connections_max: as of upstream_send()
+ * @cb: as of upstream_send(); ERR_OVERLOAD: not sent, as it would not have been
+ *	answered in time
+ * @arg: passed to @cb
+ * @out: valid until @cb is called or the job is abandoned
  *
  * Return: 0; ERR_OVERLOAD if it would not be answered by its deadline; or as
  * upstream_send().
@@ -123,47 +150,58 @@
 int server_queue_send(struct server_queues *queues,
 		      struct registry_server *server,
 		      const struct upstream_request *request,
-		      const struct server_rank *rank, int64_t deadline,
+		      const struct server_job_rank *rank, int64_t deadline,
 		      int64_t connections_max, exchange_cb cb, void *arg,
-		      struct server_turn **out);
+		      struct server_job **out);
 
 /**
- * server_turn_waits() - it was not sent, and surely has not run
+ * server_job_is_unsent() - whether the request was not sent, and so did not run
+ * @job: the request
  */
-bool server_turn_waits(const struct server_turn *turn);
+bool server_job_is_unsent(const struct server_job *job);
 
 /**
- * server_turn_abandon() - the answer is not needed any more
- * @linger: as of exchange_abandon(); what was not sent is forgotten
+ * server_job_abandon() - abandon a request without reporting its end
+ * @job: the request
+ * @linger: as of exchange_abandon(); an unsent request is dropped
  */
-void server_turn_abandon(struct server_turn *turn, int64_t linger);
+void server_job_abandon(struct server_job *job, int64_t linger);
 
 /**
- * server_turn_hurry() - as server_turn_abandon(), but its end is still reported
+ * server_job_hurry() - as server_job_abandon(), but the end is reported
+ * @job: the request
+ * @linger: as of exchange_hurry()
  */
-void server_turn_hurry(struct server_turn *turn, int64_t linger);
+void server_job_hurry(struct server_job *job, int64_t linger);
 
 /**
- * server_turn_over() - a send ended that was not abandoned
+ * server_job_done() - a request that was sent has ended; not for abandoned ones
+ * @job: the request
+ * @result: how the request ended
  */
-void server_turn_over(struct server_turn *turn,
-		      const struct exchange_result *result);
+void server_job_done(struct server_job *job,
+		     const struct exchange_result *result);
 
 /**
- * server_queue_freed() - a request to a server ended, and its connection can be
- * used
+ * server_queue_capacity_freed() - a request to a server ended, and its
+ * connection can be reused
+ * @queues: the queues of this instance
+ * @server: the server
  */
-void server_queue_freed(struct server_queues *queues,
-			struct registry_server *server);
+void server_queue_capacity_freed(struct server_queues *queues,
+				 struct registry_server *server);
 
 /**
- * server_queue_close() - a server gets no new requests: what waits goes back
+ * server_queue_close() - a server gets no new requests: return queued ones
+ * @queues: the queues of this instance
+ * @server: the server
  */
 void server_queue_close(struct server_queues *queues,
 			struct registry_server *server);
 
 /**
- * server_queue_tick() - time passed, or something ended unsent
+ * server_queue_tick() - expire queued requests, report those that ended unsent
+ * @queues: the queues of this instance
  */
 void server_queue_tick(struct server_queues *queues);
 
--- a/server_queue_net.c
+++ b/server_queue_net.c
@@ -5,44 +5,44 @@
 
 static void on_result(void *arg, const struct exchange_result *result)
 {
-	struct server_turn *turn = arg;
+	struct server_job *job = arg;
 
-	crash_watch_end(turn->watch, result->code == ERR_LOST);
-	server_turn_over(turn, result);
+	crash_watch_end(job->watch, result->code == ERR_LOST);
+	server_job_done(job, result);
 }
 
-/* What waits is not watched: it cannot crash the server. */
-static int send_turn(void *arg, struct server_turn *turn)
+/* Queued requests are not watched: they can't crash the server. */
+static int send_job(void *arg, struct server_job *job)
 {
 	struct server_queue_net *net = arg;
 	struct exchange *exchange;
 	int ret;
 
-	turn->watch = crash_watch_new(net->poison, net->upstream, turn->server,
-				      turn->request->fingerprint);
-	if (!turn->watch)
+	job->watch = crash_watch_new(net->poison, net->upstream, job->server,
+				     job->request->fingerprint);
+	if (!job->watch)
 		return ERR_BANNED;
-	ret = upstream_send(net->upstream, turn->server, turn->request,
-			    turn->deadline, turn->connections_max, on_result,
-			    turn, &exchange);
+	ret = upstream_send(net->upstream, job->server, job->request,
+			    job->deadline, job->connections_max, on_result, job,
+			    &exchange);
 	if (ret)
-		crash_watch_end(turn->watch, false);
+		crash_watch_end(job->watch, false);
 	else
-		turn->handle = exchange;
+		job->handle = exchange;
 	return ret;
 }
 
-static void abandon(void *arg, struct server_turn *turn, int64_t linger)
+static void abandon(void *arg, struct server_job *job, int64_t linger)
 {
 	(void)arg;
-	crash_watch_end(turn->watch, false);
-	exchange_abandon(turn->handle, linger);
+	crash_watch_end(job->watch, false);
+	exchange_abandon(job->handle, linger);
 }
 
-static void hurry(void *arg, struct server_turn *turn, int64_t linger)
+static void hurry(void *arg, struct server_job *job, int64_t linger)
 {
 	(void)arg;
-	exchange_hurry(turn->handle, linger);
+	exchange_hurry(job->handle, linger);
 }
 
 static int under_way(void *arg, const struct registry_server *server)
@@ -59,7 +59,7 @@
 }
 
 static const struct server_queue_ops ops = {
-	.send = send_turn,
+	.send = send_job,
 	.abandon = abandon,
 	.hurry = hurry,
 	.under_way = under_way,
@@ -70,7 +70,7 @@
 {
 	struct server_queue_net *net = arg;
 
-	server_queue_freed(&net->queues, server);
+	server_queue_capacity_freed(&net->queues, server);
 }
 
 static void on_timer(void *arg)
--- a/server_queue_net.h
+++ b/server_queue_net.h
@@ -1,4 +1,4 @@
-/* Sends what has its turn at a backend server, and watches for crashes. */
+/* Sends queued requests to backend servers, and watches for crashes. */
 #ifndef SERVER_QUEUE_NET_H
 #define SERVER_QUEUE_NET_H
 
@@ -10,7 +10,11 @@
 struct event_base;
 
 /**
- * struct server_queue_net - the sends of an instance
+ * struct server_queue_net - the queues of an instance
+ * @queues: requests to all servers
+ * @upstream: sends the requests, borrowed
+ * @poison: detects requests that crash servers, borrowed
+ * @timer: for server_queue_tick()
  */
 struct server_queue_net {
 	struct server_queues queues;
@@ -24,7 +28,8 @@
 			   struct poison *poison, struct gateway_stats *stats);
 
 /**
- * server_queue_net_finish() - after all turns were abandoned or are over
+ * server_queue_net_finish() - free; all jobs must be abandoned or done
+ * @net: the queues
  */
 void server_queue_net_finish(struct server_queue_net *net);
 
--- a/slot_queue.c
+++ b/slot_queue.c
@@ -7,33 +7,33 @@
 #include "error.h"
 #include "mem.h"
 
-#define QUANTILE 0.95
+#define ASSUMED_TIME_QUANTILE 0.95
 #define QUANTILE_STEP 0.1
-#define SMOOTHING 0.05
+#define MEAN_WEIGHT 0.05
 
 /*
- * Whether @a goes before @b. Of those that missed their goals the last to do so
- * is first: the others have waited in vain the longest, and would all be served
- * just at their deadlines.
+ * Whether @a is served before @b. Of the items that missed their goals the last
+ * to do so is first: the others have waited longer in vain, and would all be
+ * served just before their deadlines.
  */
-static bool before(const struct slot_queue *queue, const struct slot_item *a,
-		   const struct slot_item *b)
+static bool goes_before(const struct slot_queue *queue,
+			const struct slot_item *a, const struct slot_item *b)
 {
-	if (a->late != b->late)
-		return b->late;
+	if (a->missed_goal != b->missed_goal)
+		return b->missed_goal;
 	if (a->priority != b->priority)
 		return a->priority < b->priority;
-	if (queue->by_lot && a->lot != b->lot)
-		return a->lot < b->lot;
+	if (queue->random_order && a->random_rank != b->random_rank)
+		return a->random_rank < b->random_rank;
 	if (a->goal != b->goal)
-		return a->late ? a->goal > b->goal : a->goal < b->goal;
-	return a->order < b->order;
+		return a->missed_goal ? a->goal > b->goal : a->goal < b->goal;
+	return a->seq < b->seq;
 }
 
-static void put(struct slot_queue *queue, size_t i, struct slot_item *item)
+static void set_item(struct slot_queue *queue, size_t i, struct slot_item *item)
 {
 	queue->items[i] = item;
-	item->place = i + 1;
+	item->heap_pos = i + 1;
 }
 
 static void move_up(struct slot_queue *queue, size_t i)
@@ -43,12 +43,12 @@
 	while (i) {
 		size_t parent = (i - 1) / 2;
 
-		if (!before(queue, item, queue->items[parent]))
+		if (!goes_before(queue, item, queue->items[parent]))
 			break;
-		put(queue, i, queue->items[parent]);
+		set_item(queue, i, queue->items[parent]);
 		i = parent;
 	}
-	put(queue, i, item);
+	set_item(queue, i, item);
 }
 
 static void move_down(struct slot_queue *queue, size_t i)
@@ -61,46 +61,49 @@
 		if (child >= queue->n)
 			break;
 		if (child + 1 < queue->n &&
-		    before(queue, queue->items[child + 1], queue->items[child]))
+		    goes_before(queue, queue->items[child + 1],
+				queue->items[child]))
 			child++;
-		if (!before(queue, queue->items[child], item))
+		if (!goes_before(queue, queue->items[child], item))
 			break;
-		put(queue, i, queue->items[child]);
+		set_item(queue, i, queue->items[child]);
 		i = child;
 	}
-	put(queue, i, item);
+	set_item(queue, i, item);
 }
 
-static void take_out(struct slot_queue *queue, size_t i)
+static void remove_at(struct slot_queue *queue, size_t i)
 {
 	struct slot_item *last = queue->items[--queue->n];
 
-	queue->items[i]->place = 0;
+	queue->items[i]->heap_pos = 0;
 	if (i == queue->n)
 		return;
-	put(queue, i, last);
+	set_item(queue, i, last);
 	move_up(queue, i);
-	move_down(queue, last->place - 1);
+	move_down(queue, last->heap_pos - 1);
 }
 
 /*
- * A server that became slow must still get requests, or nothing would show
- * that it is quick again: at most half of what an item came with is asked of
- * it.
+ * A server that became slow must still get requests, or its recovery would go
+ * unnoticed: the required time is at most half of what an item had left when it
+ * was queued.
  */
 static bool misses(const struct slot_queue *queue, const struct slot_item *item,
 		   int64_t end, int64_t now)
 {
-	int64_t need = queue->plain ? 0 : (int64_t)(queue->usual * item->cost);
-	int64_t most = (end - item->pushed) / 2;
+	int64_t need = queue->deadline_only
+			       ? 0
+			       : (int64_t)(queue->assumed_time * item->cost);
+	int64_t max_need = (end - item->pushed_at) / 2;
 
-	if (need > most)
-		need = most;
+	if (need > max_need)
+		need = max_need;
 	return now + need >= end;
 }
 
-static bool is_late(const struct slot_queue *queue,
-		    const struct slot_item *item, int64_t now)
+static bool misses_deadline(const struct slot_queue *queue,
+			    const struct slot_item *item, int64_t now)
 {
 	return misses(queue, item, item->deadline, now);
 }
@@ -108,14 +111,14 @@
 static bool misses_goal(const struct slot_queue *queue,
 			const struct slot_item *item, int64_t now)
 {
-	return item->late || misses(queue, item, item->goal, now);
+	return item->missed_goal || misses(queue, item, item->goal, now);
 }
 
-static int64_t wait_behind(const struct slot_queue *queue, size_t n)
+static int64_t wait_after(const struct slot_queue *queue, size_t n)
 {
-	if (queue->slots <= 0 || queue->plain)
+	if (queue->slots <= 0 || queue->deadline_only)
 		return 0;
-	return (int64_t)((double)n * queue->mean / queue->slots);
+	return (int64_t)((double)n * queue->mean_time / queue->slots);
 }
 
 static size_t count_before(const struct slot_queue *queue,
@@ -125,18 +128,18 @@
 	size_t i;
 
 	for (i = 0; i < queue->n; i++)
-		n += before(queue, queue->items[i], item);
+		n += goes_before(queue, queue->items[i], item);
 	return n;
 }
 
-/* The last in order; only sought when the queue is full. */
+/* The last item in order. Linear, but only needed if the queue is full. */
 static struct slot_item *find_last(const struct slot_queue *queue)
 {
 	struct slot_item *last = queue->items[0];
 	size_t i;
 
 	for (i = 1; i < queue->n; i++) {
-		if (before(queue, last, queue->items[i]))
+		if (goes_before(queue, last, queue->items[i]))
 			last = queue->items[i];
 	}
 	return last;
@@ -152,9 +155,9 @@
 	if (!queue->n)
 		return ERR_OVERLOAD;
 	last = find_last(queue);
-	if (!last->late && last->priority <= item->priority)
+	if (!last->missed_goal && last->priority <= item->priority)
 		return ERR_OVERLOAD;
-	take_out(queue, last->place - 1);
+	remove_at(queue, last->heap_pos - 1);
 	drop(ctx, last, ERR_OVERLOAD);
 	return 0;
 }
@@ -167,13 +170,13 @@
 	queue->max = max;
 }
 
-void slot_queue_set_by_lot(struct slot_queue *queue, bool by_lot)
+void slot_queue_set_random_order(struct slot_queue *queue, bool random_order)
 {
 	size_t i;
 
-	if (queue->by_lot == by_lot)
+	if (queue->random_order == random_order)
 		return;
-	queue->by_lot = by_lot;
+	queue->random_order = random_order;
 	for (i = queue->n / 2; i-- > 0;)
 		move_down(queue, i);
 }
@@ -192,42 +195,43 @@
 	int64_t now = clock_now(queue->clock);
 	int64_t wait;
 
-	item->place = 0;
-	item->pushed = now;
-	item->order = ++queue->pushes;
-	item->late = false;
-	wait = wait_behind(queue, count_before(queue, item));
-	if (item->deadline <= now || is_late(queue, item, now + wait))
+	item->heap_pos = 0;
+	item->pushed_at = now;
+	item->seq = ++queue->pushes;
+	item->missed_goal = false;
+	wait = wait_after(queue, count_before(queue, item));
+	if (item->deadline <= now || misses_deadline(queue, item, now + wait))
 		return ERR_TOO_LATE;
 	if (make_room(queue, item, drop, ctx))
 		return ERR_OVERLOAD;
 	MEM_GROW(queue->items, queue->n, queue->cap);
-	put(queue, queue->n, item);
+	set_item(queue, queue->n, item);
 	move_up(queue, queue->n++);
 	if (misses_goal(queue, item, now + wait))
-		queue->short_at = now;
+		queue->overloaded_at = now;
 	return 0;
 }
 
-/* Whoever would miss its goal goes behind all that would not. */
+/* Moves items that would miss their goals behind all that would not. */
 static struct slot_item *find_first(struct slot_queue *queue, int64_t now)
 {
 	struct slot_item *first = queue->items[0];
 
-	while (!first->late && misses_goal(queue, first, now) &&
-	       !is_late(queue, first, now)) {
-		first->late = true;
+	while (!first->missed_goal && misses_goal(queue, first, now) &&
+	       !misses_deadline(queue, first, now)) {
+		first->missed_goal = true;
 		move_down(queue, 0);
-		queue->short_at = now;
+		queue->overloaded_at = now;
 		first = queue->items[0];
 	}
 	return first;
 }
 
-/* Of the least urgent that can be in time, the first. */
-static struct slot_item *find_least(const struct slot_queue *queue, int64_t now)
+/* The first of the least urgent items that can meet their goals. */
+static struct slot_item *find_least_urgent(const struct slot_queue *queue,
+					   int64_t now)
 {
-	struct slot_item *least = NULL;
+	struct slot_item *least_urgent = NULL;
 	size_t i;
 
 	for (i = 0; i < queue->n; i++) {
@@ -235,27 +239,27 @@
 
 		if (misses_goal(queue, item, now))
 			continue;
-		if (!least || item->priority > least->priority ||
-		    (item->priority == least->priority &&
-		     before(queue, item, least)))
-			least = item;
+		if (!least_urgent || item->priority > least_urgent->priority ||
+		    (item->priority == least_urgent->priority &&
+		     goes_before(queue, item, least_urgent)))
+			least_urgent = item;
 	}
-	return least;
+	return least_urgent;
 }
 
 static struct slot_item *find_next(struct slot_queue *queue, int64_t now)
 {
 	struct slot_item *first = find_first(queue, now);
-	struct slot_item *least = NULL;
+	struct slot_item *least_urgent = NULL;
 
-	if (queue->floor)
-		least = find_least(queue, now);
-	if (!least || least->priority <= first->priority)
-		least = first;
-	else if (++queue->passed < queue->floor)
+	if (queue->bypass_limit)
+		least_urgent = find_least_urgent(queue, now);
+	if (!least_urgent || least_urgent->priority <= first->priority)
+		least_urgent = first;
+	else if (++queue->n_bypassed < queue->bypass_limit)
 		return first;
-	queue->passed = 0;
-	return least;
+	queue->n_bypassed = 0;
+	return least_urgent;
 }
 
 struct slot_item *slot_queue_pop(struct slot_queue *queue, slot_drop_fn drop,
@@ -266,15 +270,15 @@
 	while (queue->n) {
 		struct slot_item *next = find_next(queue, now);
 
-		take_out(queue, next->place - 1);
-		if (!is_late(queue, next, now))
+		remove_at(queue, next->heap_pos - 1);
+		if (!misses_deadline(queue, next, now))
 			return next;
 		drop(ctx, next, ERR_TOO_LATE);
 	}
 	return NULL;
 }
 
-double slot_queue_before(const struct slot_queue *queue, int priority)
+double slot_queue_cost_before(const struct slot_queue *queue, int priority)
 {
 	int64_t now = clock_now(queue->clock);
 	double cost = 0;
@@ -292,16 +296,17 @@
 
 void slot_queue_remove(struct slot_queue *queue, struct slot_item *item)
 {
-	if (item->place)
-		take_out(queue, item->place - 1);
+	if (item->heap_pos)
+		remove_at(queue, item->heap_pos - 1);
 }
 
-static struct slot_item *find_late(const struct slot_queue *queue, int64_t now)
+static struct slot_item *find_expired(const struct slot_queue *queue,
+				      int64_t now)
 {
 	size_t i;
 
 	for (i = 0; i < queue->n; i++) {
-		if (is_late(queue, queue->items[i], now))
+		if (misses_deadline(queue, queue->items[i], now))
 			return queue->items[i];
 	}
 	return NULL;
@@ -310,30 +315,30 @@
 void slot_queue_expire(struct slot_queue *queue, slot_drop_fn drop, void *ctx)
 {
 	int64_t now = clock_now(queue->clock);
-	struct slot_item *late;
+	struct slot_item *expired;
 
-	while ((late = find_late(queue, now))) {
-		take_out(queue, late->place - 1);
-		drop(ctx, late, ERR_TOO_LATE);
+	while ((expired = find_expired(queue, now))) {
+		remove_at(queue, expired->heap_pos - 1);
+		drop(ctx, expired, ERR_TOO_LATE);
 	}
 }
 
-void slot_queue_served(struct slot_queue *queue, int64_t usec)
+void slot_queue_record_time(struct slot_queue *queue, int64_t usec)
 {
-	double step = queue->usual * QUANTILE_STEP + 1;
+	double step = queue->assumed_time * QUANTILE_STEP + 1;
 
-	if (queue->usual <= 0) {
-		queue->usual = (double)usec;
-		queue->mean = (double)usec;
+	if (queue->assumed_time <= 0) {
+		queue->assumed_time = (double)usec;
+		queue->mean_time = (double)usec;
 	}
-	if ((double)usec > queue->usual)
-		queue->usual += step * QUANTILE;
-	else if ((double)usec < queue->usual)
-		queue->usual -= step * (1 - QUANTILE);
-	queue->mean += ((double)usec - queue->mean) * SMOOTHING;
+	if ((double)usec > queue->assumed_time)
+		queue->assumed_time += step * ASSUMED_TIME_QUANTILE;
+	else if ((double)usec < queue->assumed_time)
+		queue->assumed_time -= step * (1 - ASSUMED_TIME_QUANTILE);
+	queue->mean_time += ((double)usec - queue->mean_time) * MEAN_WEIGHT;
 }
 
 int64_t slot_queue_wait(const struct slot_queue *queue)
 {
-	return wait_behind(queue, queue->n);
+	return wait_after(queue, queue->n);
 }
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -443,7 +443,7 @@
 	struct job *job =
 		(struct job *)((char *)item - offsetof(struct job, item));
 	struct admission_sample sample = {
-		.wait = clock_now(&model->clock) - item->pushed,
+		.wait = clock_now(&model->clock) - item->pushed_at,
 		.shed = true,
 	};
 
@@ -473,7 +473,8 @@
 	struct job *job;
 
 	while (pool->busy < SLOTS && (job = take_job(model, pool))) {
-		job->item.pushed = now - job->item.pushed; /* now its wait */
+		job->item.pushed_at =
+			now - job->item.pushed_at; /* now its wait */
 		job->served = SERVE_MIN + (int64_t)(unit_random() *
 						    (SERVE_MAX - SERVE_MIN));
 		job->ends = now + job->served;
@@ -494,7 +495,7 @@
 	job->item.deadline = job->base.deadline;
 	job->item.cost = 1;
 	if (model->plain) {
-		job->item.pushed = clock_now(&model->clock);
+		job->item.pushed_at = clock_now(&model->clock);
 		DL_APPEND(pool->plain, job);
 		return;
 	}
@@ -558,14 +559,14 @@
 	struct job *next;
 
 	for (job = pool->running; job; job = next) {
-		struct admission_sample sample = {.wait = job->item.pushed};
+		struct admission_sample sample = {.wait = job->item.pushed_at};
 
 		next = job->next;
 		if (job->ends > now)
 			continue;
 		DL_DELETE(pool->running, job);
 		pool->busy--;
-		slot_queue_served(&pool->queue, job->served);
+		slot_queue_record_time(&pool->queue, job->served);
 		leave_entry(model, job, sample);
 		end_job(model, job, true);
 	}
--- a/tests/test_server_queue.c
+++ b/tests/test_server_queue.c
@@ -1,4 +1,4 @@
-/* The load of requests before one server, played on a paused clock. */
+/* Requests to one server under load, on a paused clock. */
 #include <stdio.h>
 #include <string.h>
 
@@ -6,23 +6,23 @@
 #include "server_queue.h"
 #include "unit.h"
 
-#define TURNS_MAX 1024
+#define JOBS_MAX 1024
 #define SLOTS 2
 #define SENDERS 2
-/* This instance's share of the slots, and the one on the way. */
-#define MOST (SLOTS / SENDERS + 1)
+/* This instance's share of the slots, and one in transfer. */
+#define LIMIT (SLOTS / SENDERS + 1)
 #define STEP MSEC(1)
 #define DEADLINE MSEC(1000)
 
-/* A request and what became of it. */
-struct asked {
+/* A request and its result. */
+struct call {
 	struct upstream_request request;
 	char id[8];
-	struct server_turn *turn; /* NULL once it is over */
+	struct server_job *job; /* NULL once it ended */
 	int64_t priority;
 	int64_t goal_at;
 	int64_t work;
-	int64_t ends_at; /* at the server, 0: it is not there */
+	int64_t ends_at; /* at the server, 0: not there */
 	int n_ends;
 	int code;
 	bool ran;
@@ -30,8 +30,8 @@
 };
 
 /*
- * A server of which this instance has one slot, so that it runs one request
- * after the other, as they came.
+ * A server with one slot for this instance, so that it runs its requests one
+ * after the other, in order of arrival.
  */
 struct world {
 	struct clock clock;
@@ -39,51 +39,51 @@
 	struct registry_server *server;
 	struct gateway_stats stats;
 	struct server_queues queues;
-	struct asked asked[TURNS_MAX];
+	struct call calls[JOBS_MAX];
 	int n;
 	int under_way;
-	int most_under_way;
+	int max_under_way;
 	int64_t free_at;
 	bool silent;
-	int refuse; /* what a send returns */
+	int refuse; /* error of the send operation */
 	int64_t wake_at;
 };
 
-static struct asked *asked_of(const struct server_turn *turn)
+static struct call *call_of(const struct server_job *job)
 {
-	return turn->arg;
+	return job->arg;
 }
 
-static int on_send(void *arg, struct server_turn *turn)
+static int on_send(void *arg, struct server_job *job)
 {
 	struct world *world = arg;
-	struct asked *asked = asked_of(turn);
+	struct call *call = call_of(job);
 	int64_t now = clock_now(&world->clock);
 
 	if (world->refuse)
 		return world->refuse;
 	if (world->free_at < now)
 		world->free_at = now;
-	world->free_at += asked->work;
-	asked->ends_at = world->free_at;
-	asked->ran = true;
-	server_score_sent(&turn->server->score, now);
-	if (++world->under_way > world->most_under_way)
-		world->most_under_way = world->under_way;
+	world->free_at += call->work;
+	call->ends_at = world->free_at;
+	call->ran = true;
+	server_score_sent(&job->server->score, now);
+	if (++world->under_way > world->max_under_way)
+		world->max_under_way = world->under_way;
 	return 0;
 }
 
-static void on_abandon(void *arg, struct server_turn *turn, int64_t linger)
+static void on_abandon(void *arg, struct server_job *job, int64_t linger)
 {
 	(void)arg;
 	(void)linger;
-	asked_of(turn)->turn = NULL;
+	call_of(job)->job = NULL;
 }
 
-static void on_hurry(void *arg, struct server_turn *turn, int64_t linger)
+static void on_hurry(void *arg, struct server_job *job, int64_t linger)
 {
 	(void)arg;
-	(void)turn;
+	(void)job;
 	(void)linger;
 }
 
@@ -120,14 +120,14 @@
 
 static void on_result(void *arg, const struct exchange_result *result)
 {
-	struct asked *asked = arg;
+	struct call *call = arg;
 
-	asked->turn = NULL;
-	asked->n_ends++;
-	asked->code = result->code;
-	/* What came back unsent must not run, now or later. */
+	call->job = NULL;
+	call->n_ends++;
+	call->code = result->code;
+	/* A request that was returned as not run must never run. */
 	if (result->not_run)
-		CU_ASSERT(!asked->ran);
+		CU_ASSERT(!call->ran);
 }
 
 static void start(struct world *world)
@@ -151,24 +151,24 @@
 	registry_server_ref(world->server);
 }
 
-static void answer(struct world *world, struct asked *asked, int code)
+static void answer(struct world *world, struct call *call, int code)
 {
 	int64_t now = clock_now(&world->clock);
-	int64_t took = asked->turn ? now - asked->turn->sent_at : asked->work;
+	int64_t took = call->job ? now - call->job->sent_at : call->work;
 	const struct exchange_result result = {.code = code,
 					       .not_run = code == ERR_SHED,
 					       .took = took};
 
-	asked->ends_at = 0;
+	call->ends_at = 0;
 	if (code == ERR_SHED)
-		asked->ran = false;
-	asked->in_time = !code && now <= asked->goal_at;
+		call->ran = false;
+	call->in_time = !code && now <= call->goal_at;
 	world->under_way--;
 	server_score_result(&world->server->score, server_result_of(code, true),
 			    took, now);
-	if (asked->turn)
-		server_turn_over(asked->turn, &result);
-	server_queue_freed(&world->queues, world->server);
+	if (call->job)
+		server_job_done(call->job, &result);
+	server_queue_capacity_freed(&world->queues, world->server);
 }
 
 static void step(struct world *world)
@@ -179,10 +179,10 @@
 	clock_advance(&world->clock, STEP);
 	now = clock_now(&world->clock);
 	for (i = 0; i < world->n; i++) {
-		struct asked *asked = &world->asked[i];
+		struct call *call = &world->calls[i];
 
-		if (asked->ends_at && asked->ends_at <= now && !world->silent)
-			answer(world, asked, 0);
+		if (call->ends_at && call->ends_at <= now && !world->silent)
+			answer(world, call, 0);
 	}
 	if (now < world->wake_at)
 		return;
@@ -198,41 +198,42 @@
 		step(world);
 }
 
-static struct asked *ask(struct world *world, int64_t priority, int64_t goal,
-			 int64_t work)
+static struct call *ask(struct world *world, int64_t priority, int64_t goal,
+			int64_t work)
 {
-	struct asked *asked = &world->asked[world->n++];
+	struct call *call = &world->calls[world->n++];
 	int64_t now = clock_now(&world->clock);
-	struct server_rank rank = {.priority = priority, .goal_at = now + goal};
+	struct server_job_rank rank = {.priority = priority,
+				       .goal_at = now + goal};
 	int ret;
 
-	snprintf(asked->id, sizeof(asked->id), "%d", world->n);
-	asked->request.id = str_from(asked->id);
-	asked->priority = priority;
-	asked->goal_at = now + goal;
-	asked->work = work;
-	ret = server_queue_send(&world->queues, world->server, &asked->request,
-				&rank, now + DEADLINE, 64, on_result, asked,
-				&asked->turn);
+	snprintf(call->id, sizeof(call->id), "%d", world->n);
+	call->request.id = str_from(call->id);
+	call->priority = priority;
+	call->goal_at = now + goal;
+	call->work = work;
+	ret = server_queue_send(&world->queues, world->server, &call->request,
+				&rank, now + DEADLINE, 64, on_result, call,
+				&call->job);
 	if (!ret)
-		return asked;
-	CU_ASSERT_EQUAL(asked->n_ends, 0);
-	asked->turn = NULL;
-	asked->n_ends++;
-	asked->code = ret;
-	return asked;
+		return call;
+	CU_ASSERT_EQUAL(call->n_ends, 0);
+	call->job = NULL;
+	call->n_ends++;
+	call->code = ret;
+	return call;
 }
 
-/* Each request ended exactly once, and nothing is left behind. */
+/* Each request ended exactly once, and no state is left. */
 static void finish(struct world *world)
 {
 	int i;
 
 	for (i = 0; i < world->n; i++)
-		CU_ASSERT_EQUAL(world->asked[i].n_ends, 1);
+		CU_ASSERT_EQUAL(world->calls[i].n_ends, 1);
 	CU_ASSERT_PTR_NULL(world->queues.waiting);
 	CU_ASSERT_PTR_NULL(world->queues.ended);
-	CU_ASSERT(world->most_under_way <= MOST);
+	CU_ASSERT(world->max_under_way <= LIMIT);
 	registry_server_unref(world->server);
 	registry_finish(&world->registry);
 }
@@ -244,17 +245,17 @@
 
 	*n = 0;
 	for (i = 0; i < world->n; i++) {
-		if (world->asked[i].priority != priority)
+		if (world->calls[i].priority != priority)
 			continue;
-		in_time += world->asked[i].in_time;
+		in_time += world->calls[i].in_time;
 		++*n;
 	}
 	return in_time;
 }
 
 /*
- * Twice what the server bears, for a second: an urgent kind of 4 ms takes a
- * third of the slot, a patient one of 20 ms asks for more than is left.
+ * Twice the server's capacity for a second: urgent requests of 4 ms need a
+ * third of the slot, less urgent ones of 20 ms need more than the rest.
  */
 static void test_urgent_first(void)
 {
@@ -281,8 +282,11 @@
 	finish(&world);
 }
 
-/* The urgent kind alone is more than the server bears. */
-static void test_floor(void)
+/*
+ * The urgent requests alone exceed the server's capacity. The others must not
+ * starve.
+ */
+static void test_no_starvation(void)
 {
 	struct world world;
 	int patient;
@@ -306,8 +310,8 @@
 
 #define ROUNDS 300
 
-/* Twice what the server bears, and what of it is answered in time. */
-static int play_twice(int64_t work, bool in_time[ROUNDS])
+/* Sends twice the server's capacity, returns the number answered in time. */
+static int play_overload(int64_t work, bool in_time[ROUNDS])
 {
 	struct world world;
 	int n = 0;
@@ -320,7 +324,7 @@
 	}
 	pass(&world, 2 * DEADLINE);
 	for (i = 0; i < ROUNDS; i++) {
-		in_time[i] = world.asked[i].in_time;
+		in_time[i] = world.calls[i].in_time;
 		n += in_time[i];
 	}
 	finish(&world);
@@ -328,34 +332,34 @@
 }
 
 /*
- * Requests have a part at each of two servers that bear half of them: both
- * serve the same half, or hardly a request is whole.
+ * Requests have a part at each of two servers, each with capacity for half of
+ * them. Both must serve the same half, or hardly any request is complete.
  */
 static void test_same_requests(void)
 {
 	bool here[ROUNDS];
 	bool there[ROUNDS];
-	int n = play_twice(MSEC(10), here);
+	int n = play_overload(MSEC(10), here);
 	int both = 0;
 	int i;
 
 	CU_ASSERT(n >= 0.45 * ROUNDS);
-	CU_ASSERT(play_twice(MSEC(14), there) >= 0.45 * ROUNDS);
+	CU_ASSERT(play_overload(MSEC(14), there) >= 0.45 * ROUNDS);
 	for (i = 0; i < ROUNDS; i++)
 		both += here[i] && there[i];
 	CU_ASSERT(both >= 0.75 * n);
 }
 
-/* On a calm day nothing waits. */
-static void test_calm(void)
+/* Without overload nothing is queued. */
+static void test_no_wait_without_load(void)
 {
 	struct world world;
 	int i;
 
 	start(&world);
 	for (i = 0; i < 100; i++) {
-		CU_ASSERT(!server_turn_waits(
-			ask(&world, 1, MSEC(100), MSEC(4))->turn));
+		CU_ASSERT(!server_job_is_unsent(
+			ask(&world, 1, MSEC(100), MSEC(4))->job));
 		CU_ASSERT_EQUAL(server_estimate_wait(&world.server->estimate, 1,
 						     clock_now(&world.clock)),
 				0);
@@ -365,50 +369,51 @@
 	finish(&world);
 }
 
-/* The outlook counts what goes first, by urgency. */
-static void test_outlook(void)
+/* The estimate includes the queued requests that go first, by urgency. */
+static void test_estimate(void)
 {
-	struct server_estimate *outlook;
+	struct server_estimate *estimate;
 	struct world world;
 	int64_t now;
 	int i;
 
 	start(&world);
-	outlook = &world.server->estimate;
-	for (i = 0; i < MOST + 3; i++)
+	estimate = &world.server->estimate;
+	for (i = 0; i < LIMIT + 3; i++)
 		ask(&world, 1, MSEC(500), MSEC(10));
 	now = clock_now(&world.clock);
-	CU_ASSERT_EQUAL(server_estimate_wait(outlook, 0, now), MSEC(10) / MOST);
-	CU_ASSERT_EQUAL(server_estimate_wait(outlook, 1, now),
-			4 * MSEC(10) / MOST);
+	CU_ASSERT_EQUAL(server_estimate_wait(estimate, 0, now),
+			MSEC(10) / LIMIT);
+	CU_ASSERT_EQUAL(server_estimate_wait(estimate, 1, now),
+			4 * MSEC(10) / LIMIT);
 	pass(&world, MSEC(100));
-	CU_ASSERT_EQUAL(server_estimate_wait(outlook, 1,
+	CU_ASSERT_EQUAL(server_estimate_wait(estimate, 1,
 					     clock_now(&world.clock)),
 			0);
 	finish(&world);
 }
 
-/* A server leaves with requests waiting: they go back at once, unsent. */
+/* A server is removed: queued requests are returned at once, unsent. */
 static void test_server_leaves(void)
 {
 	struct world world;
 	int i;
 
 	start(&world);
-	for (i = 0; i < MOST + 4; i++)
+	for (i = 0; i < LIMIT + 4; i++)
 		ask(&world, 1, MSEC(500), MSEC(10));
 	registry_remove(&world.registry, STR("a"), 2);
-	CU_ASSERT_EQUAL(world.asked[MOST].n_ends, 0);
+	CU_ASSERT_EQUAL(world.calls[LIMIT].n_ends, 0);
 	server_queue_tick(&world.queues);
-	for (i = MOST; i < MOST + 4; i++)
-		CU_ASSERT_EQUAL(world.asked[i].code, ERR_DRAINING);
-	CU_ASSERT_EQUAL(world.asked[0].n_ends, 0);
+	for (i = LIMIT; i < LIMIT + 4; i++)
+		CU_ASSERT_EQUAL(world.calls[i].code, ERR_DRAINING);
+	CU_ASSERT_EQUAL(world.calls[0].n_ends, 0);
 	pass(&world, MSEC(100));
-	CU_ASSERT_EQUAL(world.asked[0].code, 0);
+	CU_ASSERT_EQUAL(world.calls[0].code, 0);
 	finish(&world);
 }
 
-/* A server starts again: what waited for the earlier start goes back. */
+/* A server restarts: requests queued for the previous process are returned. */
 static void test_server_restarts(void)
 {
 	struct server_entry entry;
@@ -416,18 +421,21 @@
 	int i;
 
 	start(&world);
-	for (i = 0; i < MOST + 1; i++)
+	for (i = 0; i < LIMIT + 1; i++)
 		ask(&world, 1, MSEC(500), MSEC(10));
 	entry = world.server->entry;
 	entry.started_at_ms = 1;
 	registry_put(&world.registry, &entry, 2);
 	server_queue_tick(&world.queues);
-	CU_ASSERT_EQUAL(world.asked[MOST].code, ERR_DRAINING);
+	CU_ASSERT_EQUAL(world.calls[LIMIT].code, ERR_DRAINING);
 	pass(&world, MSEC(100));
 	finish(&world);
 }
 
-/* A server falls silent: what waits is back before its deadline, unsent. */
+/*
+ * A server stops answering: queued requests are returned unsent before their
+ * deadline.
+ */
 static void test_server_silent(void)
 {
 	struct world world;
@@ -435,17 +443,17 @@
 
 	start(&world);
 	world.silent = true;
-	for (i = 0; i < MOST + 3; i++)
+	for (i = 0; i < LIMIT + 3; i++)
 		ask(&world, 1, MSEC(100), MSEC(10));
 	pass(&world, DEADLINE);
-	for (i = MOST; i < MOST + 3; i++)
-		CU_ASSERT_EQUAL(world.asked[i].code, ERR_OVERLOAD);
+	for (i = LIMIT; i < LIMIT + 3; i++)
+		CU_ASSERT_EQUAL(world.calls[i].code, ERR_OVERLOAD);
 	world.silent = false;
 	pass(&world, STEP);
 	finish(&world);
 }
 
-/* A pause of 200 ms ends: what waited goes out a few at a time. */
+/* A pause of 200 ms ends: queued requests are sent a few at a time. */
 static void test_after_pause(void)
 {
 	struct world world;
@@ -460,54 +468,54 @@
 	world.silent = false;
 	pass(&world, MSEC(400));
 	for (i = 0; i < world.n; i++)
-		CU_ASSERT(world.asked[i].in_time);
+		CU_ASSERT(world.calls[i].in_time);
 	finish(&world);
 }
 
-/* Callers that leave take what waits with them, and it never runs. */
+/* Queued requests are removed when callers abandon them, and never run. */
 static void test_abandoned(void)
 {
-	struct asked *kept;
-	struct asked *gone;
+	struct call *kept;
+	struct call *abandoned;
 	struct world world;
 
 	start(&world);
 	ask(&world, 1, MSEC(500), MSEC(10));
 	ask(&world, 1, MSEC(500), MSEC(10));
-	gone = ask(&world, 0, MSEC(500), MSEC(10));
+	abandoned = ask(&world, 0, MSEC(500), MSEC(10));
 	kept = ask(&world, 1, MSEC(500), MSEC(10));
-	server_turn_abandon(gone->turn, 0);
-	gone->n_ends++;
+	server_job_abandon(abandoned->job, 0);
+	abandoned->n_ends++;
 	pass(&world, MSEC(100));
-	CU_ASSERT(!gone->ran);
+	CU_ASSERT(!abandoned->ran);
 	CU_ASSERT(kept->ran);
 	CU_ASSERT_EQUAL(world.stats.turns_forgotten.value, 1);
 	finish(&world);
 }
 
-/* Told to hurry, what waits ends unsent, and its end is still reported. */
+/* Queued requests end unsent when hurried, and their end is reported. */
 static void test_hurried(void)
 {
 	struct world world;
 	int i;
 
 	start(&world);
-	for (i = 0; i < MOST + 1; i++)
+	for (i = 0; i < LIMIT + 1; i++)
 		ask(&world, 1, MSEC(500), MSEC(10));
-	for (i = 0; i < MOST + 1; i++)
-		server_turn_hurry(world.asked[i].turn, 0);
-	CU_ASSERT_EQUAL(world.asked[MOST].n_ends, 0);
+	for (i = 0; i < LIMIT + 1; i++)
+		server_job_hurry(world.calls[i].job, 0);
+	CU_ASSERT_EQUAL(world.calls[LIMIT].n_ends, 0);
 	pass(&world, MSEC(100));
-	CU_ASSERT_EQUAL(world.asked[MOST].code, ERR_CANCELLED);
-	CU_ASSERT_EQUAL(world.asked[0].code, 0);
+	CU_ASSERT_EQUAL(world.calls[LIMIT].code, ERR_CANCELLED);
+	CU_ASSERT_EQUAL(world.calls[0].code, 0);
 	finish(&world);
 }
 
-/* One that missed its goal does not push back one that can meet it. */
+/* A request that missed its goal does not delay one that can meet its goal. */
 static void test_late_goes_last(void)
 {
-	struct asked *late;
-	struct asked *live;
+	struct call *late;
+	struct call *live;
 	struct world world;
 
 	start(&world);
@@ -524,15 +532,18 @@
 	finish(&world);
 }
 
-/* No connection is free when the turn comes: it goes back with that. */
+/*
+ * Sending a queued request fails without a free connection: it ends with that
+ * error.
+ */
 static void test_send_fails(void)
 {
-	struct asked *waits;
+	struct call *waits;
 	struct world world;
 	int i;
 
 	start(&world);
-	for (i = 0; i < MOST; i++)
+	for (i = 0; i < LIMIT; i++)
 		ask(&world, 1, MSEC(500), MSEC(10));
 	waits = ask(&world, 1, MSEC(500), MSEC(10));
 	world.refuse = ERR_BUDGET;
@@ -542,23 +553,26 @@
 	finish(&world);
 }
 
-/* A server that refuses has others' work in it and is given one fewer. */
+/*
+ * A server that refuses requests is loaded by other senders, and gets one
+ * fewer.
+ */
 static void test_server_refuses(void)
 {
 	struct world world;
 	int i;
 
 	start(&world);
-	for (i = 0; i < MOST + 2; i++)
+	for (i = 0; i < LIMIT + 2; i++)
 		ask(&world, 1, MSEC(500), MSEC(10));
-	answer(&world, &world.asked[0], ERR_SHED);
-	CU_ASSERT_EQUAL(world.asked[0].code, ERR_SHED);
-	CU_ASSERT_EQUAL(world.under_way, MOST - 1);
+	answer(&world, &world.calls[0], ERR_SHED);
+	CU_ASSERT_EQUAL(world.calls[0].code, ERR_SHED);
+	CU_ASSERT_EQUAL(world.under_way, LIMIT - 1);
 	pass(&world, MSEC(200));
 	finish(&world);
 }
 
-/* No more wait than a server can answer by their deadline. */
+/* No more requests are queued than the server can answer by their deadlines. */
 static void test_full(void)
 {
 	struct world world;
@@ -570,7 +584,7 @@
 		refused += ask(&world, 1, MSEC(100), MSEC(10))->code ==
 			   ERR_OVERLOAD;
 	CU_ASSERT(refused >= 100);
-	/* An urgent one finds room. */
+	/* A more urgent one still finds room. */
 	CU_ASSERT_EQUAL(ask(&world, 0, MSEC(100), MSEC(10))->code, 0);
 	pass(&world, 2 * DEADLINE);
 	finish(&world);
@@ -578,10 +592,10 @@
 
 static const struct unit_test tests[] = {
 	{"urgent first", test_urgent_first},
-	{"floor", test_floor},
+	{"no starvation", test_no_starvation},
 	{"same requests", test_same_requests},
-	{"calm", test_calm},
-	{"outlook", test_outlook},
+	{"no wait without load", test_no_wait_without_load},
+	{"estimate", test_estimate},
 	{"server leaves", test_server_leaves},
 	{"server restarts", test_server_restarts},
 	{"server silent", test_server_silent},
--- a/tests/test_slot_queue.c
+++ b/tests/test_slot_queue.c
@@ -19,7 +19,7 @@
 	clock_init_paused(&f->clock, MSEC(1000));
 	slot_queue_init(&f->queue, &f->clock, max);
 	f->queue.slots = 1;
-	slot_queue_served(&f->queue, MSEC(10));
+	slot_queue_record_time(&f->queue, MSEC(10));
 }
 
 static void on_drop(void *ctx, struct slot_item *item, int code)
@@ -36,7 +36,7 @@
 	item->priority = priority;
 	item->deadline = clock_now(&f->clock) + MSEC(in_ms);
 	item->goal = item->deadline;
-	item->lot = 0;
+	item->random_rank = 0;
 	item->cost = 1;
 	return slot_queue_push(&f->queue, item, on_drop, f);
 }
@@ -68,9 +68,9 @@
 }
 
 /*
- * A server is slow for a while, and requests in its queue run out of time.
- * Those that can't be answered any more must not take the slot from those that
- * can, and their entry must hear at once that they did not run.
+ * A server is slow for a while, and requests in its queue expire. They must not
+ * take slots from those that can still be answered, and their entry instance
+ * must learn at once that they did not run.
  */
 static void test_drop(void)
 {
@@ -96,8 +96,8 @@
 	slot_queue_finish(&f.queue);
 }
 
-/* A process that was stopped wakes: what it held in its queue is over. */
-static void test_late_wake(void)
+/* A stopped process continues: the requests in its queue have expired. */
+static void test_wake_after_stop(void)
 {
 	struct slot_item item;
 	struct fixture f;
@@ -110,8 +110,8 @@
 	slot_queue_finish(&f.queue);
 }
 
-/* What can't be answered behind those that wait is refused on arrival. */
-static void test_no_hope(void)
+/* Requests that can't be answered after those in the queue are refused. */
+static void test_refused_on_arrival(void)
 {
 	struct slot_item items[8];
 	struct slot_item item;
@@ -128,8 +128,8 @@
 	slot_queue_finish(&f.queue);
 }
 
-/* Where not all can be in time, lots go before goals, not before urgency. */
-static void test_by_lot(void)
+/* In random order, the rank precedes the goal, but not the priority. */
+static void test_random_order(void)
 {
 	struct slot_item urgent;
 	struct slot_item low;
@@ -138,11 +138,11 @@
 
 	setup(&f, 10);
 	push(&f, &high, 5, 100);
-	high.lot = 7;
+	high.random_rank = 7;
 	push(&f, &low, 5, 200);
 	push(&f, &urgent, 0, 900);
-	urgent.lot = 7;
-	slot_queue_set_by_lot(&f.queue, true);
+	urgent.random_rank = 7;
+	slot_queue_set_random_order(&f.queue, true);
 	CU_ASSERT_PTR_EQUAL(pop(&f), &urgent);
 	CU_ASSERT_PTR_EQUAL(pop(&f), &low);
 	CU_ASSERT_PTR_EQUAL(pop(&f), &high);
@@ -187,8 +187,8 @@
 }
 
 /*
- * A server was so slow that nothing seems to fit its deadline any more. It is
- * still tried, or nobody would learn that it is quick again.
+ * A server was so slow that no request seems to meet its deadline. Some must
+ * still be sent, or its recovery would go unnoticed.
  */
 static void test_slow_server_is_tried(void)
 {
@@ -198,13 +198,13 @@
 
 	setup(&f, 10);
 	for (i = 0; i < 500; i++)
-		slot_queue_served(&f.queue, MSEC(5000));
+		slot_queue_record_time(&f.queue, MSEC(5000));
 	CU_ASSERT_EQUAL(push(&f, &item, 5, 100), 0);
 	CU_ASSERT_PTR_EQUAL(pop(&f), &item);
 	slot_queue_finish(&f.queue);
 }
 
-/* Against a plain search for the first, over random pushes and pops. */
+/* Compares random pushes and pops with a linear search for the first. */
 static void test_random(void)
 {
 	struct slot_item items[64];
@@ -214,13 +214,13 @@
 	int round;
 
 	setup(&f, 64);
-	f.queue.usual = 0;
-	f.queue.mean = 0;
+	f.queue.assumed_time = 0;
+	f.queue.mean_time = 0;
 	memset(items, 0, sizeof(items));
 	for (round = 0; round < 5000; round++) {
 		state = state * 6364136223846793005ULL + 1442695040888963407ULL;
 		i = (int)(state >> 33) % 64;
-		if (!items[i].place) {
+		if (!items[i].heap_pos) {
 			push(&f, &items[i], (int)(state >> 40) % 3,
 			     1 + (int64_t)(state >> 45) % 50);
 		} else if (state >> 63) {
@@ -230,7 +230,7 @@
 			int j;
 
 			for (j = 0; j < 64; j++) {
-				if (!items[j].place)
+				if (!items[j].heap_pos)
 					continue;
 				CU_ASSERT(first->priority <= items[j].priority);
 				CU_ASSERT(first->priority < items[j].priority ||
@@ -244,9 +244,9 @@
 static const struct unit_test tests[] = {
 	{"order", test_order},
 	{"drop", test_drop},
-	{"late wake", test_late_wake},
-	{"no hope", test_no_hope},
-	{"by lot", test_by_lot},
+	{"wake after stop", test_wake_after_stop},
+	{"refused on arrival", test_refused_on_arrival},
+	{"random order", test_random_order},
 	{"full", test_full},
 	{"remove", test_remove},
 	{"slow server is tried", test_slow_server_is_tried},
