--- a/answer.c
+++ b/answer.c
@@ -68,9 +68,9 @@
 	json_text_add(out, value);
 }
 
-void answer_refusal(struct evbuffer *out, struct str request_id, int code,
-		    bool maybe_ran, int64_t retry_after_ms,
-		    const struct error *err)
+void answer_error(struct evbuffer *out, struct str request_id, int code,
+		  bool maybe_ran, int64_t retry_after_ms,
+		  const struct error *err)
 {
 	evbuffer_add_printf(out, "{\"request_id\":");
 	json_text_add(out, request_id);
@@ -144,9 +144,9 @@
 	int64_t now = clock_now(board->clock);
 
 	if (search->code) {
-		answer_refusal(out, str_from(search->request.request_id),
-			       search->code, search->maybe_ran,
-			       search->retry_after_ms, &search->error);
+		answer_error(out, str_from(search->request.request_id),
+			     search->code, search->maybe_ran,
+			     search->retry_after_ms, &search->error);
 		return;
 	}
 	evbuffer_add_printf(out, "{\"request_id\":");
--- a/answer.h
+++ b/answer.h
@@ -21,12 +21,12 @@
 const char *answer_outcome(int code, bool maybe_ran);
 
 /**
- * answer_refusal() - write a refusal
+ * answer_error() - write a refusal
  * @err: what is wrong with a bad request; NULL if nothing to add
  */
-void answer_refusal(struct evbuffer *out, struct str request_id, int code,
-		    bool maybe_ran, int64_t retry_after_ms,
-		    const struct error *err);
+void answer_error(struct evbuffer *out, struct str request_id, int code,
+		  bool maybe_ran, int64_t retry_after_ms,
+		  const struct error *err);
 
 /**
  * answer_search() - write the outcome of a search
--- a/answer_due.c
+++ b/answer_due.c
@@ -41,7 +41,7 @@
 	return trip < most ? trip : most;
 }
 
-int64_t answer_due_after(const struct answer_due *due)
+int64_t answer_due_timeout(const struct answer_due *due)
 {
 	int64_t least = (int64_t)((double)due->goal * AFTER_LEAST);
 	int64_t after = due->goal - used_of(due) - round_trip_of(due) - SLACK;
--- a/answer_due.h
+++ b/answer_due.h
@@ -24,10 +24,10 @@
 };
 
 /**
- * answer_due_after() - how long after it was taken a request is answered
+ * answer_due_timeout() - how long after it was taken a request is answered
  *
  * Return: microseconds, a quarter of the goal at least.
  */
-int64_t answer_due_after(const struct answer_due *due);
+int64_t answer_due_timeout(const struct answer_due *due);
 
 #endif
--- a/caller.c
+++ b/caller.c
@@ -73,8 +73,8 @@
 	int status = answer_status(code, false);
 	int64_t retry_ms = status == 503 ? RETRY_AFTER_DEFAULT_MS : 0;
 
-	answer_refusal(http->buffer_out, str_from(request_id), code, false,
-		       retry_ms, err);
+	answer_error(http->buffer_out, str_from(request_id), code, false,
+		     retry_ms, err);
 	if (retry_ms)
 		add_retry_after(http, retry_ms);
 	send_json(http, status);
@@ -93,8 +93,8 @@
 {
 	if (evhtp_request_get_method(http) == method)
 		return true;
-	answer_refusal(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
-		       NULL);
+	answer_error(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
+		     NULL);
 	send_json(http, EVHTP_RES_METHNALLOWED);
 	return false;
 }
@@ -344,8 +344,8 @@
 static void on_unknown(evhtp_request_t *http, void *arg)
 {
 	(void)arg;
-	answer_refusal(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
-		       NULL);
+	answer_error(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
+		     NULL);
 	send_json(http, EVHTP_RES_NOTFOUND);
 }
 
@@ -369,7 +369,7 @@
 	struct caller *caller = http->arg;
 
 	(void)listener;
-	accept_guard_rest(&caller->guard);
+	accept_backoff_start(&caller->guard);
 }
 
 int caller_init(struct caller *caller, struct blackboard *board,
@@ -398,14 +398,14 @@
 	if (evhtp_bind_socket(caller->http, address->ip, address->port,
 			      BACKLOG))
 		return ERR_ADDRESS;
-	accept_guard_init(&caller->guard, board->base, caller->http->server);
+	accept_backoff_init(&caller->guard, board->base, caller->http->server);
 	evconnlistener_set_error_cb(caller->http->server, on_accept_error);
 	return 0;
 }
 
 void caller_finish(struct caller *caller)
 {
-	accept_guard_finish(&caller->guard);
+	accept_backoff_finish(&caller->guard);
 	evhtp_unbind_socket(caller->http);
 	evhtp_free(caller->http);
 }
--- a/dispatch.c
+++ b/dispatch.c
@@ -92,9 +92,9 @@
 	for (i = 0; i < part->n_sends; i++) {
 		struct dispatch_send *send = &part->sends[i];
 
-		if (send->state != SEND_UNDER_WAY)
+		if (send->state != SEND_IN_FLIGHT)
 			continue;
-		send->state = SEND_OVER;
+		send->state = SEND_ENDED;
 		part->dispatch->ops->abandon(part->dispatch->arg, send);
 	}
 }
@@ -104,7 +104,7 @@
 	int i;
 	int j;
 
-	dispatch_load_leave(dispatch);
+	dispatch_load_release(dispatch);
 
 	for (i = 0; i < dispatch->n_parts; i++) {
 		struct dispatch_part *part = &dispatch->parts[i];
@@ -125,8 +125,8 @@
 	int i;
 
 	if (outcome != DISPATCH_CANCELLED)
-		dispatch_load_judge(dispatch, code);
-	dispatch_load_leave(dispatch);
+		dispatch_load_report(dispatch, code);
+	dispatch_load_release(dispatch);
 	dispatch->outcome = outcome;
 	dispatch->code = code;
 	for (i = 0; i < dispatch->n_parts; i++)
@@ -166,7 +166,7 @@
 	int i;
 
 	for (i = 0; i < dispatch->n_parts; i++) {
-		if (dispatch_part_under_way(&dispatch->parts[i]))
+		if (dispatch_part_in_flight(&dispatch->parts[i]))
 			return true;
 	}
 	return dispatch->ran;
@@ -181,8 +181,8 @@
 		struct dispatch_part *part = &dispatch->parts[i];
 		struct dispatch_send *send;
 
-		while ((send = dispatch_part_waiting(part))) {
-			send->state = SEND_OVER;
+		while ((send = dispatch_part_queued_send(part))) {
+			send->state = SEND_ENDED;
 			dispatch->ops->abandon(dispatch->arg, send);
 		}
 	}
@@ -209,22 +209,22 @@
 	    dispatch->n_in < dispatch->n_parts && !is_enough(dispatch))
 		fail_all(dispatch, ERR_TOO_LATE);
 	else if (dispatch->n_in == dispatch->n_parts)
-		end(dispatch, DISPATCH_WHOLE, 0);
+		end(dispatch, DISPATCH_COMPLETE, 0);
 	else if (dispatch->n_in + dispatch->n_failed == dispatch->n_parts &&
 		 is_enough(dispatch))
 		end(dispatch, DISPATCH_PARTIAL, 0);
-	else if (!can_be_enough(dispatch) && !dispatch_recall(dispatch))
+	else if (!can_be_enough(dispatch) && !dispatch_send_left_out(dispatch))
 		fail_all(dispatch, worst_code(dispatch));
 	else if (dispatch->route->sharded && now >= dispatch->answer_at &&
 		 is_enough(dispatch))
 		end(dispatch, DISPATCH_PARTIAL, 0);
 	else if (now >= dispatch->answer_at)
-		dispatch_load_judge(dispatch, ERR_TOO_LATE);
+		dispatch_load_report(dispatch, ERR_TOO_LATE);
 }
 
 void dispatch_part_fail(struct dispatch_part *part)
 {
-	if (part->state != PART_WAITING)
+	if (part->state != PART_PENDING)
 		return;
 	part->state = PART_FAILED;
 	part->dispatch->n_failed++;
@@ -259,8 +259,8 @@
 	for (i = 0; i < dispatch->n_parts; i++) {
 		struct dispatch_part *part = &dispatch->parts[i];
 
-		if (!outage_hits(dispatch->limits->outage, part->service,
-				 &since))
+		if (!outage_affects(dispatch->limits->outage, part->service,
+				    &since))
 			continue;
 		if (since > dispatch->lost_since)
 			dispatch->lost_since = since;
@@ -275,10 +275,10 @@
 	struct dispatch *dispatch = part->dispatch;
 	int ret;
 
-	if (part->state != PART_WAITING)
+	if (part->state != PART_PENDING)
 		return;
-	budget_need(&part->service->budget, &dispatch->limits->budget, 1,
-		    clock_now(dispatch->clock));
+	budget_count_needed(&part->service->budget, &dispatch->limits->budget,
+			    1, clock_now(dispatch->clock));
 	ret = dispatch_part_send(part, "first", false);
 	if (ret)
 		wait_or_fail(part, ret);
@@ -290,7 +290,7 @@
 
 	leave_out_lost(dispatch);
 	if (can_be_enough(dispatch))
-		dispatch_load_ask(dispatch);
+		dispatch_load_add_demand(dispatch);
 	if (can_be_enough(dispatch) &&
 	    (!dispatch_forecast(dispatch) || !dispatch_load_admit(dispatch))) {
 		end(dispatch, DISPATCH_REFUSED, ERR_OVERLOAD);
@@ -319,7 +319,7 @@
 {
 	struct dispatch *dispatch = part->dispatch;
 
-	part->state = PART_IN;
+	part->state = PART_ANSWERED;
 	part->stamp = mem_dup_len(answer->stamp.data, answer->stamp.len);
 	dispatch->n_in++;
 	if (dispatch->route->sharded)
@@ -333,9 +333,9 @@
 	int ret = ERR_NO_REPLICA;
 
 	part->retry_at = INT64_MAX;
-	if (dispatch->route->repeatable || !part->n_run)
+	if (dispatch->route->repeatable || !part->n_maybe_run)
 		ret = dispatch_part_send_again(part, "retry", false);
-	if (ret && !dispatch_part_under_way(part))
+	if (ret && !dispatch_part_in_flight(part))
 		wait_or_fail(part, ret);
 }
 
@@ -347,7 +347,7 @@
 static bool is_busy(const struct dispatch *dispatch,
 		    const struct dispatch_answer *answer)
 {
-	return dispatch_is_worth_waiting(dispatch, answer->code) ||
+	return dispatch_is_temporary(dispatch, answer->code) ||
 	       (answer->code == ERR_SHED && dispatch->route->sharded);
 }
 
@@ -365,23 +365,23 @@
 {
 	struct dispatch_part *part = send->part;
 
-	send->state = SEND_OVER;
+	send->state = SEND_ENDED;
 	if (dispatch_is_unsent(answer->code))
-		part->n_arrived--;
+		part->n_delivered--;
 	if (is_busy(dispatch, answer))
 		send->busy_until =
 			clock_now(dispatch->clock) +
 			(answer->code == ERR_COLD ? COLD_PERIOD : RETRY_PERIOD);
 	if (answer->not_run)
-		part->n_run--;
+		part->n_maybe_run--;
 	else
 		dispatch->ran = true;
-	if (dispatch->outcome || part->state != PART_WAITING)
+	if (dispatch->outcome || part->state != PART_PENDING)
 		return dispatch->outcome;
 	if (!answer->code && answer->success &&
 	    !has_stamp(dispatch, answer->stamp)) {
 		latency_add(dispatch->latency, answer->took);
-		dispatch_forecast_learn(send, answer->took);
+		dispatch_forecast_update(send, answer->took);
 		take_part(part, answer);
 	} else {
 		part->code = answer->code ? answer->code : ERR_UNKNOWN;
@@ -391,12 +391,12 @@
 	return dispatch->outcome;
 }
 
-void dispatch_hold(struct dispatch *dispatch)
+void dispatch_begin_batch(struct dispatch *dispatch)
 {
 	dispatch->held = true;
 }
 
-enum dispatch_outcome dispatch_release(struct dispatch *dispatch)
+enum dispatch_outcome dispatch_end_batch(struct dispatch *dispatch)
 {
 	dispatch->held = false;
 	review(dispatch);
@@ -413,7 +413,8 @@
 /* What has not left this instance is moved, and runs once at most. */
 static bool may_hedge(const struct dispatch_part *part)
 {
-	return part->dispatch->route->repeatable || dispatch_part_waiting(part);
+	return part->dispatch->route->repeatable ||
+	       dispatch_part_queued_send(part);
 }
 
 /*
@@ -425,11 +426,11 @@
 	struct dispatch_send *waiting;
 	int ret;
 
-	if (part->state != PART_WAITING || now < part->hedge_at)
+	if (part->state != PART_PENDING || now < part->hedge_at)
 		return;
 	part->hedge_at = INT64_MAX;
-	waiting = dispatch_part_waiting(part);
-	if (!waiting && part->n_run >= part->dispatch->route->servers_max)
+	waiting = dispatch_part_queued_send(part);
+	if (!waiting && part->n_maybe_run >= part->dispatch->route->servers_max)
 		return;
 	ret = ERR_BUDGET;
 	if (waiting)
@@ -449,7 +450,7 @@
 	for (i = 0; i < dispatch->n_parts && !dispatch->outcome; i++) {
 		struct dispatch_part *part = &dispatch->parts[i];
 
-		if (part->state == PART_WAITING && now >= part->retry_at)
+		if (part->state == PART_PENDING && now >= part->retry_at)
 			try_again(part);
 		else if (may_hedge(part))
 			hedge_part(part, now);
@@ -470,7 +471,7 @@
 	for (i = 0; i < dispatch->n_parts; i++) {
 		const struct dispatch_part *part = &dispatch->parts[i];
 
-		if (part->state != PART_WAITING)
+		if (part->state != PART_PENDING)
 			continue;
 		if (part->retry_at < due)
 			due = part->retry_at;
--- a/dispatch.h
+++ b/dispatch.h
@@ -32,8 +32,8 @@
 #define DISPATCH_SENDS_MAX 6
 
 enum dispatch_send_state {
-	SEND_UNDER_WAY,
-	SEND_OVER,
+	SEND_IN_FLIGHT,
+	SEND_ENDED,
 };
 
 /**
@@ -58,15 +58,15 @@
 };
 
 enum part_state {
-	PART_WAITING,
-	PART_IN,
+	PART_PENDING,
+	PART_ANSWERED,
 	PART_FAILED,
 };
 
 /**
  * struct dispatch_part - one service that is asked
- * @n_run: servers on which it may have run
- * @n_arrived: sends that reached a server, refused ones included
+ * @n_maybe_run: servers on which it may have run
+ * @n_delivered: sends that reached a server, refused ones included
  * @hedge_at: when to ask another server besides, microseconds
  * @retry_at: when to try again what failed without leave for another send
  * @kept_back: it was not sent again, because its answer would be too late
@@ -80,8 +80,8 @@
 	enum part_state state;
 	struct dispatch_send sends[DISPATCH_SENDS_MAX];
 	int n_sends;
-	int n_run;
-	int n_arrived;
+	int n_maybe_run;
+	int n_delivered;
 	int64_t hedge_at;
 	int64_t retry_at;
 	bool kept_back;
@@ -109,8 +109,8 @@
 };
 
 enum dispatch_outcome {
-	DISPATCH_OPEN,
-	DISPATCH_WHOLE,	    /* the server's answer, or all parts */
+	DISPATCH_PENDING,
+	DISPATCH_COMPLETE,  /* the server's answer, or all parts */
 	DISPATCH_PARTIAL,   /* enough parts */
 	DISPATCH_FAILED,    /* see code; some server may have run it */
 	DISPATCH_REFUSED,   /* surely not run anywhere */
@@ -161,7 +161,7 @@
  * @start: when it was taken, microseconds
  * @deadline: of the caller and the route
  * @answer_at: sharded: from then on enough parts make the answer
- * @held: see dispatch_hold()
+ * @held: see dispatch_begin_batch()
  * @level: of urgency
  * @cost: work that it is for its servers
  * @admitted: it counts in the load of its services
@@ -170,7 +170,7 @@
  *	between dispatch_init() and dispatch_start()
  * @room_in: with ERR_OVERLOAD: there is room after so long, microseconds; 0:
  *	not known
- * @enough_at: when enough parts were expected to be in, 0: not known
+ * @expected_answer_at: when enough parts were expected to be in, 0: not known
  * @foreseen: refused, since too few parts are expected in time
  * @n_in: parts that are in
  * @n_lost: parts that no server could be sent when it came
@@ -205,7 +205,7 @@
 	bool judged;
 	bool promised;
 	int64_t room_in;
-	int64_t enough_at;
+	int64_t expected_answer_at;
 	bool foreseen;
 	struct records records;
 	enum dispatch_outcome outcome;
@@ -236,7 +236,7 @@
  * sent and the outcome is DISPATCH_REFUSED. So it is if load control says that
  * parts are left out whose answers would be late, and too few others remain.
  *
- * Return: the outcome, DISPATCH_OPEN while it waits.
+ * Return: the outcome, DISPATCH_PENDING while it waits.
  */
 enum dispatch_outcome dispatch_start(struct dispatch *dispatch);
 
@@ -248,13 +248,13 @@
 				      const struct dispatch_answer *answer);
 
 /**
- * dispatch_hold() - results that belong together follow
+ * dispatch_begin_batch() - results that belong together follow
  *
  * Merged records are whole only with all of them, so that the request must not
- * end between them. dispatch_release() is called after the last.
+ * end between them. dispatch_end_batch() is called after the last.
  */
-void dispatch_hold(struct dispatch *dispatch);
-enum dispatch_outcome dispatch_release(struct dispatch *dispatch);
+void dispatch_begin_batch(struct dispatch *dispatch);
+enum dispatch_outcome dispatch_end_batch(struct dispatch *dispatch);
 
 /**
  * dispatch_tick() - time passed
@@ -285,28 +285,28 @@
 bool dispatch_is_unsent(int code);
 
 /**
- * dispatch_load() - the requests under way that this one counts among
+ * dispatch_load_limit() - the requests under way that this one counts among
  */
-const struct load_limit *dispatch_load(const struct dispatch *dispatch);
+const struct load_limit *dispatch_load_limit(const struct dispatch *dispatch);
 
 /**
- * dispatch_is_for_load() - it was refused because servers are short
+ * dispatch_refused_for_load() - it was refused because servers are short
  */
-bool dispatch_is_for_load(const struct dispatch *dispatch);
+bool dispatch_refused_for_load(const struct dispatch *dispatch);
 
 /**
- * dispatch_room() - work that all instances serve where it goes
+ * dispatch_capacity() - work that all instances serve where it goes
  *
  * Return: a second; 0 if it is not known.
  */
-double dispatch_room(const struct dispatch *dispatch);
+double dispatch_capacity(const struct dispatch *dispatch);
 
 /**
- * dispatch_room_in() - there is none before
+ * dispatch_capacity_delay() - there is none before
  *
  * Return: microseconds from now; 0 if nothing is known.
  */
-int64_t dispatch_room_in(const struct dispatch *dispatch);
+int64_t dispatch_capacity_delay(const struct dispatch *dispatch);
 
 /**
  * dispatch_retry_after() - when a caller that was refused may come back, ms
--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -130,7 +130,7 @@
 		const struct dispatch_part *part = &dispatch->parts[i];
 		const struct registry_server *server;
 
-		if (part->state != PART_WAITING)
+		if (part->state != PART_PENDING)
 			continue;
 		server = dispatch_part_pick(part, false);
 		if (!server)
@@ -165,8 +165,8 @@
 	leave_out(dispatch, forecast);
 	dispatch->foreseen = forecast->refused;
 	dispatch->room_in = forecast->room_in;
-	dispatch->enough_at = clock_now(dispatch->clock) +
-			      forecast_expected(forecast->deciding);
+	dispatch->expected_answer_at = clock_now(dispatch->clock) +
+				       forecast_answer_time(forecast->deciding);
 	if (dispatch->ops->foreseen &&
 	    (forecast->refused || forecast->n_left_out))
 		dispatch->ops->foreseen(dispatch->arg, forecast);
@@ -188,7 +188,7 @@
 	return !forecast.refused;
 }
 
-bool dispatch_recall(struct dispatch *dispatch)
+bool dispatch_send_left_out(struct dispatch *dispatch)
 {
 	int64_t now = clock_now(dispatch->clock);
 	int most =
@@ -204,11 +204,11 @@
 
 		if (part->state != PART_FAILED || part->code != ERR_LEFT_OUT)
 			continue;
-		budget_need(&part->service->budget, &dispatch->limits->budget,
-			    1, now);
+		budget_count_needed(&part->service->budget,
+				    &dispatch->limits->budget, 1, now);
 		if (dispatch_part_send(part, "first", false))
 			continue;
-		part->state = PART_WAITING;
+		part->state = PART_PENDING;
 		dispatch->n_failed--;
 		sent = true;
 	}
@@ -229,7 +229,7 @@
 	if (!server)
 		return true;
 	expected = expect(dispatch, server, now);
-	if (now + forecast_expected(&expected) <=
+	if (now + forecast_answer_time(&expected) <=
 	    (enough ? dispatch->answer_at : dispatch->deadline))
 		return true;
 	if (!part->kept_back && dispatch->ops->kept_back)
@@ -243,7 +243,7 @@
  * burst would find every queue as short as its first request did. A server that
  * it sends to itself is told of by its own queue.
  */
-void dispatch_forecast_sent(const struct dispatch_send *send)
+void dispatch_forecast_add_sent(const struct dispatch_send *send)
 {
 	const struct dispatch *dispatch = send->part->dispatch;
 	struct registry_server *server = send->server;
@@ -265,7 +265,7 @@
 					 now);
 }
 
-void dispatch_forecast_learn(const struct dispatch_send *send, int64_t took)
+void dispatch_forecast_update(const struct dispatch_send *send, int64_t took)
 {
 	const struct dispatch *dispatch = send->part->dispatch;
 	const struct load_control *control = dispatch->limits->control;
@@ -276,6 +276,8 @@
 		return;
 	latency_add_unloaded(dispatch->latency,
 			     (double)took / slowness(send->server, now));
-	if (dispatch->enough_at && dispatch->n_in + 1 == needed(dispatch))
-		latency_add_lag(dispatch->latency, now - dispatch->enough_at);
+	if (dispatch->expected_answer_at &&
+	    dispatch->n_in + 1 == needed(dispatch))
+		latency_add_forecast_error(dispatch->latency,
+					   now - dispatch->expected_answer_at);
 }
--- a/dispatch_forecast.h
+++ b/dispatch_forecast.h
@@ -24,11 +24,11 @@
 bool dispatch_forecast(struct dispatch *dispatch);
 
 /**
- * dispatch_recall() - others failed: send what was left out after all
+ * dispatch_send_left_out() - others failed: send what was left out after all
  *
  * Return: whether anything was sent.
  */
-bool dispatch_recall(struct dispatch *dispatch);
+bool dispatch_send_left_out(struct dispatch *dispatch);
 
 /**
  * dispatch_is_worth_sending() - whether one more send of a part can still help
@@ -36,14 +36,15 @@
 bool dispatch_is_worth_sending(struct dispatch_part *part, bool hedge);
 
 /**
- * dispatch_forecast_sent() - a send goes before what is sent to its server next
+ * dispatch_forecast_add_sent() - a send goes before what is sent to its server
+ * next
  */
-void dispatch_forecast_sent(const struct dispatch_send *send);
+void dispatch_forecast_add_sent(const struct dispatch_send *send);
 
 /**
- * dispatch_forecast_learn() - a part that is not in yet was answered
+ * dispatch_forecast_update() - a part that is not in yet was answered
  * @took: microseconds
  */
-void dispatch_forecast_learn(const struct dispatch_send *send, int64_t took);
+void dispatch_forecast_update(const struct dispatch_send *send, int64_t took);
 
 #endif
--- a/dispatch_load.c
+++ b/dispatch_load.c
@@ -59,7 +59,7 @@
 	return latency->unloaded ? latency->unloaded : latency->late;
 }
 
-void dispatch_load_ask(struct dispatch *dispatch)
+void dispatch_load_add_demand(struct dispatch *dispatch)
 {
 	int64_t now = clock_now(dispatch->clock);
 
@@ -71,8 +71,8 @@
 		dispatch->cost += (int64_t)(work_of(dispatch->latency) *
 					    dispatch->n_parts);
 	if (is_counted(dispatch) && !dispatch->promised)
-		load_limit_ask(load_of(dispatch), dispatch->level,
-			       dispatch->cost, now);
+		load_limit_count_request(load_of(dispatch), dispatch->level,
+					 dispatch->cost, now);
 }
 
 static void share_limit(const struct dispatch *dispatch)
@@ -80,15 +80,15 @@
 	const char *service = dispatch->parts[0].service->name;
 
 	if (dispatch->limits->share && load_of(dispatch)->limit)
-		load_share_limited(dispatch->limits->share,
-				   str_hash(str_from(service)),
-				   load_of(dispatch));
+		load_share_add_limit(dispatch->limits->share,
+				     str_hash(str_from(service)),
+				     load_of(dispatch));
 }
 
 static bool fits(const struct dispatch *dispatch, int64_t now)
 {
 	struct load_limit *load = load_of(dispatch);
-	struct load_view view = {0};
+	struct peer_load view = {0};
 
 	if (dispatch->limits->share && is_by_priority(dispatch))
 		load_share_adopt(dispatch->limits->share,
@@ -118,8 +118,8 @@
 	if (!is_counted(dispatch))
 		return true;
 	if (is_let_in(dispatch, now)) {
-		load_limit_take(load_of(dispatch), dispatch->level,
-				dispatch->cost, now);
+		load_limit_admit_always(load_of(dispatch), dispatch->level,
+					dispatch->cost, now);
 		dispatch->admitted = true;
 	} else {
 		dispatch->admitted = fits(dispatch, now);
@@ -143,8 +143,8 @@
 	int64_t period = MSEC(dispatch->route->goal_ms) / 2;
 
 	if (!dispatch->route->sharded)
-		return load_limit_full(load_of(dispatch), now);
-	return load_limit_overloaded(load_of(dispatch), period, now);
+		return load_limit_servers_full(load_of(dispatch), now);
+	return load_limit_lower(load_of(dispatch), period, now);
 }
 
 static void note_overload(struct dispatch *dispatch, int64_t now)
@@ -168,7 +168,7 @@
 	return code && code != ERR_NO_REPLICA && is_far_from_whole(dispatch);
 }
 
-void dispatch_load_judge(struct dispatch *dispatch, int code)
+void dispatch_load_report(struct dispatch *dispatch, int code)
 {
 	int64_t now = clock_now(dispatch->clock);
 
@@ -176,9 +176,9 @@
 		return;
 	dispatch->judged = true;
 	if (!code && now <= dispatch->answer_at)
-		load_limit_served(load_of(dispatch), dispatch->cost,
-				  is_by_priority(dispatch) ? RISE_BY_PRIORITY
-							   : RISE);
+		load_limit_raise(load_of(dispatch), dispatch->cost,
+				 is_by_priority(dispatch) ? RISE_BY_PRIORITY
+							  : RISE);
 	else if (is_overload(dispatch, code))
 		note_overload(dispatch, now);
 }
@@ -190,45 +190,45 @@
 	return dispatch->n_in && dispatch->n_in >= least;
 }
 
-void dispatch_load_leave(struct dispatch *dispatch)
+void dispatch_load_release(struct dispatch *dispatch)
 {
 	if (!dispatch->admitted)
 		return;
 	if (has_worked(dispatch))
-		load_limit_worked(load_of(dispatch), dispatch->cost,
-				  clock_now(dispatch->clock));
-	load_limit_end(load_of(dispatch), dispatch->level, dispatch->cost);
+		load_limit_count_served(load_of(dispatch), dispatch->cost,
+					clock_now(dispatch->clock));
+	load_limit_release(load_of(dispatch), dispatch->level, dispatch->cost);
 	dispatch->admitted = false;
 }
 
-const struct load_limit *dispatch_load(const struct dispatch *dispatch)
+const struct load_limit *dispatch_load_limit(const struct dispatch *dispatch)
 {
 	return load_of(dispatch);
 }
 
-bool dispatch_is_for_load(const struct dispatch *dispatch)
+bool dispatch_refused_for_load(const struct dispatch *dispatch)
 {
 	return dispatch->outcome == DISPATCH_REFUSED &&
 	       (dispatch->code == ERR_OVERLOAD || dispatch->code == ERR_SHED ||
 		dispatch->code == ERR_BUDGET);
 }
 
-double dispatch_room(const struct dispatch *dispatch)
+double dispatch_capacity(const struct dispatch *dispatch)
 {
 	struct load_share *share = dispatch->limits->share;
 	const char *service = dispatch->parts[0].service->name;
-	struct load_view view = {0};
+	struct peer_load view = {0};
 
 	if (share)
-		load_share_look(share, str_hash(str_from(service)), &view);
-	return load_limit_room(load_of(dispatch), dispatch->level, &view,
-			       clock_now(dispatch->clock));
+		load_share_peer_load(share, str_hash(str_from(service)), &view);
+	return load_limit_capacity(load_of(dispatch), dispatch->level, &view,
+				   clock_now(dispatch->clock));
 }
 
-int64_t dispatch_room_in(const struct dispatch *dispatch)
+int64_t dispatch_capacity_delay(const struct dispatch *dispatch)
 {
-	int64_t excess = load_limit_excess(load_of(dispatch),
-					   clock_now(dispatch->clock));
+	int64_t excess = load_limit_excess_time(load_of(dispatch),
+						clock_now(dispatch->clock));
 
 	return excess > dispatch->room_in ? excess : dispatch->room_in;
 }
--- a/dispatch_private.h
+++ b/dispatch_private.h
@@ -5,9 +5,9 @@
 #include "dispatch.h"
 
 /**
- * dispatch_part_under_way() - a send of the part has no result yet
+ * dispatch_part_in_flight() - a send of the part has no result yet
  */
-bool dispatch_part_under_way(const struct dispatch_part *part);
+bool dispatch_part_in_flight(const struct dispatch_part *part);
 
 /**
  * dispatch_part_fail() - nothing more is done for it
@@ -22,21 +22,23 @@
 					   bool fresh_only);
 
 /**
- * dispatch_is_worth_waiting() - a server may take the part in a moment
+ * dispatch_is_temporary() - a server may take the part in a moment
  * @code: why it does not now: no connection is free, it is cold, or more
  *	urgent ones wait for it than it can serve in time
  *
  * A part of a sharded request holds nobody up while others are waited for. The
  * caller of a single server that is cold or overloaded is told at once.
  */
-bool dispatch_is_worth_waiting(const struct dispatch *dispatch, int code);
+bool dispatch_is_temporary(const struct dispatch *dispatch, int code);
 
 /**
- * dispatch_part_waiting() - a send of the part that has not left this instance
+ * dispatch_part_queued_send() - a send of the part that has not left this
+ * instance
  *
  * Return: NULL if there is none.
  */
-struct dispatch_send *dispatch_part_waiting(const struct dispatch_part *part);
+struct dispatch_send *
+dispatch_part_queued_send(const struct dispatch_part *part);
 
 /**
  * dispatch_part_move() - send what waits here to another server instead
@@ -67,9 +69,9 @@
 			     bool hedge);
 
 /**
- * dispatch_load_ask() - a request came that has servers
+ * dispatch_load_add_demand() - a request came that has servers
  */
-void dispatch_load_ask(struct dispatch *dispatch);
+void dispatch_load_add_demand(struct dispatch *dispatch);
 
 /**
  * dispatch_load_admit() - a request is about to be sent
@@ -79,15 +81,15 @@
 bool dispatch_load_admit(struct dispatch *dispatch);
 
 /**
- * dispatch_load_judge() - once a request: was it served within its goal, or did
- * the load prevent it?
+ * dispatch_load_report() - once a request: was it served within its goal, or
+ * did the load prevent it?
  * @code: 0, or why it was not
  */
-void dispatch_load_judge(struct dispatch *dispatch, int code);
+void dispatch_load_report(struct dispatch *dispatch, int code);
 
 /**
- * dispatch_load_leave() - it is over
+ * dispatch_load_release() - it is over
  */
-void dispatch_load_leave(struct dispatch *dispatch);
+void dispatch_load_release(struct dispatch *dispatch);
 
 #endif
--- a/dispatch_send.c
+++ b/dispatch_send.c
@@ -6,18 +6,19 @@
 #include "dispatch_forecast.h"
 #include "error.h"
 
-bool dispatch_part_under_way(const struct dispatch_part *part)
+bool dispatch_part_in_flight(const struct dispatch_part *part)
 {
 	int i;
 
 	for (i = 0; i < part->n_sends; i++) {
-		if (part->sends[i].state == SEND_UNDER_WAY)
+		if (part->sends[i].state == SEND_IN_FLIGHT)
 			return true;
 	}
 	return false;
 }
 
-struct dispatch_send *dispatch_part_waiting(const struct dispatch_part *part)
+struct dispatch_send *
+dispatch_part_queued_send(const struct dispatch_part *part)
 {
 	const struct dispatch *dispatch = part->dispatch;
 	int i;
@@ -27,7 +28,7 @@
 	for (i = 0; i < part->n_sends; i++) {
 		const struct dispatch_send *send = &part->sends[i];
 
-		if (send->state == SEND_UNDER_WAY &&
+		if (send->state == SEND_IN_FLIGHT &&
 		    dispatch->ops->waits(dispatch->arg, send))
 			return (struct dispatch_send *)send;
 	}
@@ -125,10 +126,10 @@
 	memset(send, 0, sizeof(*send));
 	send->part = part;
 	send->server = server;
-	send->state = SEND_UNDER_WAY;
+	send->state = SEND_IN_FLIGHT;
 	send->sent_at = now;
 	send->why = why;
-	send->charged = part->n_arrived > 0;
+	send->charged = part->n_delivered > 0;
 	ret = dispatch->ops->send(dispatch->arg, send, dispatch->deadline);
 	if (ret) {
 		*send = before;
@@ -140,17 +141,17 @@
 		registry_server_unref(before.server);
 	else
 		part->n_sends++;
-	part->n_run++;
-	part->n_arrived++;
+	part->n_maybe_run++;
+	part->n_delivered++;
 	dispatch->n_sends++;
 	part->hedge_at = now + dispatch_hedge_delay(dispatch);
-	dispatch_forecast_sent(send);
+	dispatch_forecast_add_sent(send);
 	if (dispatch->ops->decided)
 		dispatch->ops->decided(dispatch->arg, send);
 	return 0;
 }
 
-bool dispatch_is_worth_waiting(const struct dispatch *dispatch, int code)
+bool dispatch_is_temporary(const struct dispatch *dispatch, int code)
 {
 	if (code == ERR_COLD || code == ERR_OVERLOAD)
 		return dispatch->route->sharded;
@@ -174,7 +175,7 @@
 		tried.servers[tried.n++] = server;
 		if (!send_to(part, server, why))
 			return 0;
-		if (dispatch_is_worth_waiting(part->dispatch, part->code))
+		if (dispatch_is_temporary(part->dispatch, part->code))
 			ret = ERR_BUDGET;
 	}
 	if (!part->n_sends && ret == ERR_NO_REPLICA && !part->code)
@@ -193,7 +194,7 @@
 	struct budget *budget = &part->service->budget;
 	int64_t now = clock_now(dispatch->clock);
 
-	if (!part->n_arrived)
+	if (!part->n_delivered)
 		return true;
 	if (hedge && !budget_is_half_full(budget, limit, now)) {
 		budget->refused++;
@@ -206,12 +207,13 @@
 			     bool hedge)
 {
 	struct dispatch *dispatch = part->dispatch;
-	bool arrived = part->n_arrived;
+	bool arrived = part->n_delivered;
 	struct tried tried;
 	int ret;
 
 	fill_tried(part, &tried);
-	if (part->n_run >= dispatch->route->servers_max || !free_slot(part))
+	if (part->n_maybe_run >= dispatch->route->servers_max ||
+	    !free_slot(part))
 		return ERR_NO_REPLICA;
 	if (!pick(part, &tried, hedge))
 		return has_busy(part) ? ERR_BUDGET : ERR_NO_REPLICA;
@@ -237,19 +239,19 @@
 	int ret;
 
 	/* It has not run: the other send is in place of it. */
-	part->n_run--;
-	part->n_arrived--;
-	arrived = part->n_arrived;
+	part->n_maybe_run--;
+	part->n_delivered--;
+	arrived = part->n_delivered;
 	ret = dispatch_part_send_again(part, "moved", true);
 	if (ret) {
-		part->n_run++;
-		part->n_arrived++;
+		part->n_maybe_run++;
+		part->n_delivered++;
 		return ret;
 	}
 	dispatch->n_extra--;
 	if (!arrived)
 		part->service->budget.uncharged--;
-	waiting->state = SEND_OVER;
+	waiting->state = SEND_ENDED;
 	dispatch->ops->abandon(dispatch->arg, waiting);
 	return 0;
 }
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -105,8 +105,9 @@
 		answer.success = status / 100 == 2;
 		if (!request->route->sharded) {
 			/* Other answers below 500 are the service's own. */
-			answer.success = status < 500 &&
-					 !gateway_promises_not_run(status);
+			answer.success =
+				status < 500 &&
+				!gateway_status_implies_not_run(status);
 			keep_answer(request, result->message);
 		}
 	}
@@ -132,14 +133,14 @@
 {
 	struct gateway_request *request = arg;
 
-	dispatch_hold(&request->dispatch);
+	dispatch_begin_batch(&request->dispatch);
 }
 
 static void release(void *arg)
 {
 	struct gateway_request *request = arg;
 
-	request->go_on(request, dispatch_release(&request->dispatch));
+	request->go_on(request, dispatch_end_batch(&request->dispatch));
 }
 
 /* Towards the decisions. */
@@ -317,8 +318,8 @@
 	.waits = waits,
 	.decided = decided,
 	.limited = limited,
-	.foreseen = gateway_foreseen,
-	.kept_back = gateway_kept_back,
+	.foreseen = gateway_report_forecast,
+	.kept_back = gateway_report_resend_left_out,
 };
 
 /*
--- a/hedge.c
+++ b/hedge.c
@@ -84,7 +84,7 @@
 	return now + observe_mean(observe, server) < deadline;
 }
 
-int64_t hedge_answer_after(const struct observe *observe,
+int64_t hedge_soft_timeout(const struct observe *observe,
 			   const struct service *service,
 			   const struct observe_service *seen,
 			   int64_t deadline_us)
--- a/hedge.h
+++ b/hedge.h
@@ -41,14 +41,14 @@
 		  int64_t deadline);
 
 /**
- * hedge_answer_after() - when a search is late
+ * hedge_soft_timeout() - when a search is late
  *
  * A latency-first search that reached min_coverage is answered then. A
  * coverage-first one uses its deadline.
  *
  * Return: microseconds from the start of the search.
  */
-int64_t hedge_answer_after(const struct observe *observe,
+int64_t hedge_soft_timeout(const struct observe *observe,
 			   const struct service *service,
 			   const struct observe_service *seen,
 			   int64_t deadline_us);
--- a/latency.c
+++ b/latency.c
@@ -21,7 +21,7 @@
 	latency->unloaded += (usec - latency->unloaded) * UNLOADED_WEIGHT;
 }
 
-void latency_add_lag(struct latency *latency, int64_t usec)
+void latency_add_forecast_error(struct latency *latency, int64_t usec)
 {
 	latency->lag += ((double)usec - latency->lag) * LAG_WEIGHT;
 }
@@ -29,7 +29,7 @@
 void latency_add(struct latency *latency, int64_t usec)
 {
 	if ((double)usec > latency->late)
-		latency->late *= 1 + STEP * (1 - LATENCY_LATE);
+		latency->late *= 1 + STEP * (1 - LATENCY_TAIL_SHARE);
 	else
-		latency->late *= 1 - STEP * LATENCY_LATE;
+		latency->late *= 1 - STEP * LATENCY_TAIL_SHARE;
 }
--- a/latency.h
+++ b/latency.h
@@ -14,7 +14,7 @@
  *	microseconds; 0: none came yet
  * @lag: so much later than expected enough parts of a request come lately,
  *	microseconds
- * @late: so many microseconds are exceeded by LATENCY_LATE of the answers
+ * @late: so many microseconds are exceeded by LATENCY_TAIL_SHARE of the answers
  */
 struct latency {
 	double unloaded;
@@ -23,7 +23,7 @@
 };
 
 /* Answers later than this share of all are worth asking another server for. */
-#define LATENCY_LATE 0.05
+#define LATENCY_TAIL_SHARE 0.05
 
 /**
  * latency_init() - before the first answer
@@ -38,10 +38,10 @@
 void latency_add_unloaded(struct latency *latency, double usec);
 
 /**
- * latency_add_lag() - enough parts of a request came
+ * latency_add_forecast_error() - enough parts of a request came
  * @usec: so much later than was expected
  */
-void latency_add_lag(struct latency *latency, int64_t usec);
+void latency_add_forecast_error(struct latency *latency, int64_t usec);
 
 /**
  * latency_add() - an answer came
--- a/operator_pages.c
+++ b/operator_pages.c
@@ -42,8 +42,8 @@
 {
 	if (evhtp_request_get_method(http) == htp_method_GET)
 		return true;
-	answer_refusal(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
-		       NULL);
+	answer_error(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
+		     NULL);
 	send_json(http, EVHTP_RES_METHNALLOWED);
 	return false;
 }
--- a/relay_ask.c
+++ b/relay_ask.c
@@ -237,7 +237,7 @@
 	}
 }
 
-struct relay_batch *relay_ask_job(struct relay_ask *relay, uint64_t id)
+struct relay_batch *relay_ask_find_job(struct relay_ask *relay, uint64_t id)
 {
 	struct relay_batch *batch;
 
@@ -249,14 +249,15 @@
 {
 	struct relay_ask *relay = arg;
 
-	relay_ask_take(relay, link, (const Peer__PartResult *)frame->message);
+	relay_ask_handle_result(relay, link,
+				(const Peer__PartResult *)frame->message);
 }
 
 static void lose(struct relay_ask *relay, uint64_t id)
 {
 	static const struct dispatch_answer lost = {.code = ERR_LOST,
 						    .stamp = STR("")};
-	struct relay_batch *batch = relay_ask_job(relay, id);
+	struct relay_batch *batch = relay_ask_find_job(relay, id);
 	struct relay_client *client;
 	int i;
 
--- a/relay_result.c
+++ b/relay_result.c
@@ -205,10 +205,11 @@
 	return link->outgoing && !strcmp(batch->peer->instance, link->instance);
 }
 
-void relay_ask_take(struct relay_ask *relay, const struct peer_link *link,
-		    const Peer__PartResult *message)
+void relay_ask_handle_result(struct relay_ask *relay,
+			     const struct peer_link *link,
+			     const Peer__PartResult *message)
 {
-	struct relay_batch *batch = relay_ask_job(relay, message->id);
+	struct relay_batch *batch = relay_ask_find_job(relay, message->id);
 	struct relay_client *client;
 
 	if (!batch || !is_from(batch, link))
--- a/server_queue.h
+++ b/server_queue.h
@@ -170,7 +170,7 @@
 /**
  * server_job_hurry() - as server_job_abandon(), but the end is reported
  * @job: the request
- * @linger: as of exchange_hurry()
+ * @linger: as of exchange_set_timeout()
  */
 void server_job_hurry(struct server_job *job, int64_t linger);
 
--- a/server_queue_net.c
+++ b/server_queue_net.c
@@ -42,13 +42,13 @@
 static void hurry(void *arg, struct server_job *job, int64_t linger)
 {
 	(void)arg;
-	exchange_hurry(job->handle, linger);
+	exchange_set_timeout(job->handle, linger);
 }
 
 static int under_way(void *arg, const struct registry_server *server)
 {
 	(void)arg;
-	return upstream_under_way(server);
+	return upstream_in_flight(server);
 }
 
 static void wake(void *arg, int64_t at)
--- a/table_control.c
+++ b/table_control.c
@@ -97,7 +97,7 @@
 
 	control->sync.list_revision = list->revision;
 	control->sync.list_digest = list->digest;
-	if (!instances_take(&control->board->listed, text))
+	if (!instances_apply(&control->board->listed, text))
 		blackboard_changed(control->board, BLACKBOARD_INSTANCES);
 }
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -323,14 +323,14 @@
 	setup(&f, 1000);
 	for (i = 0; i < 400; i++) {
 		clock_advance(&f.clock, MSEC(10));
-		admission_lag(&f.admission, MSEC(100));
+		admission_add_lag(&f.admission, MSEC(100));
 	}
 	CU_ASSERT(f.admission.whole.limit < 10);
 	f.admission.whole.full = true;
 	for (i = 0; i < 4000; i++) {
 		clock_advance(&f.clock, MSEC(10));
 		f.admission.whole.full = true;
-		admission_lag(&f.admission, 0);
+		admission_add_lag(&f.admission, 0);
 	}
 	CU_ASSERT_EQUAL(f.admission.whole.limit, 1000);
 	admission_finish(&f.admission);
--- a/tests/test_answer_due.c
+++ b/tests/test_answer_due.c
@@ -13,7 +13,7 @@
 				       .told = told,
 				       .round_trip = round_trip};
 
-	return answer_due_after(&due);
+	return answer_due_timeout(&due);
 }
 
 /* When the caller has it, on its own clock. */
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -5,12 +5,12 @@
 	struct world world;
 
 	world_init(&world);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
-	CU_ASSERT(result(&world, 0, 0, false, "a") == DISPATCH_OPEN);
-	CU_ASSERT(result(&world, 1, 0, false, "b") == DISPATCH_OPEN);
-	CU_ASSERT(result(&world, 2, 0, false, "c") == DISPATCH_OPEN);
-	CU_ASSERT(result(&world, 3, 0, false, "d") == DISPATCH_WHOLE);
+	CU_ASSERT(result(&world, 0, 0, false, "a") == DISPATCH_PENDING);
+	CU_ASSERT(result(&world, 1, 0, false, "b") == DISPATCH_PENDING);
+	CU_ASSERT(result(&world, 2, 0, false, "c") == DISPATCH_PENDING);
+	CU_ASSERT(result(&world, 3, 0, false, "d") == DISPATCH_COMPLETE);
 	CU_ASSERT(world.dispatch.records.n == 3);
 	world_finish(&world);
 }
@@ -29,13 +29,13 @@
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
 	result(&world, 2, 0, false, "c");
-	CU_ASSERT(pass(&world, 10) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 10) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
-	CU_ASSERT(pass(&world, 15) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 15) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(world.sent[4]->server != world.sent[3]->server);
 	CU_ASSERT(world.sent[4]->part == world.sent[3]->part);
-	CU_ASSERT(result(&world, 4, 0, false, "d") == DISPATCH_WHOLE);
+	CU_ASSERT(result(&world, 4, 0, false, "d") == DISPATCH_COMPLETE);
 	CU_ASSERT(world.n_abandoned == 1);
 	world_finish(&world);
 }
@@ -58,11 +58,11 @@
 			? STR("s0-1")
 			: STR("s0-0"));
 	other->score.avoid_until = clock_now(&world.clock) + MSEC(40);
-	CU_ASSERT(pass(&world, 25) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 25) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 1);
 	CU_ASSERT(dispatch_due(&world.dispatch) <=
 		  clock_now(&world.clock) + MSEC(5));
-	CU_ASSERT(pass(&world, 16) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 16) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 2);
 	CU_ASSERT(world.sent[1]->server == other);
 	world_finish(&world);
@@ -80,15 +80,15 @@
 
 	world_init(&world);
 	start(&world, "/shards/");
-	CU_ASSERT(pass(&world, 50) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 50) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	result(&world, 0, 0, false, "a");
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	result(&world, 1, 0, false, "b");
 	CU_ASSERT(dispatch_due(&world.dispatch) <=
 		  clock_now(&world.clock) + MSEC(5));
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 6);
 	world_finish(&world);
 }
@@ -105,17 +105,18 @@
 
 	world_init(&world);
 	start(&world, "/shards/");
-	CU_ASSERT(result(&world, first, ERR_SHED, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, first, ERR_SHED, true, "") ==
+		  DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
-	CU_ASSERT(result(&world, 4, ERR_SHED, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 4, ERR_SHED, true, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 6);
 	CU_ASSERT(world.sent[5]->part == &world.dispatch.parts[3]);
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
 	result(&world, 2, 0, false, "c");
-	CU_ASSERT(result(&world, 5, 0, false, "d") == DISPATCH_WHOLE);
+	CU_ASSERT(result(&world, 5, 0, false, "d") == DISPATCH_COMPLETE);
 	world_finish(&world);
 }
 
@@ -132,7 +133,7 @@
 	start(&world, "/shards/");
 	for (i = 0; i < 3; i++)
 		result(&world, i, 0, false, i == 0 ? "a" : i == 1 ? "b" : "c");
-	CU_ASSERT(pass(&world, 85) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 85) == DISPATCH_PENDING);
 	CU_ASSERT(dispatch_due(&world.dispatch) ==
 		  clock_now(&world.clock) + MSEC(5));
 	CU_ASSERT(pass(&world, 5) == DISPATCH_PARTIAL);
@@ -148,7 +149,7 @@
 	start(&world, "/shards/");
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
-	CU_ASSERT(pass(&world, 300) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 300) == DISPATCH_PENDING);
 	CU_ASSERT(result(&world, 2, 0, false, "c") == DISPATCH_PARTIAL);
 	world_finish(&world);
 }
@@ -161,7 +162,7 @@
 static void test_hopeless_fails_at_once(void)
 {
 	struct world world;
-	enum dispatch_outcome outcome = DISPATCH_OPEN;
+	enum dispatch_outcome outcome = DISPATCH_PENDING;
 	int i;
 
 	world_init(&world);
@@ -226,8 +227,8 @@
 	lose_service(&world, "s1");
 	clock_advance(&world.clock, MSEC(3000));
 	load = &registry_service(&world.registry, STR("s0"))->load;
-	load_limit_ask(load, 0, 1, clock_now(&world.clock));
-	load_limit_take(load, 0, 2, clock_now(&world.clock));
+	load_limit_count_request(load, 0, 1, clock_now(&world.clock));
+	load_limit_admit_always(load, 0, 2, clock_now(&world.clock));
 	load->limit = 2;
 	CU_ASSERT(start(&world, "/shards/") == DISPATCH_REFUSED);
 	CU_ASSERT(world.n_sent == 0);
@@ -247,7 +248,7 @@
 
 	world_init(&world);
 	lose_service(&world, "s1");
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 3);
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
@@ -271,8 +272,8 @@
 	dispatch_finish(&world.dispatch);
 	outage_tick(&world.outage);
 	CU_ASSERT(world.n_checks == 4);
-	outage_checked(&world.outage, world.check, true);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	outage_check_done(&world.outage, world.check, true);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 3);
 	world_finish(&world);
 }
@@ -288,7 +289,7 @@
 
 	world_init(&world);
 	start(&world, "/once/");
-	CU_ASSERT(pass(&world, 200) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 200) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 1);
 	CU_ASSERT(result(&world, 0, ERR_LOST, false, "") == DISPATCH_FAILED);
 	CU_ASSERT(world.n_sent == 1);
@@ -301,7 +302,7 @@
 
 	world_init(&world);
 	start(&world, "/once/");
-	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 2);
 	CU_ASSERT(result(&world, 1, ERR_SHED, true, "") == DISPATCH_REFUSED);
 	world_finish(&world);
@@ -327,7 +328,7 @@
 	add_server(&world, "s0", 2);
 	add_server(&world, "s0", 3);
 	start(&world, "/any/");
-	CU_ASSERT(result(&world, 0, ERR_LOST, false, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 0, ERR_LOST, false, "") == DISPATCH_PENDING);
 	CU_ASSERT(result(&world, 1, ERR_LOST, false, "") == DISPATCH_FAILED);
 	CU_ASSERT(world.n_sent == 2);
 	world_finish(&world);
@@ -347,10 +348,11 @@
 	world.limits.budget = (struct budget_limit){.ratio = 0.001, .burst = 0};
 	for (i = 0; i < 20; i++) {
 		world.n_sent = 0;
-		CU_ASSERT(start(&world, "/any/") == DISPATCH_OPEN);
+		CU_ASSERT(start(&world, "/any/") == DISPATCH_PENDING);
 		result(&world, 0, ERR_CONNECT, true, "");
 		CU_ASSERT(world.n_sent == 2);
-		CU_ASSERT(result(&world, 1, 0, false, "x") == DISPATCH_WHOLE);
+		CU_ASSERT(result(&world, 1, 0, false, "x") ==
+			  DISPATCH_COMPLETE);
 		dispatch_finish(&world.dispatch);
 	}
 	start(&world, "/any/");
@@ -371,13 +373,13 @@
 	world.limits.budget.burst = 0;
 	start(&world, "/any/");
 	service = registry_service(&world.registry, STR("s0"));
-	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 1);
-	budget_need(&service->budget, &world.limits.budget, 20,
-		    clock_now(&world.clock));
+	budget_count_needed(&service->budget, &world.limits.budget, 20,
+			    clock_now(&world.clock));
 	CU_ASSERT(dispatch_due(&world.dispatch) <=
 		  clock_now(&world.clock) + MSEC(5));
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 2);
 	world_finish(&world);
 }
@@ -393,12 +395,12 @@
 
 	world_init(&world);
 	world.refuse = ERR_BUDGET;
-	CU_ASSERT(start(&world, "/any/") == DISPATCH_OPEN);
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/any/") == DISPATCH_PENDING);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	world.refuse = 0;
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 1);
-	CU_ASSERT(result(&world, 0, 0, false, "x") == DISPATCH_WHOLE);
+	CU_ASSERT(result(&world, 0, 0, false, "x") == DISPATCH_COMPLETE);
 	world_finish(&world);
 }
 
@@ -413,11 +415,11 @@
 	start(&world, "/any/");
 	for (i = 0; i < 3; i++) {
 		CU_ASSERT(result(&world, i, ERR_BUDGET, true, "") ==
-			  DISPATCH_OPEN);
+			  DISPATCH_PENDING);
 		pass(&world, 5);
 		CU_ASSERT(world.n_sent == i + 2);
 	}
-	CU_ASSERT(result(&world, 3, 0, false, "x") == DISPATCH_WHOLE);
+	CU_ASSERT(result(&world, 3, 0, false, "x") == DISPATCH_COMPLETE);
 	world_finish(&world);
 }
 
@@ -437,21 +439,21 @@
 	for (ms = 0; ms < 60; ms++) {
 		while (ended < world.n_sent)
 			CU_ASSERT(result(&world, ended++, ERR_BUDGET, true,
-					 "") == DISPATCH_OPEN);
+					 "") == DISPATCH_PENDING);
 		pass(&world, 1);
 	}
 	CU_ASSERT(world.n_sent >= 12);
 	CU_ASSERT(world.n_sent <= 26);
 	pass(&world, 5);
 	CU_ASSERT(result(&world, world.n_sent - 1, 0, false, "x") ==
-		  DISPATCH_WHOLE);
+		  DISPATCH_COMPLETE);
 	world_finish(&world);
 }
 
 static void test_retry_gives_up_at_goal(void)
 {
 	struct world world;
-	enum dispatch_outcome outcome = DISPATCH_OPEN;
+	enum dispatch_outcome outcome = DISPATCH_PENDING;
 	int i;
 
 	world_init(&world);
@@ -516,11 +518,11 @@
 	world_init(&world);
 	start(&world, "/shards/");
 	tokens = world.sent[3]->part->service->budget.tokens;
-	CU_ASSERT(result(&world, 3, code, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 3, code, true, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(world.sent[4]->part == world.sent[3]->part);
 	CU_ASSERT(world.sent[4]->server != world.sent[3]->server);
-	CU_ASSERT(world.sent[3]->part->n_run == 1);
+	CU_ASSERT(world.sent[3]->part->n_maybe_run == 1);
 	CU_ASSERT(world.sent[3]->part->service->budget.tokens >= tokens);
 	world_finish(&world);
 }
@@ -572,11 +574,11 @@
 	world.waits = world.sent[3];
 	budget = &world.sent[3]->part->service->budget;
 	before = budget->tokens;
-	CU_ASSERT(pass(&world, 25) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 25) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(world.n_abandoned == 1);
 	CU_ASSERT(world.sent[4]->server != world.sent[3]->server);
-	CU_ASSERT(world.sent[4]->part->n_run == 1);
+	CU_ASSERT(world.sent[4]->part->n_maybe_run == 1);
 	CU_ASSERT(budget->tokens >= before);
 	CU_ASSERT(world.dispatch.n_extra == 0);
 	world_finish(&world);
@@ -592,10 +594,10 @@
 	world.waits = world.sent[0];
 	CU_ASSERT(dispatch_due(&world.dispatch) <=
 		  clock_now(&world.clock) + MSEC(20));
-	CU_ASSERT(pass(&world, 25) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 25) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 2);
 	world.waits = NULL;
-	CU_ASSERT(pass(&world, 50) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 50) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 2);
 	world_finish(&world);
 }
@@ -648,14 +650,16 @@
 	start(&world, "/shards/");
 	part = world.sent[3]->part;
 	before = part->service->budget.tokens;
-	CU_ASSERT(result(&world, 3, ERR_OVERLOAD, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 3, ERR_OVERLOAD, true, "") ==
+		  DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(world.sent[4]->part == part);
-	CU_ASSERT(result(&world, 4, ERR_OVERLOAD, true, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 4, ERR_OVERLOAD, true, "") ==
+		  DISPATCH_PENDING);
 	/* Both servers are asked again in a moment. */
-	CU_ASSERT(pass(&world, 5) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 6);
-	CU_ASSERT(part->n_run == 1);
+	CU_ASSERT(part->n_maybe_run == 1);
 	CU_ASSERT(part->service->budget.tokens >= before);
 	world_finish(&world);
 }
--- a/tests/test_dispatch_forecast.c
+++ b/tests/test_dispatch_forecast.c
@@ -59,7 +59,7 @@
 	init(&world, 1);
 	world.control.left_out = false;
 	tell(&world, 0, LATE);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	world_finish(&world);
 }
@@ -72,14 +72,14 @@
 	init(&world, 1);
 	tell(&world, 0, LATE);
 	clock_advance(&world.clock, LATE);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	world_finish(&world);
 
 	init(&world, 1);
 	world.latency.unloaded = 0;
 	tell(&world, 0, LATE);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	world_finish(&world);
 
 	/* Of one shard nothing is known; too many others are late. */
@@ -96,7 +96,7 @@
 
 	init(&world, 0);
 	tell(&world, 0, LATE);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	world_finish(&world);
 }
@@ -110,7 +110,7 @@
 	tell(&world, 0, LATE);
 	prepare(&world, "/shards/");
 	world.dispatch.promised = true;
-	CU_ASSERT(dispatch_start(&world.dispatch) == DISPATCH_OPEN);
+	CU_ASSERT(dispatch_start(&world.dispatch) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 4);
 	world_finish(&world);
 }
@@ -122,7 +122,7 @@
 
 	init(&world, 1);
 	tell(&world, 3, LATE);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_OPEN);
+	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 3);
 	CU_ASSERT(world.dispatch.n_left_out == 1);
 	CU_ASSERT(world.dispatch.parts[3].code == ERR_LEFT_OUT);
@@ -143,8 +143,8 @@
 	start(&world, "/shards/");
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
-	CU_ASSERT(result(&world, 2, ERR_LOST, false, "") == DISPATCH_OPEN);
-	CU_ASSERT(result(&world, 3, ERR_LOST, false, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 2, ERR_LOST, false, "") == DISPATCH_PENDING);
+	CU_ASSERT(result(&world, 3, ERR_LOST, false, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(world.sent[4]->part == &world.dispatch.parts[3]);
 	CU_ASSERT(result(&world, 4, 0, false, "d") == DISPATCH_PARTIAL);
@@ -162,10 +162,10 @@
 	result(&world, 0, 0, false, "a");
 	result(&world, 1, 0, false, "b");
 	tell(&world, 2, LATE);
-	CU_ASSERT(result(&world, 2, ERR_LOST, false, "") == DISPATCH_OPEN);
+	CU_ASSERT(result(&world, 2, ERR_LOST, false, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	result(&world, 4, 0, false, "c");
-	CU_ASSERT(pass(&world, 40) == DISPATCH_OPEN);
+	CU_ASSERT(pass(&world, 40) == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 5);
 	CU_ASSERT(result(&world, 3, ERR_LOST, false, "") == DISPATCH_PARTIAL);
 	world_finish(&world);
--- a/tests/test_forecast.c
+++ b/tests/test_forecast.c
@@ -220,9 +220,10 @@
 	}
 	qsort(took, (size_t)n, sizeof(*took), cmp_time);
 	if (left_out)
-		latency_add_lag(latency,
-				took[kind->needed - 1] -
-					forecast_expected(forecast.deciding));
+		latency_add_forecast_error(latency,
+					   took[kind->needed - 1] -
+						   forecast_answer_time(
+							   forecast.deciding));
 	return in < kind->needed ? 0 : (double)in * in / PARTS / PARTS;
 }
 
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -95,7 +95,7 @@
 	world->base = event_base_new();
 	blackboard_init(&world->board, &world->clock, &world->settings,
 			world->base, 1);
-	member = fleet_put(&world->board.fleet, STR("far"));
+	member = fleet_find_or_add(&world->board.fleet, STR("far"));
 	member->status = FLEET_ALIVE;
 	str_copy(member->data_centre, sizeof(member->data_centre),
 		 STR("there"));
--- a/upstream.c
+++ b/upstream.c
@@ -29,14 +29,14 @@
 
 void upstream_init(struct upstream *upstream, struct event_base *base,
 		   const struct clock *clock,
-		   const struct upstream_names *names)
+		   const struct upstream_header_names *names)
 {
 	memset(upstream, 0, sizeof(*upstream));
 	upstream->base = base;
 	upstream->clock = clock;
 	upstream->names = names;
-	upstream->limits.share_near = 1;
-	upstream->limits.share_far = 1;
+	upstream->limits.share_local = 1;
+	upstream->limits.share_remote = 1;
 	upstream->limits.connect_timeout = CONNECT_TIMEOUT;
 	upstream->answer_limits.head = HEAD_MAX;
 	upstream->answer_limits.body = BODY_MAX;
@@ -160,7 +160,7 @@
  */
 static int drop_foreign(struct upstream_conn *conn)
 {
-	const struct upstream_names *names = conn->upstream->names;
+	const struct upstream_header_names *names = conn->upstream->names;
 
 	conn->upstream->foreign++;
 	conn->foreign = true;
@@ -189,9 +189,9 @@
 		await_next(conn);
 		return 0;
 	}
-	if (upstream_is_other(conn))
+	if (upstream_is_other_answer(conn))
 		return drop_foreign(conn);
-	upstream_judge(conn, &result);
+	upstream_read_answer(conn, &result);
 	if (result.code == ERR_FOREIGN)
 		conn->server->gone = true;
 	event_del(conn->timer);
@@ -225,7 +225,7 @@
 
 static void write_request(struct upstream_conn *conn)
 {
-	const struct upstream_names *names = conn->upstream->names;
+	const struct upstream_header_names *names = conn->upstream->names;
 	struct exchange *exchange = conn->exchange;
 	struct evbuffer *out = bufferevent_get_output(conn->bev);
 	int64_t left = exchange->deadline - clock_now(conn->upstream->clock);
@@ -482,7 +482,7 @@
 	return 0;
 }
 
-void exchange_hurry(struct exchange *exchange, int64_t linger)
+void exchange_set_timeout(struct exchange *exchange, int64_t linger)
 {
 	if (exchange->written)
 		arm(exchange->conn, linger);
--- a/upstream.h
+++ b/upstream.h
@@ -21,7 +21,7 @@
 struct upstream_conn;
 
 /**
- * struct upstream_names - headers that backend servers understand
+ * struct upstream_header_names - headers that backend servers understand
  * @request_id: of the caller's request; they echo it
  * @deadline: milliseconds that are left
  * @server_id: which server is meant; any other refuses
@@ -30,7 +30,7 @@
  * @load: see struct server_load
  * @cold: for how long the server is cold yet, milliseconds
  */
-struct upstream_names {
+struct upstream_header_names {
 	struct str request_id;
 	struct str deadline;
 	struct str server_id;
@@ -83,15 +83,15 @@
 
 /**
  * struct upstream_limits - how connections are used
- * @share_near: of the connections a server of the own data centre accepts,
+ * @share_local: of the connections a server of the own data centre accepts,
  *those of this instance; 0 to 1
- * @share_far: the same for servers elsewhere
+ * @share_remote: the same for servers elsewhere
  * @connect_timeout: microseconds
  * @warmup: bounds sends to servers that are cold; NULL: nothing does
  */
 struct upstream_limits {
-	double share_near;
-	double share_far;
+	double share_local;
+	double share_remote;
 	int64_t connect_timeout;
 	const struct warmup *warmup;
 };
@@ -108,7 +108,7 @@
 struct upstream {
 	struct event_base *base;
 	const struct clock *clock;
-	const struct upstream_names *names;
+	const struct upstream_header_names *names;
 	struct upstream_limits limits;
 	struct http_limits answer_limits;
 	struct upstream_conn *conns;
@@ -122,7 +122,7 @@
 
 void upstream_init(struct upstream *upstream, struct event_base *base,
 		   const struct clock *clock,
-		   const struct upstream_names *names);
+		   const struct upstream_header_names *names);
 
 /**
  * upstream_finish() - close all connections; callbacks of requests are not
@@ -157,17 +157,17 @@
 void exchange_abandon(struct exchange *exchange, int64_t linger);
 
 /**
- * exchange_hurry() - as exchange_abandon(), but its end is still reported
+ * exchange_set_timeout() - as exchange_abandon(), but its end is still reported
  */
-void exchange_hurry(struct exchange *exchange, int64_t linger);
+void exchange_set_timeout(struct exchange *exchange, int64_t linger);
 
 /**
- * upstream_under_way() - requests that a server was sent and has not ended
+ * upstream_in_flight() - requests that a server was sent and has not ended
  *
  * One that nobody waits for counts while it may run: not once the server has
  * answered much later ones.
  */
-int upstream_under_way(const struct registry_server *server);
+int upstream_in_flight(const struct registry_server *server);
 
 typedef void (*upstream_check_cb)(void *arg, bool listens);
 
--- a/upstream_answer.c
+++ b/upstream_answer.c
@@ -20,7 +20,7 @@
 	return http_message_field(&conn->message, name);
 }
 
-bool upstream_is_other(const struct upstream_conn *conn)
+bool upstream_is_other_answer(const struct upstream_conn *conn)
 {
 	struct str id =
 		upstream_header(conn, conn->upstream->names->request_id);
@@ -79,9 +79,10 @@
 				  clock_now(upstream->clock));
 }
 
-void upstream_judge(struct upstream_conn *conn, struct exchange_result *result)
+void upstream_read_answer(struct upstream_conn *conn,
+			  struct exchange_result *result)
 {
-	const struct upstream_names *names = conn->upstream->names;
+	const struct upstream_header_names *names = conn->upstream->names;
 	int status = conn->message.parser.status_code;
 
 	result->message = &conn->message;
--- a/upstream_limits.c
+++ b/upstream_limits.c
@@ -27,8 +27,9 @@
 		return false;
 	if (!server->cold_sends)
 		server->cold_sends = mem_zalloc(sizeof(*server->cold_sends));
-	return warmup_take(upstream->limits.warmup, str_from(server->entry.id),
-			   &server->service->warmup, server->cold_sends);
+	return warmup_try_send(upstream->limits.warmup,
+			       str_from(server->entry.id),
+			       &server->service->warmup, server->cold_sends);
 }
 
 int upstream_may_send(const struct upstream *upstream,
@@ -73,9 +74,9 @@
 
 	/* Rounded up: with one connection, one slow answer blocks a server. */
 	if (server->remote)
-		most = ceil((double)connections_max * limits->share_far);
+		most = ceil((double)connections_max * limits->share_remote);
 	else
-		most = floor((double)connections_max * limits->share_near);
+		most = floor((double)connections_max * limits->share_local);
 	if (!server->remote && most < CONNS_NEAR_LEAST)
 		most = CONNS_NEAR_LEAST;
 	return registry_count_conns(server) < most;
@@ -91,7 +92,7 @@
 		       score->latency * OVERTAKEN_TIMES;
 }
 
-int upstream_under_way(const struct registry_server *server)
+int upstream_in_flight(const struct registry_server *server)
 {
 	const struct upstream_conn *conn;
 	int n = 0;
--- a/upstream_private.h
+++ b/upstream_private.h
@@ -87,10 +87,10 @@
 struct str upstream_header(const struct upstream_conn *conn, struct str name);
 
 /**
- * upstream_is_other() - the message answers another request than the one that
- * waits
+ * upstream_is_other_answer() - the message answers another request than the one
+ * that waits
  */
-bool upstream_is_other(const struct upstream_conn *conn);
+bool upstream_is_other_answer(const struct upstream_conn *conn);
 
 /**
  * upstream_idle_limit() - how long the connection may be idle, as the server
@@ -101,9 +101,10 @@
 int64_t upstream_idle_limit(const struct upstream_conn *conn);
 
 /**
- * upstream_judge() - fill in what a whole answer says of the request, and take
- * over what it says of the server
+ * upstream_read_answer() - fill in what a whole answer says of the request, and
+ * take over what it says of the server
  */
-void upstream_judge(struct upstream_conn *conn, struct exchange_result *result);
+void upstream_read_answer(struct upstream_conn *conn,
+			  struct exchange_result *result);
 
 #endif
