--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -38,13 +38,13 @@
 static double slowness(const struct registry_server *server, int64_t now)
 {
 	const struct server_score *score = &server->score;
-	double usual = server->service->usual;
+	double usual = server->service->baseline_latency;
 	double pace = usual;
 
 	if (usual <= 0)
 		return 1;
-	if (server->outlook.pace_at)
-		pace = server_estimate_processing_time(&server->outlook, usual,
+	if (server->estimate.processing_time_at)
+		pace = server_estimate_processing_time(&server->estimate, usual,
 						       now);
 	else if (score->latency_at && now - score->latency_at < REPORT_AGE_MAX)
 		pace = score->latency;
@@ -78,12 +78,12 @@
 	int n = 0;
 	int i;
 
-	if (!server->outlook.levels[level].at)
+	if (!server->estimate.levels[level].at)
 		return 0;
 	for (i = 0; i < service->n; i++) {
 		if (!is_eligible(dispatch, service->servers[i]))
 			continue;
-		sum += server_estimate_wait(&service->servers[i]->outlook,
+		sum += server_estimate_wait(&service->servers[i]->estimate,
 					    level, now);
 		n++;
 	}
@@ -99,7 +99,7 @@
 	return (struct forecast_part){
 		.queue_wait = expected_queue_wait(dispatch, server, now),
 		.run_time = (int64_t)run,
-		.reported_at = server->outlook.levels[level_of(dispatch)].at,
+		.reported_at = server->estimate.levels[level_of(dispatch)].at,
 	};
 }
 
@@ -250,14 +250,15 @@
 {
 	const struct dispatch *dispatch = send->part->dispatch;
 	struct registry_server *server = send->server;
-	struct server_estimate *outlook = &server->outlook;
+	struct server_estimate *outlook = &server->estimate;
 	int64_t now = clock_now(dispatch->clock);
 	int64_t slots = server->entry.slots > 0 ? server->entry.slots : 1;
 	int64_t added_wait;
 	int i;
 
-	if (!can_forecast(dispatch) || server->queue || !outlook->pace_at ||
-	    now - outlook->pace_at > REPORT_AGE_MAX)
+	if (!can_forecast(dispatch) || server->queue ||
+	    !outlook->processing_time_at ||
+	    now - outlook->processing_time_at > REPORT_AGE_MAX)
 		return;
 	added_wait = forecast_server(dispatch, server, now).run_time / slots;
 	for (i = level_of(dispatch); i < ESTIMATE_LEVELS; i++)
--- a/dispatch_send.c
+++ b/dispatch_send.c
@@ -96,7 +96,7 @@
 	const struct registry_criteria choice = {
 		.tried = tried->servers,
 		.n_tried = tried->n,
-		.fresh_only = preferred_only,
+		.exclude_avoided = preferred_only,
 		.regions = &dispatch->route->regions,
 		.relayed = dispatch->route->sharded,
 		.level = server_estimate_level(dispatch->route->priority),
--- a/relay_choose.c
+++ b/relay_choose.c
@@ -54,7 +54,7 @@
 			    const struct relay_peer *peer, int64_t now)
 {
 	static const struct server_traits traits = {
-		.slots = RELAY_SLOTS, .usual = RELAY_USUAL_LATENCY};
+		.slots = RELAY_SLOTS, .service_latency = RELAY_USUAL_LATENCY};
 
 	if (has_late_job(relay, peer, now))
 		return SERVER_COST_AVOID;
--- a/relay_result.c
+++ b/relay_result.c
@@ -7,7 +7,7 @@
 #include "error.h"
 #include "mem.h"
 #include "records.h"
-#include "server_pace.h"
+#include "server_timing.h"
 
 /* Round trip to a relay in the same region, 3 ms, plus processing there. */
 #define NETWORK_TIME_MAX MSEC(4)
@@ -76,7 +76,7 @@
 	struct registry_server *server = relayed->server;
 
 	if (done->pace_us) {
-		server_estimate_set_wait(&server->outlook,
+		server_estimate_set_wait(&server->estimate,
 					 relayed->batch->level, done->ahead_us,
 					 now);
 		server_timing_add_report(server, done->pace_us,
--- a/relay_serve.c
+++ b/relay_serve.c
@@ -223,9 +223,9 @@
 	if (!job->relay->queues->enabled)
 		return;
 	done->ahead_us =
-		(uint32_t)server_estimate_wait(&server->outlook, level, now);
+		(uint32_t)server_estimate_wait(&server->estimate, level, now);
 	done->pace_us = (uint32_t)server_estimate_processing_time(
-		&server->outlook, server->service->latency, now);
+		&server->estimate, server->service->latency, now);
 }
 
 /* Adds how long the entry should prefer other servers. */
--- a/return_schedule.h
+++ b/return_schedule.h
@@ -14,7 +14,7 @@
 #include <uthash.h>
 
 #include "clock.h"
-#include "server_outlook.h"
+#include "server_estimate.h"
 
 /* Maximum number of scheduled returns. */
 #define RETURN_SCHEDULE_MAX 2048
--- a/store_sync.c
+++ b/store_sync.c
@@ -202,7 +202,7 @@
 static void set_known(struct store_sync *sync, const struct store_feed *feed)
 {
 	if (feed->topic == STORE_SERVERS && feed->fresh_at >= 0)
-		sync->servers.known = true;
+		sync->servers.synced = true;
 }
 
 void store_sync_confirm(struct store_sync *sync, enum store_topic topic,
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -454,7 +454,7 @@
 	struct job *job =
 		(struct job *)((char *)item - offsetof(struct job, item));
 	struct admission_sample sample = {
-		.wait = clock_now(&model->clock) - item->pushed,
+		.wait = clock_now(&model->clock) - item->pushed_at,
 		.shed = true,
 	};
 
@@ -484,7 +484,8 @@
 	struct job *job;
 
 	while (pool->n_busy < SLOTS && (job = take_job(model, pool))) {
-		job->item.pushed = now - job->item.pushed; /* queueing time */
+		job->item.pushed_at =
+			now - job->item.pushed_at; /* queueing time */
 		job->service_time =
 			SERVE_MIN +
 			(int64_t)(unit_random() * (SERVE_MAX - SERVE_MIN));
@@ -506,7 +507,7 @@
 	job->item.deadline = job->base.deadline;
 	job->item.cost = 1;
 	if (model->baseline) {
-		job->item.pushed = clock_now(&model->clock);
+		job->item.pushed_at = clock_now(&model->clock);
 		DL_APPEND(pool->fifo, job);
 		return;
 	}
@@ -570,7 +571,7 @@
 	struct job *next;
 
 	for (job = pool->running; job; job = next) {
-		struct admission_sample sample = {.wait = job->item.pushed};
+		struct admission_sample sample = {.wait = job->item.pushed_at};
 
 		next = job->next;
 		if (job->ends_at > now)
--- a/tests/test_dispatch_forecast.c
+++ b/tests/test_dispatch_forecast.c
@@ -13,8 +13,8 @@
 	     server = server->hh.next) {
 		if (server->entry.service[1] - '0' < first)
 			continue;
-		server_estimate_set_wait(&server->outlook, 0, ahead, now);
-		server_estimate_add_report(&server->outlook,
+		server_estimate_set_wait(&server->estimate, 0, ahead, now);
+		server_estimate_add_report(&server->estimate,
 					   (double)USUAL_LATENCY, now);
 	}
 }
@@ -29,7 +29,7 @@
 	latency_add_unloaded(&world->latency, (double)USUAL_LATENCY);
 	for (server = world->registry.servers; server;
 	     server = server->hh.next) {
-		server->service->usual = (double)USUAL_LATENCY;
+		server->service->baseline_latency = (double)USUAL_LATENCY;
 		server->score.outstanding = n_others;
 		server->score.waiting_since = clock_now(&world->clock);
 	}
@@ -181,7 +181,7 @@
 	init(&world, 0);
 	report_wait(&world, 0, 0);
 	start(&world, "/shards/");
-	outlook = &world.sent[0]->server->outlook;
+	outlook = &world.sent[0]->server->estimate;
 	CU_ASSERT(server_estimate_wait(outlook, 0, world.dispatch.start) ==
 		  USUAL_LATENCY / 2);
 	CU_ASSERT(server_estimate_wait(outlook, 3, world.dispatch.start) ==
--- a/upstream.c
+++ b/upstream.c
@@ -13,7 +13,7 @@
 #include "error.h"
 #include "log.h"
 #include "mem.h"
-#include "server_pace.h"
+#include "server_timing.h"
 
 #define CONNECT_TIMEOUT MSEC(250)
 /* Callers give up at the deadline; the exchange times out this much later. */
