--- a/gateway.c
+++ b/gateway.c
@@ -145,7 +145,7 @@
 
 	store_sync_answered(&gateway->sync, topic, answer);
 	if (!answer->code)
-		view_share_read(&gateway->fleet.views);
+		view_share_publish(&gateway->fleet.views);
 	on_view_changed(gateway, was_ready);
 }
 
@@ -171,7 +171,8 @@
 {
 	struct gateway *gateway = arg;
 
-	view_share_changed(&gateway->fleet.views, id, changed_at, removed);
+	view_share_record_change(&gateway->fleet.views, id, changed_at,
+				 removed);
 }
 
 static const struct store_sync_ops sync_ops = {
@@ -220,7 +221,7 @@
 	gateway->state = GATEWAY_LEAVING;
 	gateway->leaving_since = clock_now(&gateway->clock);
 	LOG_INFO("leaving", LOG_I64("connections", gateway->inbound.n));
-	inbound_leave(&gateway->inbound);
+	inbound_disable_keep_alive(&gateway->inbound);
 	gateway_fleet_leave(&gateway->fleet);
 	event_add(gateway->stop_timer, &period);
 }
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -172,7 +172,7 @@
 		.longest_timeout =
 			MSEC(peak_add(&stats->caller_timeout, timeout_ms, now)),
 		.caller_timeout = timeout_ms < 0 ? -1 : MSEC(timeout_ms),
-		.round_trip = inbound_conn_round_trip(conn),
+		.round_trip = inbound_conn_rtt(conn),
 	};
 
 	return answer_due_timeout(&due) -
@@ -197,7 +197,7 @@
 
 	hash = str_hash_mix(hash, str_hash(host_of(message)));
 	hash = str_hash_mix(hash, message->parser.method);
-	return poison_fingerprint(str_from(inbound_conn_peer(conn)),
+	return poison_fingerprint(str_from(inbound_conn_ip(conn)),
 				  http_message_target(message), hash);
 }
 
@@ -226,7 +226,7 @@
 	request->request.is_head = message->parser.method == HTTP_HEAD;
 	request->request.needs_recent_conn = !route->repeatable;
 	build_head(request, message);
-	inbound_conn_set(conn, request);
+	inbound_conn_set_request(conn, request);
 	DL_APPEND(gateway->open_requests, request);
 	if (!route->sharded)
 		target = due ? gateway_load_return_target(route, due)
