--- a/answer.c
+++ b/answer.c
@@ -353,7 +353,7 @@
 	int n = 0;
 
 	evbuffer_add_printf(out, ",\"gone\":[");
-	HASH_ITER (hh, board->listed.members, member, next) {
+	HASH_ITER (hh, board->platform_list.members, member, next) {
 		if (member->status == FLEET_LEAVING ||
 		    fleet_find(&board->fleet, str_from(member->instance)))
 			continue;
--- a/blackboard.c
+++ b/blackboard.c
@@ -31,7 +31,7 @@
 	board->settings = settings;
 	board->base = base;
 	board->incarnation = incarnation;
-	fleet_init(&board->listed);
+	fleet_init(&board->platform_list);
 	fleet_init(&board->fleet);
 	catalog_init(&board->catalog, clock);
 	counters_init(&board->counters);
@@ -51,7 +51,7 @@
 	trace_book_finish(&board->traces);
 	catalog_finish(&board->catalog);
 	fleet_finish(&board->fleet);
-	fleet_finish(&board->listed);
+	fleet_finish(&board->platform_list);
 }
 
 void blackboard_watch(struct blackboard *board, enum blackboard_topic topic,
@@ -64,7 +64,7 @@
 	board->watches[topic] = watch;
 }
 
-void blackboard_changed(struct blackboard *board, enum blackboard_topic topic)
+void blackboard_notify(struct blackboard *board, enum blackboard_topic topic)
 {
 	struct blackboard_watch *watch;
 
@@ -78,7 +78,7 @@
 
 	board->table = table;
 	apply_limits(board);
-	blackboard_changed(board, BLACKBOARD_TABLE);
+	blackboard_notify(board, BLACKBOARD_TABLE);
 	if (!old)
 		return;
 	table_finish(old);
@@ -92,9 +92,10 @@
 
 int64_t blackboard_stall(const struct blackboard *board)
 {
-	int64_t since = clock_now(board->clock) - board->beat_at;
+	int64_t since = clock_now(board->clock) - board->last_tick_at;
 
-	if (!board->beat_at || since < LOOP_LAG_BEATS_MISSED * LOOP_LAG_PERIOD)
+	if (!board->last_tick_at ||
+	    since < LOOP_LAG_BEATS_MISSED * LOOP_LAG_PERIOD)
 		return 0;
 	return since;
 }
--- a/blackboard.h
+++ b/blackboard.h
@@ -1,7 +1,7 @@
 /*
- * The blackboard: what the controllers of an instance read and write. A
- * controller never calls another; it writes here and says what it changed.
- * docs/ARCHITECTURE.md lists who reads and who writes what.
+ * The shared state of an instance (blackboard pattern). Controllers do not call
+ * each other: each writes its state here and notifies the watchers of the topic
+ * it changed. docs/ARCHITECTURE.md lists who reads and who writes what.
  */
 #ifndef BLACKBOARD_H
 #define BLACKBOARD_H
@@ -26,23 +26,28 @@
 struct table_sync;
 
 enum blackboard_topic {
-	BLACKBOARD_TABLE,     /* another table is in force */
-	BLACKBOARD_FLEET,     /* members came, went or changed */
-	BLACKBOARD_CATALOG,   /* what servers hold, or who is their home */
-	BLACKBOARD_INSTANCES, /* the platform's list came */
+	BLACKBOARD_TABLE,     /* a new table is in force */
+	BLACKBOARD_FLEET,     /* members joined, left or changed */
+	BLACKBOARD_CATALOG,   /* what servers hold, or their home instances */
+	BLACKBOARD_INSTANCES, /* the platform's list of instances was read */
 	BLACKBOARD_SHARES,    /* shares of backend servers changed */
-	BLACKBOARD_USE,	      /* report what is used, see share_in_use() */
-	BLACKBOARD_LIFECYCLE, /* this instance serves, leaves or stops */
+	BLACKBOARD_USAGE,     /* report usage now, see share_in_use() */
+	BLACKBOARD_LIFECYCLE, /* enum lifecycle of this instance changed */
 	BLACKBOARD_N_TOPICS,
 };
 
 enum lifecycle {
 	LIFECYCLE_STARTING, /* no table yet */
 	LIFECYCLE_SERVING,
-	LIFECYCLE_LEAVING, /* out of callers' answers, still serving */
+	LIFECYCLE_LEAVING, /* no longer named to callers, still serving */
 	LIFECYCLE_STOPPED,
 };
 
+/**
+ * struct blackboard_watch - a subscription to a topic
+ * @changed: called after each change
+ * @arg: passed to @changed
+ */
 struct blackboard_watch {
 	void (*changed)(void *arg);
 	void *arg;
@@ -52,28 +57,28 @@
 /**
  * struct blackboard - all shared state of one instance
  * @clock: the only source of time
- * @settings: as read at start
- * @base: the event loop; decision modules do not touch it
- * @incarnation: random at start, never 0
+ * @settings: as read at startup
+ * @base: the event loop; not used by modules that work without sockets
+ * @incarnation: random number of this process, never 0
  * @lifecycle: written by lifecycle
  * @leaving_since: time of the change to LIFECYCLE_LEAVING
  * @table: in force, NULL before the first; written by the table controller
- * @table_sync: what the table controller decides by, for answers
+ * @table_sync: state of the table controller, for status queries
  * @table_confirmed_at: when @table was last known to be the newest; -1: never
- * @table_refused: why the newest revision was refused, code 0 if it was not
- * @table_refused_revision: which revision that was
- * @listed: the platform's list; written by the table controller
+ * @table_refused: why the newest revision was rejected, code 0 if it was not
+ * @table_refused_revision: the rejected revision
+ * @platform_list: instances by the platform; written by the table controller
  * @fleet: members; written by membership
- * @members: what membership decides by, for answers
- * @share: the shares of backend servers; decided by membership
+ * @members: state of membership, for status queries
+ * @share: the shares of backend servers; written by membership
  * @catalog: what servers hold and their homes; written by catalog_net
  * @counters: metrics
- * @traces: what requests did that are over; written by search_trace
+ * @traces: traces of finished requests; written by search_trace
  * @burn: error budgets; written by search_trace
  * @poison: requests that crash servers; written by home and poison_net
- * @beat_at: when the event loop last came to its timer, 0 before the first;
- * written by loop_lag
- * @watches: by topic
+ * @last_tick_at: when the timer of loop_lag last ran, 0 before the first;
+ *	written by loop_lag
+ * @watches: subscriptions by topic
  */
 struct blackboard {
 	const struct clock *clock;
@@ -87,7 +92,7 @@
 	int64_t table_confirmed_at;
 	struct error table_refused;
 	uint64_t table_refused_revision;
-	struct fleet listed;
+	struct fleet platform_list;
 	struct fleet fleet;
 	const struct member_table *members;
 	struct share *share;
@@ -96,7 +101,7 @@
 	struct trace_book traces;
 	struct burn burn;
 	struct poison poison;
-	int64_t beat_at;
+	int64_t last_tick_at;
 	struct blackboard_watch *watches[BLACKBOARD_N_TOPICS];
 };
 
@@ -106,21 +111,22 @@
 void blackboard_finish(struct blackboard *board);
 
 /**
- * blackboard_watch() - be told of changes to a topic
- * @watch: owned by the caller, must outlive the blackboard's use
+ * blackboard_watch() - subscribe to changes of a topic
+ * @watch: owned by the caller, must outlive @board
+ * @changed: called with @arg after each change
  */
 void blackboard_watch(struct blackboard *board, enum blackboard_topic topic,
 		      struct blackboard_watch *watch,
 		      void (*changed)(void *arg), void *arg);
 
 /**
- * blackboard_changed() - tell the watchers of a topic
+ * blackboard_notify() - call the watchers of a topic
  */
-void blackboard_changed(struct blackboard *board, enum blackboard_topic topic);
+void blackboard_notify(struct blackboard *board, enum blackboard_topic topic);
 
 /**
- * blackboard_set_table() - put another table in force
- * @table: on the heap; the blackboard owns it from here on
+ * blackboard_set_table() - put a new table in force and free the previous one
+ * @table: on the heap; the blackboard takes ownership
  */
 void blackboard_set_table(struct blackboard *board, struct table *table);
 
@@ -130,13 +136,14 @@
 const struct tunables *blackboard_tunables(const struct blackboard *board);
 
 /**
- * blackboard_stall() - how old what is read from a socket now may be
+ * blackboard_stall() - how long data may have waited in a socket
  *
- * A process that was stopped finds requests in its sockets that came while it
- * slept. Their time left was stated when they were sent, so that it must be
- * counted from there and not from when they are read.
+ * After a process was suspended, its sockets hold requests that arrived in the
+ * meantime. The remaining time that such a request states counts from when it
+ * was sent, not from when it is read.
  *
- * Return: microseconds; 0 while the event loop runs as usual.
+ * Return: microseconds since the event loop's last tick; 0 while the loop runs
+ * normally.
  */
 int64_t blackboard_stall(const struct blackboard *board);
 
--- /dev/null
+++ b/compress.c
@@ -0,0 +1,32 @@
+#include "compress.h"
+
+#include <stdlib.h>
+
+#include <zlib.h>
+
+#include "mem.h"
+
+uint8_t *compress_bytes(const uint8_t *raw, size_t size, size_t *len)
+{
+	uLongf packed_len = compressBound(size);
+	uint8_t *out = mem_zalloc(packed_len);
+
+	if (compress2(out, &packed_len, raw, size, Z_BEST_SPEED) == Z_OK) {
+		*len = packed_len;
+		return out;
+	}
+	/* Out of memory: the caller sends the data uncompressed. */
+	free(out);
+	return NULL;
+}
+
+uint8_t *decompress_bytes(const uint8_t *packed, size_t len, size_t size)
+{
+	uint8_t *raw = mem_zalloc(size + 1);
+	uLongf raw_len = size;
+
+	if (uncompress(raw, &raw_len, packed, len) == Z_OK && raw_len == size)
+		return raw;
+	free(raw);
+	return NULL;
+}
--- a/frame.c
+++ b/frame.c
@@ -8,6 +8,7 @@
 #include "error.h"
 #include "peer.pb-c.h"
 
+/* As on the wire, big-endian. */
 struct header {
 	uint16_t magic;
 	uint8_t version;
@@ -17,7 +18,7 @@
 };
 
 _Static_assert(sizeof(struct header) == FRAME_HEADER_SIZE,
-	       "the header goes onto the wire as it is");
+	       "the header must have no padding");
 
 static const ProtobufCMessageDescriptor *descriptor_of(int type)
 {
@@ -31,10 +32,11 @@
 	return NULL;
 }
 
-#define FRAME_ROOM(symbol, number, name)                                       \
-	_Static_assert((number) < FRAME_TYPES, "room for each type");
-FRAME_LIST(FRAME_ROOM)
-#undef FRAME_ROOM
+#define FRAME_CHECK_NUMBER(symbol, number, name)                               \
+	_Static_assert((number) < FRAME_TYPE_LIMIT, "frame type out of "       \
+						    "range");
+FRAME_LIST(FRAME_CHECK_NUMBER)
+#undef FRAME_CHECK_NUMBER
 
 const char *frame_type_name(int type)
 {
--- a/frame.h
+++ b/frame.h
@@ -1,5 +1,5 @@
 /*
- * Frames between instances: a header of 12 bytes, big-endian, and a protocol
+ * Frames between instances: a 12-byte big-endian header followed by a protocol
  * buffer. See docs/PROTOCOL.md.
  */
 #ifndef FRAME_H
@@ -17,7 +17,7 @@
 #define FRAME_HEADER_SIZE 12
 #define FRAME_PAYLOAD_MAX (8 * 1024 * 1024)
 
-/* X(symbol, number, descriptor): numbers are on the wire, never reuse one. */
+/* X(symbol, number, descriptor). Numbers go on the wire: never reuse one. */
 #define FRAME_LIST(X)                                                          \
 	X(FRAME_HELLO, 1, peer__hello)                                         \
 	X(FRAME_QUERY, 2, peer__query)                                         \
@@ -50,11 +50,13 @@
 };
 #undef FRAME_ENUM
 
-/* Above every number of FRAME_LIST. */
-#define FRAME_TYPES 32
+/* Array size for counters by type: above every number of FRAME_LIST. */
+#define FRAME_TYPE_LIMIT 32
 
 /**
- * frame_type_name() - for metrics: the descriptor's name, as in "view_update"
+ * frame_type_name() - the descriptor's name for metrics, e.g. "view_update"
+ *
+ * Return: a constant string; "unknown" for a number outside FRAME_LIST.
  */
 const char *frame_type_name(int type);
 
@@ -62,7 +64,7 @@
  * struct frame - a received frame
  * @type: one of enum frame_type
  * @message: unpacked; release with frame_finish()
- * @payload_len: bytes behind the header
+ * @payload_len: bytes after the header
  */
 struct frame {
 	enum frame_type type;
@@ -71,23 +73,28 @@
 };
 
 /**
- * frame_write() - append a frame
- * @message: must be of the type's descriptor
+ * frame_write() - append a frame to a buffer
+ * @message: must match the descriptor of @type
  *
- * Return: 0, or ERR_TOO_LARGE and nothing appended.
+ * Return: 0; ERR_TOO_LARGE or ERR_SYSTEM if nothing was appended.
  */
 int frame_write(struct evbuffer *out, enum frame_type type,
 		const ProtobufCMessage *message);
 
 /**
- * frame_read() - take one whole frame from the front of a buffer
- * @frame: filled when 1 is returned
+ * frame_read() - remove one complete frame from the front of a buffer
+ * @frame: filled if 1 is returned
  *
- * Return: 1; 0 if the frame is not whole yet; ERR_FRAME (wrong magic, unknown
- * type, payload not of its type), ERR_VERSION or ERR_TOO_LARGE, after which
- * the connection must be closed, since the next frame's start is not known.
+ * Return: 1; 0 if the frame is incomplete; ERR_FRAME (wrong magic, unknown
+ * type, or a payload that does not parse as its type), ERR_VERSION or
+ * ERR_TOO_LARGE. After an error the connection must be closed, as the start of
+ * the next frame is unknown.
  */
 int frame_read(struct evbuffer *in, struct frame *frame);
+
+/**
+ * frame_finish() - free the message
+ */
 void frame_finish(struct frame *frame);
 
 #endif
--- a/gateway.c
+++ b/gateway.c
@@ -144,7 +144,7 @@
 
 	store_sync_answered(&gateway->sync, topic, answer);
 	if (!answer->code)
-		view_share_read(&gateway->fleet.views);
+		view_share_publish(&gateway->fleet.views);
 	on_view_changed(gateway, was_ready);
 }
 
@@ -170,7 +170,8 @@
 {
 	struct gateway *gateway = arg;
 
-	view_share_changed(&gateway->fleet.views, id, changed_at, removed);
+	view_share_record_change(&gateway->fleet.views, id, changed_at,
+				 removed);
 }
 
 static const struct store_sync_ops sync_ops = {
--- a/gateway_answer.c
+++ b/gateway_answer.c
@@ -20,7 +20,7 @@
 	if (retry_after_ms)
 		evbuffer_add_printf(fields, "Retry-After: %.3f\r\n",
 				    (double)retry_after_ms / 1000);
-	inbound_answer(conn, status, fields, (struct str){body, (size_t)len});
+	inbound_respond(conn, status, fields, (struct str){body, (size_t)len});
 	evbuffer_free(fields);
 }
 
@@ -109,9 +109,10 @@
 			    dispatch->n_parts - dispatch->n_answered);
 	gateway_answer_log(request, HTTP_STATUS_OK);
 	log_missing(request);
-	inbound_answer(request->conn, HTTP_STATUS_OK, fields,
-		       (struct str){dispatch->records.bytes,
-				    (size_t)dispatch->records.n * RECORD_SIZE});
+	inbound_respond(request->conn, HTTP_STATUS_OK, fields,
+			(struct str){dispatch->records.bytes,
+				     (size_t)dispatch->records.n *
+					     RECORD_SIZE});
 	evbuffer_free(fields);
 }
 
@@ -130,8 +131,8 @@
 	if (!kept->fields || gateway_promises_not_run(kept->status))
 		return false;
 	gateway_answer_log(request, kept->status);
-	inbound_answer(request->conn, kept->status, kept->fields,
-		       (struct str){kept->body, kept->body_len});
+	inbound_respond(request->conn, kept->status, kept->fields,
+			(struct str){kept->body, kept->body_len});
 	return true;
 }
 
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -91,7 +91,7 @@
 	struct gateway_fleet *fleet = arg;
 
 	member_table_greet(&fleet->members.members, link->instance);
-	view_share_met(&fleet->views, link->instance);
+	view_share_member_reachable(&fleet->views, link->instance);
 }
 
 static void on_heard(void *arg, const char *peer,
@@ -112,7 +112,7 @@
 	heard->routes_version = beacon->table_revision;
 	heard->incarnation = member ? member->incarnation : 0;
 	if (peers_find_any(&fleet->peers, str_from(peer)))
-		view_share_met(&fleet->views, peer);
+		view_share_member_reachable(&fleet->views, peer);
 }
 
 static bool is_seed(const struct gateway_fleet *fleet,
@@ -273,7 +273,8 @@
 
 	for (link = fleet->peers.links; link; link = link->next) {
 		if (link->up && heard_ready(fleet, link->instance))
-			view_share_met(&fleet->views, link->instance);
+			view_share_member_reachable(&fleet->views,
+						    link->instance);
 	}
 }
 
@@ -289,7 +290,7 @@
 	if (!fleet->config.ops->ready(fleet->config.arg))
 		ask_again(fleet);
 	else
-		view_share_review(&fleet->views);
+		view_share_tick(&fleet->views);
 }
 
 static void fill_settings(struct gateway_fleet *fleet)
@@ -397,7 +398,7 @@
 {
 	fleet->board.lifecycle = LIFECYCLE_LEAVING;
 	fleet->board.leaving_since = clock_now(fleet->config.clock);
-	blackboard_changed(&fleet->board, BLACKBOARD_LIFECYCLE);
+	blackboard_notify(&fleet->board, BLACKBOARD_LIFECYCLE);
 }
 
 bool gateway_fleet_is_ready(const struct gateway_fleet *fleet,
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -166,7 +166,7 @@
 		.goal = MSEC(route->goal_ms),
 		.longest_timeout = MSEC(peak_add(&stats->patience, told, now)),
 		.caller_timeout = told < 0 ? -1 : MSEC(told),
-		.round_trip = inbound_conn_round_trip(conn),
+		.round_trip = inbound_conn_rtt(conn),
 	};
 
 	return answer_due_timeout(&due) -
@@ -191,7 +191,7 @@
 
 	hash = str_hash_mix(hash, str_hash(host_of(message)));
 	hash = str_hash_mix(hash, message->parser.method);
-	return poison_fingerprint(str_from(inbound_conn_peer(conn)),
+	return poison_fingerprint(str_from(inbound_conn_ip(conn)),
 				  http_message_target(message), hash);
 }
 
@@ -219,7 +219,7 @@
 	request->request.is_head = message->parser.method == HTTP_HEAD;
 	request->request.needs_recent_conn = !route->repeatable;
 	build_head(request, message);
-	inbound_conn_set(conn, request);
+	inbound_conn_set_request(conn, request);
 	DL_APPEND(gateway->open, request);
 	if (!route->sharded)
 		target = due ? gateway_load_target(route, due)
--- a/home_net.c
+++ b/home_net.c
@@ -855,7 +855,7 @@
 			 sync_servers, net);
 	blackboard_watch(board, BLACKBOARD_CATALOG, &net->catalog_watch,
 			 on_catalog, net);
-	blackboard_watch(board, BLACKBOARD_USE, &net->use_watch, report_use,
+	blackboard_watch(board, BLACKBOARD_USAGE, &net->use_watch, report_use,
 			 net);
 	on_poll(-1, 0, net);
 }
--- a/loop_lag.c
+++ b/loop_lag.c
@@ -8,13 +8,13 @@
 	struct loop_lag *loop = arg;
 	struct blackboard *board = loop->board;
 	int64_t now = clock_now(board->clock);
-	int64_t lag = now - board->beat_at - LOOP_LAG_PERIOD;
+	int64_t lag = now - board->last_tick_at - LOOP_LAG_PERIOD;
 
 	(void)fd;
 	(void)what;
-	if (!board->beat_at || lag < 0)
+	if (!board->last_tick_at || lag < 0)
 		lag = 0;
-	board->beat_at = now;
+	board->last_tick_at = now;
 	metric_histogram_add(&board->counters.loop_lag.histogram, lag);
 	loop->beat(loop->arg, lag);
 	evtimer_add(loop->timer, &period);
--- a/member.c
+++ b/member.c
@@ -7,7 +7,7 @@
 #include "clock.h"
 #include "log.h"
 #include "member_private.h"
-#include "pack.h"
+#include "compress.h"
 
 /* Silence is taken for a stop after this many probe periods. */
 #define SUSPECT_PERIODS 6
@@ -201,8 +201,9 @@
 	uint8_t *raw = NULL;
 
 	if (message->packed_size <= MEMBERS_SIZE_MOST)
-		raw = unpack_bytes(message->packed.data, message->packed.len,
-				   message->packed_size);
+		raw = decompress_bytes(message->packed.data,
+				       message->packed.len,
+				       message->packed_size);
 	if (raw)
 		body = peer__members__unpack(NULL, message->packed_size, raw);
 	free(raw);
--- a/member_send.c
+++ b/member_send.c
@@ -6,7 +6,7 @@
 
 #include "clock.h"
 #include "mem.h"
-#include "pack.h"
+#include "compress.h"
 
 #define UPDATES_MAX 24
 /* A packed list of members is told again for so long, though some changed. */
@@ -207,7 +207,7 @@
 
 	peer__members__pack(body, raw);
 	free(list->packed);
-	list->packed = pack_bytes(raw, size, &len);
+	list->packed = compress_bytes(raw, size, &len);
 	list->len = list->packed ? len : 0;
 	list->size = size;
 	free(raw);
--- a/registry.c
+++ b/registry.c
@@ -111,8 +111,8 @@
 	server->entry = *entry;
 	server->remote = strcmp(entry->data_centre, registry->data_centre);
 	server->region = regions_of(registry->regions, entry->data_centre);
-	server->cordoned =
-		cordons_hold(&registry->cordons, str_from(entry->data_centre));
+	server->cordoned = cordon_set_contains(&registry->cordons,
+					       str_from(entry->data_centre));
 	HASH_ADD_KEYPTR(hh, registry->servers, server->entry.id,
 			strlen(server->entry.id), server);
 	join_service(registry, server);
@@ -283,8 +283,9 @@
 		bool before = server->cordoned;
 
 		server->cordoned =
-			cordons_hold(&registry->cordons,
-				     str_from(server->entry.data_centre));
+			cordon_set_contains(&registry->cordons,
+					    str_from(
+						    server->entry.data_centre));
 		if (server->cordoned && !before)
 			registry->closing(registry->arg, server);
 		else if (!server->cordoned && before)
--- a/registry.h
+++ b/registry.h
@@ -151,7 +151,7 @@
 	uint64_t n_removed;
 	const struct regions *regions;
 	bool shared_pace;
-	struct cordons cordons;
+	struct cordon_set cordons;
 	char data_centre[REGISTRY_NAME_SIZE];
 	struct registry_server *servers;
 	struct registry_service *services;
--- a/store_sync.c
+++ b/store_sync.c
@@ -124,7 +124,7 @@
 	if (feed->topic == STORE_SERVERS)
 		take_server(sync, item, feed->listing);
 	else if (item->kind == STORE_ITEM_CORDON)
-		cordon_sync_item(&sync->cordons, item);
+		cordon_sync_apply_item(&sync->cordons, item);
 	else if (item->kind == STORE_ITEM_PLAIN && !item->removed)
 		store_sync_take_routes(sync, item->value, "store");
 }
@@ -389,7 +389,7 @@
 	struct store_call call = {.topic = feed->topic, .after = feed->at};
 
 	if (feed->topic == STORE_ROUTES &&
-	    cordon_sync_wants_list(&sync->cordons))
+	    cordon_sync_needs_list(&sync->cordons))
 		feed->listed = false;
 	if (!feed->listed && !feed->listing)
 		start_list(sync, feed);
--- a/tests/test_cordon.c
+++ b/tests/test_cordon.c
@@ -49,7 +49,7 @@
 				  .removed = removed};
 
 	snprintf(item.name, sizeof(item.name), "%s", dc);
-	cordon_sync_item(&world->sync, &item);
+	cordon_sync_apply_item(&world->sync, &item);
 	cordon_sync_confirm(&world->sync, at);
 }
 
@@ -120,27 +120,27 @@
  */
 static void test_newer_set_wins(void)
 {
-	struct cordons from = {.at = 20};
+	struct cordon_set from = {.at = 20};
 	struct world world;
 
 	world_init(&world);
 	change(&world, "dc1", 10, false);
-	cordons_put(&from, STR("dc2"), 15);
-	cordon_sync_take(&world.sync, &from);
-	CU_ASSERT(!cordons_hold(&world.registry.cordons, STR("dc1")));
-	CU_ASSERT(cordons_hold(&world.registry.cordons, STR("dc2")));
-	from = (struct cordons){.at = 12};
-	cordons_put(&from, STR("dc1"), 10);
-	cordon_sync_take(&world.sync, &from);
-	CU_ASSERT(!cordons_hold(&world.registry.cordons, STR("dc1")));
-	CU_ASSERT(cordons_hold(&world.registry.cordons, STR("dc2")));
+	cordon_set_add(&from, STR("dc2"), 15);
+	cordon_sync_apply_peer_set(&world.sync, &from);
+	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc1")));
+	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc2")));
+	from = (struct cordon_set){.at = 12};
+	cordon_set_add(&from, STR("dc1"), 10);
+	cordon_sync_apply_peer_set(&world.sync, &from);
+	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc1")));
+	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc2")));
 	/* What the peer cannot know yet stays. */
 	change(&world, "dc3", 30, false);
 	world.registry.cordons.at = 20;
-	from = (struct cordons){.at = 25};
-	cordon_sync_take(&world.sync, &from);
-	CU_ASSERT(cordons_hold(&world.registry.cordons, STR("dc3")));
-	CU_ASSERT(!cordons_hold(&world.registry.cordons, STR("dc2")));
+	from = (struct cordon_set){.at = 25};
+	cordon_sync_apply_peer_set(&world.sync, &from);
+	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc3")));
+	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc2")));
 	registry_finish(&world.registry);
 }
 
@@ -157,8 +157,8 @@
 	cordon_sync_begin_list(&world.sync);
 	change(&world, "dc2", 12, false);
 	cordon_sync_end_list(&world.sync, 15);
-	CU_ASSERT(!cordons_hold(&world.registry.cordons, STR("dc1")));
-	CU_ASSERT(cordons_hold(&world.registry.cordons, STR("dc2")));
+	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc1")));
+	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc2")));
 	registry_finish(&world.registry);
 }
 
@@ -171,21 +171,21 @@
 	change(&world, "dc1", 10, false);
 	change(&world, "dc1", 12, false);
 	change(&world, "dc1", 11, true);
-	CU_ASSERT(cordons_hold(&world.registry.cordons, STR("dc1")));
+	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc1")));
 	registry_finish(&world.registry);
 }
 
 static void test_bounded(void)
 {
-	struct cordons cordons = {.n = 0};
+	struct cordon_set cordons = {.n = 0};
 	char name[16];
 	int i;
 
 	for (i = 0; i < CORDONS_MAX; i++) {
 		snprintf(name, sizeof(name), "dc%d", i);
-		CU_ASSERT(cordons_put(&cordons, str_from(name), 1));
+		CU_ASSERT(cordon_set_add(&cordons, str_from(name), 1));
 	}
-	CU_ASSERT(!cordons_put(&cordons, STR("one-more"), 1));
+	CU_ASSERT(!cordon_set_add(&cordons, STR("one-more"), 1));
 	CU_ASSERT(cordons.n == CORDONS_MAX);
 }
 
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -8,11 +8,11 @@
 #include "peer.pb-c.h"
 #include "unit.h"
 
-#define AT_MAGIC 0
-#define AT_VERSION 2
-#define AT_TYPE 3
-#define AT_LENGTH 4
-#define AT_RESERVED 8
+#define MAGIC_OFFSET 0
+#define VERSION_OFFSET 2
+#define TYPE_OFFSET 3
+#define LENGTH_OFFSET 4
+#define RESERVED_OFFSET 8
 
 static size_t pack_hello(struct evbuffer *out)
 {
@@ -53,7 +53,7 @@
 	evbuffer_free(buffer);
 }
 
-/* An empty message is a header and nothing else. */
+/* An empty message is encoded as a header without payload. */
 static void test_empty_payload(void)
 {
 	struct evbuffer *buffer = evbuffer_new();
@@ -68,7 +68,7 @@
 	evbuffer_free(buffer);
 }
 
-/* TCP hands bytes over as it likes: a frame may come in any two pieces. */
+/* TCP may split a frame at any byte. */
 static void test_partial_frames(void)
 {
 	struct evbuffer *whole = evbuffer_new();
@@ -90,7 +90,7 @@
 	evbuffer_free(whole);
 }
 
-/* The result for a whole frame with one byte of its header changed. */
+/* Return: the result of reading a frame with one header byte replaced. */
 static int read_changed(size_t at, unsigned char byte)
 {
 	struct evbuffer *buffer = evbuffer_new();
@@ -108,19 +108,19 @@
 
 static void test_wrong_headers(void)
 {
-	CU_ASSERT_EQUAL(read_changed(AT_MAGIC, 0), ERR_FRAME);
-	CU_ASSERT_EQUAL(read_changed(AT_VERSION, 2), ERR_VERSION);
-	CU_ASSERT_EQUAL(read_changed(AT_VERSION, 0), ERR_VERSION);
-	CU_ASSERT_EQUAL(read_changed(AT_TYPE, 0), ERR_FRAME);
-	CU_ASSERT_EQUAL(read_changed(AT_TYPE, 255), ERR_FRAME);
-	CU_ASSERT_EQUAL(read_changed(AT_RESERVED, 1), ERR_FRAME);
-	CU_ASSERT_EQUAL(read_changed(AT_LENGTH, 1), ERR_TOO_LARGE);
-	CU_ASSERT_EQUAL(read_changed(AT_LENGTH, 255), ERR_TOO_LARGE);
+	CU_ASSERT_EQUAL(read_changed(MAGIC_OFFSET, 0), ERR_FRAME);
+	CU_ASSERT_EQUAL(read_changed(VERSION_OFFSET, 2), ERR_VERSION);
+	CU_ASSERT_EQUAL(read_changed(VERSION_OFFSET, 0), ERR_VERSION);
+	CU_ASSERT_EQUAL(read_changed(TYPE_OFFSET, 0), ERR_FRAME);
+	CU_ASSERT_EQUAL(read_changed(TYPE_OFFSET, 255), ERR_FRAME);
+	CU_ASSERT_EQUAL(read_changed(RESERVED_OFFSET, 1), ERR_FRAME);
+	CU_ASSERT_EQUAL(read_changed(LENGTH_OFFSET, 1), ERR_TOO_LARGE);
+	CU_ASSERT_EQUAL(read_changed(LENGTH_OFFSET, 255), ERR_TOO_LARGE);
 }
 
 /*
- * A peer announces four gigabytes. The header alone must be refused: waiting
- * for the rest would fill the memory.
+ * A peer announces a payload above the limit. The frame must be rejected by its
+ * header alone: buffering the payload could exhaust memory.
  */
 static void test_oversize_is_refused_by_the_header(void)
 {
@@ -130,11 +130,11 @@
 	uint32_t len = htonl(FRAME_PAYLOAD_MAX);
 	struct frame frame;
 
-	memcpy(header + AT_LENGTH, &len, sizeof(len));
+	memcpy(header + LENGTH_OFFSET, &len, sizeof(len));
 	evbuffer_add(buffer, header, sizeof(header));
 	CU_ASSERT_EQUAL(frame_read(buffer, &frame), 0);
 	len = htonl(FRAME_PAYLOAD_MAX + 1);
-	memcpy(evbuffer_pullup(buffer, -1) + AT_LENGTH, &len, sizeof(len));
+	memcpy(evbuffer_pullup(buffer, -1) + LENGTH_OFFSET, &len, sizeof(len));
 	CU_ASSERT_EQUAL(frame_read(buffer, &frame), ERR_TOO_LARGE);
 	evbuffer_free(buffer);
 }
@@ -151,14 +151,14 @@
 	evbuffer_free(buffer);
 }
 
-/* A message of another type must not be taken for the announced one. */
+/* A payload that does not parse as the announced type is rejected. */
 static void test_payload_of_another_type(void)
 {
 	struct evbuffer *buffer = evbuffer_new();
 	struct frame frame;
 
 	pack_hello(buffer);
-	evbuffer_pullup(buffer, -1)[AT_TYPE] = FRAME_CANCEL;
+	evbuffer_pullup(buffer, -1)[TYPE_OFFSET] = FRAME_CANCEL;
 	CU_ASSERT_EQUAL(frame_read(buffer, &frame), ERR_FRAME);
 	evbuffer_free(buffer);
 }
@@ -169,7 +169,7 @@
 	Peer__TableUpdate update = PEER__TABLE_UPDATE__INIT;
 
 	update.text.len = FRAME_PAYLOAD_MAX + 1;
-	/* Never read: the size alone decides. */
+	/* The data is not read, only its length. */
 	update.text.data = (uint8_t *)"";
 	CU_ASSERT_EQUAL(frame_write(buffer, FRAME_TABLE_UPDATE, &update.base),
 			ERR_TOO_LARGE);
--- a/view_take.c
+++ b/view_apply.c
@@ -1,4 +1,4 @@
-#include "view_take.h"
+#include "view_apply.h"
 
 #include <string.h>
 
@@ -45,16 +45,16 @@
 static void take_cordons(struct view_share *share,
 			 const Peer__ViewUpdate *message)
 {
-	struct cordons cordons = {.at = message->routes_at};
+	struct cordon_set cordons = {.at = message->routes_at};
 	size_t i;
 
 	if (message->routes_age_ms == UINT32_MAX)
 		return;
 	for (i = 0; i < message->n_cordons && i < CORDONS_MAX; i++)
-		cordons_put(&cordons,
-			    str_from(message->cordons[i]->data_centre),
-			    message->cordons[i]->changed_at);
-	cordon_sync_take(&share->sync->cordons, &cordons);
+		cordon_set_add(&cordons,
+			       str_from(message->cordons[i]->data_centre),
+			       message->cordons[i]->changed_at);
+	cordon_sync_apply_peer_set(&share->sync->cordons, &cordons);
 }
 
 static int take_document(struct view_share *share,
@@ -111,8 +111,8 @@
 }
 
 /* Servers are taken also if the routes are not. */
-int view_take(struct view_share *share, const char *member,
-	      const Peer__ViewUpdate *message, const Peer__ViewBody *body)
+int view_apply(struct view_share *share, const char *member,
+	       const Peer__ViewUpdate *message, const Peer__ViewBody *body)
 {
 	const ProtobufCBinaryData *routes =
 		body ? &body->routes : &message->routes;
--- a/view_update.c
+++ b/view_update.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 #include "mem.h"
-#include "view_pack.h"
+#include "view_compress.h"
 
 /* Most rows of a message: a row takes about 150 bytes. */
 #define ROWS_MAX 4096
@@ -69,7 +69,7 @@
 }
 
 /* All that hold, each time: whoever missed some has them with the next. */
-static void add_cordons(const struct cordons *cordons,
+static void add_cordons(const struct cordon_set *cordons,
 			struct view_update *update)
 {
 	int i;
@@ -120,7 +120,7 @@
 		message->routes.data = (uint8_t *)routes->text;
 		message->routes.len = routes->text_len;
 	}
-	update->packed = view_pack(message);
+	update->packed = view_compress(message);
 }
 
 static void add_change(const struct view_share *share,
@@ -176,7 +176,7 @@
 	update->message.servers_from = since;
 }
 
-void view_update_whole(struct view_share *share, struct view_update *update)
+void view_update_snapshot(struct view_share *share, struct view_update *update)
 {
 	struct registry *registry = share->sync->registry;
 	struct registry_server *server;
--- a/view_update.h
+++ b/view_update.h
@@ -36,9 +36,9 @@
 			 uint64_t since, int n);
 
 /**
- * view_update_whole() - begin a message with all servers
+ * view_update_snapshot() - begin a message with all servers
  */
-void view_update_whole(struct view_share *share, struct view_update *update);
+void view_update_snapshot(struct view_share *share, struct view_update *update);
 
 /**
  * view_update_fill_ages() - add what is short and told each time: versions,
