--- a/cordon.c
+++ b/cordon.c
@@ -33,7 +33,7 @@
 	return true;
 }
 
-static void drop(struct cordon_set *cordons, struct cordon *cordon)
+static void remove_cordon(struct cordon_set *cordons, struct cordon *cordon)
 {
 	*cordon = cordons->list[--cordons->n];
 	cordons->n_changes++;
@@ -46,7 +46,7 @@
 
 	if (!cordon || changed_at < cordon->changed_at)
 		return false;
-	drop(cordons, cordon);
+	remove_cordon(cordons, cordon);
 	return true;
 }
 
@@ -62,18 +62,18 @@
 	uint64_t before = cordons->n_changes;
 	int i;
 
-	if (from->at < cordons->at)
+	if (from->revision < cordons->revision)
 		return false;
 	for (i = cordons->n - 1; i >= 0; i--) {
 		struct cordon *cordon = &cordons->list[i];
 
-		if (cordon->changed_at <= from->at &&
+		if (cordon->changed_at <= from->revision &&
 		    !cordon_set_contains(from, str_from(cordon->data_centre)))
-			drop(cordons, cordon);
+			remove_cordon(cordons, cordon);
 	}
 	for (i = 0; i < from->n; i++)
 		cordon_set_add(cordons, str_from(from->list[i].data_centre),
 			       from->list[i].changed_at);
-	cordons->at = from->at;
+	cordons->revision = from->revision;
 	return cordons->n_changes != before;
 }
--- a/cordon.h
+++ b/cordon.h
@@ -1,7 +1,7 @@
 /*
- * Data centres whose backend servers get no new requests, by the operators'
- * word. The set is told as a whole, with the store's revision as of which it is
- * complete: a newer one replaces an older one, whoever tells it.
+ * Cordons: data centres whose backend servers get no new requests, as set by
+ * the operators. Peers exchange the whole set with the store's revision as of
+ * which it is complete; the highest revision wins.
  */
 #ifndef CORDON_H
 #define CORDON_H
@@ -11,13 +11,14 @@
 
 #include "str.h"
 
-/* Data centres at most; a deployment has fifteen. */
+/* Data centres; a deployment has fifteen. */
 #define CORDONS_MAX 64
 #define CORDON_NAME_SIZE 128
 
 /**
  * struct cordon - one data centre
- * @changed_at: the store's revision of the operators' word
+ * @data_centre: its name
+ * @changed_at: the store's revision in which the cordon was written
  */
 struct cordon {
 	char data_centre[CORDON_NAME_SIZE];
@@ -25,45 +26,51 @@
 };
 
 /**
- * struct cordon_set - all that hold
- * @at: the store's revision as of which they are complete
- * @n_changes: how often the set changed
+ * struct cordon_set - all cordons in force
+ * @list: unordered
+ * @n: length of @list
+ * @revision: the store's revision as of which @list is complete
+ * @n_changes: number of changes to @list so far
  */
 struct cordon_set {
 	struct cordon list[CORDONS_MAX];
 	int n;
-	uint64_t at;
+	uint64_t revision;
 	uint64_t n_changes;
 };
 
 /**
- * cordon_set_add() - a data centre gets no new requests
+ * cordon_set_add() - add a data centre, or raise its revision
+ * @changed_at: the store's revision of the cordon
  *
- * Return: whether that is news; false too if there is no room.
+ * Return: whether it was added; false if it is known or the set is full.
  */
 bool cordon_set_add(struct cordon_set *cordons, struct str data_centre,
 		    uint64_t changed_at);
 
 /**
- * cordon_set_remove() - it gets requests again
- * @changed_at: the store's revision of that; an older one than the cordon's
- *	changes nothing
+ * cordon_set_remove() - remove a data centre
+ * @changed_at: the store's revision of the removal; ignored if it is older than
+ *	the cordon's
  *
- * Return: whether that is news.
+ * Return: whether it was removed.
  */
 bool cordon_set_remove(struct cordon_set *cordons, struct str data_centre,
 		       uint64_t changed_at);
 
+/**
+ * cordon_set_contains() - whether a data centre has a cordon
+ */
 bool cordon_set_contains(const struct cordon_set *cordons,
 			 struct str data_centre);
 
 /**
- * cordon_set_replace() - take a whole set
- * @from: complete as of its @at; an older one than this changes nothing
+ * cordon_set_replace() - replace the set by another one
+ * @from: ignored if its revision is older than that of @cordons
  *
- * What was put here at a later revision than @from knows stays.
+ * Cordons of a later revision than that of @from are kept.
  *
- * Return: whether the set is another one now.
+ * Return: whether a cordon was added or removed.
  */
 bool cordon_set_replace(struct cordon_set *cordons,
 			const struct cordon_set *from);
--- a/cordon_sync.c
+++ b/cordon_sync.c
@@ -18,13 +18,13 @@
 	sync->listed.n = 0;
 }
 
-static void log_all(const struct cordon_set *cordons, const char *from)
+static void log_set(const struct cordon_set *cordons, const char *from)
 {
 	int i;
 
 	LOG_INFO("cordons_changed", LOG_TEXT("from", from),
 		 LOG_I64("hold", cordons->n),
-		 LOG_U64("store_revision", cordons->at));
+		 LOG_U64("store_revision", cordons->revision));
 	for (i = 0; i < cordons->n; i++)
 		LOG_INFO("cordon_holds",
 			 LOG_TEXT("data_centre", cordons->list[i].data_centre),
@@ -34,11 +34,11 @@
 
 static void apply(struct cordon_sync *sync, const char *from)
 {
-	log_all(&sync->registry->cordons, from);
+	log_set(&sync->registry->cordons, from);
 	registry_apply_cordons(sync->registry, clock_now(sync->clock));
 }
 
-static void add_missing(struct cordon_sync *sync, struct cordon_set *set)
+static void add_existing(struct cordon_sync *sync, struct cordon_set *set)
 {
 	const struct cordon_set *known = &sync->registry->cordons;
 	int i;
@@ -46,26 +46,27 @@
 	for (i = 0; i < known->n; i++) {
 		const struct cordon *cordon = &known->list[i];
 
-		sync->kept |= cordon_set_add(set, str_from(cordon->data_centre),
-					     cordon->changed_at);
+		sync->retained |=
+			cordon_set_add(set, str_from(cordon->data_centre),
+				       cordon->changed_at);
 	}
 }
 
-static void replace(struct cordon_sync *sync, const struct cordon_set *from,
-		    const char *why)
+static void replace_set(struct cordon_sync *sync, const struct cordon_set *from,
+			const char *why)
 {
 	struct cordon_set set = *from;
 
-	if (clock_now(sync->clock) < sync->keep_until)
-		add_missing(sync, &set);
+	if (clock_now(sync->clock) < sync->retain_until)
+		add_existing(sync, &set);
 	if (cordon_set_replace(&sync->registry->cordons, &set))
 		apply(sync, why);
 }
 
 void cordon_sync_end_list(struct cordon_sync *sync, uint64_t at)
 {
-	sync->listed.at = at;
-	replace(sync, &sync->listed, "list");
+	sync->listed.revision = at;
+	replace_set(sync, &sync->listed, "list");
 }
 
 void cordon_sync_apply_item(struct cordon_sync *sync,
@@ -73,31 +74,31 @@
 {
 	struct cordon_set *cordons = &sync->registry->cordons;
 	struct str name = str_from(item->name);
-	bool news;
+	bool changed;
 
 	if (item->removed) {
-		news = cordon_set_remove(cordons, name, item->changed_at);
+		changed = cordon_set_remove(cordons, name, item->changed_at);
 	} else {
 		cordon_set_add(&sync->listed, name, item->changed_at);
-		news = cordon_set_add(cordons, name, item->changed_at);
+		changed = cordon_set_add(cordons, name, item->changed_at);
 	}
-	if (!news && !cordon_set_contains(cordons, name) && !item->removed)
+	if (!changed && !cordon_set_contains(cordons, name) && !item->removed)
 		LOG_ERROR("cordon_refused", LOG_TEXT("data_centre", item->name),
 			  LOG_I64("hold", cordons->n));
-	if (news)
+	if (changed)
 		apply(sync, "change");
 }
 
 void cordon_sync_confirm(struct cordon_sync *sync, uint64_t at)
 {
-	if (at > sync->registry->cordons.at)
-		sync->registry->cordons.at = at;
+	if (at > sync->registry->cordons.revision)
+		sync->registry->cordons.revision = at;
 }
 
 void cordon_sync_apply_peer_set(struct cordon_sync *sync,
 				const struct cordon_set *from)
 {
-	replace(sync, from, "peer");
+	replace_set(sync, from, "peer");
 }
 
 void cordon_sync_enter_era(struct cordon_sync *sync, int64_t until)
@@ -105,18 +106,19 @@
 	struct cordon_set *cordons = &sync->registry->cordons;
 	int i;
 
-	cordons->at = 0;
+	cordons->revision = 0;
 	for (i = 0; i < cordons->n; i++)
 		cordons->list[i].changed_at = 0;
 	sync->listed.n = 0;
-	sync->keep_until = until;
-	sync->kept = false;
+	sync->retain_until = until;
+	sync->retained = false;
 }
 
 bool cordon_sync_needs_list(struct cordon_sync *sync)
 {
-	bool wants = sync->kept && clock_now(sync->clock) >= sync->keep_until;
+	bool wants =
+		sync->retained && clock_now(sync->clock) >= sync->retain_until;
 
-	sync->kept &= !wants;
+	sync->retained &= !wants;
 	return wants;
 }
--- a/cordon_sync.h
+++ b/cordon_sync.h
@@ -1,7 +1,7 @@
 /*
- * Which data centres get no new requests, as the store and peers tell it. Puts
- * it into the registry, so that no server there is chosen or sent to from then
- * on. Decides without sockets.
+ * Keeps the registry's cordons up to date with the store and with peers. From
+ * then on no server of a cordoned data centre is chosen or sent a request. Does
+ * no I/O.
  */
 #ifndef CORDON_SYNC_H
 #define CORDON_SYNC_H
@@ -13,59 +13,63 @@
 
 /**
  * struct cordon_sync - the state of one instance
- * @listed: what the pages of a list named so far
- * @keep_until: until then, what is not named holds on, see
- *	cordon_sync_enter_era(); @kept: that was so
+ * @clock: borrowed
+ * @registry: borrowed
+ * @listed: cordons in the pages of the list that is being read
+ * @retain_until: until this time a cordon that is missing from a list or a
+ *	peer's set stays in force, see cordon_sync_enter_era()
+ * @retained: a cordon may have stayed in force for that reason
  */
 struct cordon_sync {
 	const struct clock *clock;
 	struct registry *registry;
 	struct cordon_set listed;
-	int64_t keep_until;
-	bool kept;
+	int64_t retain_until;
+	bool retained;
 };
 
 void cordon_sync_init(struct cordon_sync *sync, const struct clock *clock,
 		      struct registry *registry);
 
 /**
- * cordon_sync_begin_list() - pages of a whole list follow
+ * cordon_sync_begin_list() - start of a complete list, which comes in pages
  */
 void cordon_sync_begin_list(struct cordon_sync *sync);
 
 /**
- * cordon_sync_end_list() - what it did not name does not hold any more
- * @at: the store's revision as of which it is complete
+ * cordon_sync_end_list() - remove cordons that the list does not contain
+ * @at: the store's revision as of which the list is complete
  */
 void cordon_sync_end_list(struct cordon_sync *sync, uint64_t at);
 
 /**
- * cordon_sync_apply_item() - an item of a list, or a change
+ * cordon_sync_apply_item() - apply an item of a list or of a watch
  */
 void cordon_sync_apply_item(struct cordon_sync *sync,
 			    const struct store_item *item);
 
 /**
- * cordon_sync_confirm() - all changes up to a revision were taken
+ * cordon_sync_confirm() - all changes up to a revision were applied
+ * @at: the store's revision
  */
 void cordon_sync_confirm(struct cordon_sync *sync, uint64_t at);
 
 /**
- * cordon_sync_apply_peer_set() - a peer told all that it knows
+ * cordon_sync_apply_peer_set() - apply the set of a peer
  */
 void cordon_sync_apply_peer_set(struct cordon_sync *sync,
 				const struct cordon_set *from);
 
 /**
- * cordon_sync_enter_era() - the store gives revisions out again
- * @until: the operators' word may be missing in its copy until then
+ * cordon_sync_enter_era() - the store was restored and reuses revisions
+ * @until: time until which cordons may be missing from the restored copy
  */
 void cordon_sync_enter_era(struct cordon_sync *sync, int64_t until);
 
 /**
- * cordon_sync_needs_list() - what was kept may hold no more
+ * cordon_sync_needs_list() - whether retained cordons must be checked
  *
- * Return: true once, when a list is to be read again.
+ * Return: true once, after which the caller reads the list again.
  */
 bool cordon_sync_needs_list(struct cordon_sync *sync);
 
--- a/tests/test_cordon.c
+++ b/tests/test_cordon.c
@@ -41,8 +41,8 @@
 	cordon_sync_init(&world->sync, &world->clock, &world->registry);
 }
 
-static void change(struct world *world, const char *dc, uint64_t at,
-		   bool removed)
+static void apply_change(struct world *world, const char *dc, uint64_t at,
+			 bool removed)
 {
 	struct store_item item = {.kind = STORE_ITEM_CORDON,
 				  .changed_at = at,
@@ -53,7 +53,7 @@
 	cordon_sync_confirm(&world->sync, at);
 }
 
-static struct registry_server *pick(struct world *world)
+static struct registry_server *pick_server(struct world *world)
 {
 	static const struct registry_choice anywhere;
 
@@ -62,9 +62,8 @@
 }
 
 /*
- * Operators ask that a data centre's servers get nothing more, and stop them.
- * Requests still went there, for nothing had read it: those that were sent hung
- * until their deadline.
+ * Operators cordon a data centre and stop its servers. When the cordon was not
+ * evaluated, requests were still sent there and hung until their deadline.
  */
 static void test_cordoned_server_is_not_picked(void)
 {
@@ -75,24 +74,24 @@
 	world_init(&world);
 	near = add_server(&world, "near", "dc1");
 	far = add_server(&world, "far", "dc2");
-	CU_ASSERT(pick(&world) == near);
-	change(&world, "dc1", 10, false);
+	CU_ASSERT(pick_server(&world) == near);
+	apply_change(&world, "dc1", 10, false);
 	CU_ASSERT(!registry_is_open(near) && registry_is_open(far));
-	CU_ASSERT(pick(&world) == far);
+	CU_ASSERT(pick_server(&world) == far);
 	CU_ASSERT(world.n_closed == 1);
-	/* One that is added meanwhile is there too. */
+	/* A server added to a cordoned data centre is not open either. */
 	CU_ASSERT(!registry_is_open(add_server(&world, "new", "dc1")));
-	/* The only one left of the service: none is better than that one. */
-	change(&world, "dc2", 11, false);
-	CU_ASSERT(!pick(&world));
-	change(&world, "dc1", 12, true);
-	CU_ASSERT(pick(&world) == near);
+	/* No server is picked rather than a cordoned one. */
+	apply_change(&world, "dc2", 11, false);
+	CU_ASSERT(!pick_server(&world));
+	apply_change(&world, "dc1", 12, true);
+	CU_ASSERT(pick_server(&world) == near);
 	registry_finish(&world.registry);
 }
 
 /*
- * The servers were stopped while they got nothing and are cold afterwards; they
- * crash if all requests come back at once.
+ * The servers may have restarted during the cordon and are cold afterwards;
+ * they crash if the full load returns at once.
  */
 static void test_cold_afterwards(void)
 {
@@ -104,9 +103,9 @@
 	server->service->warmup =
 		(struct warmup_limit){.cold_for = COLD_FOR, .bound = 14};
 	CU_ASSERT(!registry_is_cold(server, START));
-	change(&world, "dc1", 10, false);
+	apply_change(&world, "dc1", 10, false);
 	clock_advance(&world.clock, MSEC(9000));
-	change(&world, "dc1", 11, true);
+	apply_change(&world, "dc1", 11, true);
 	CU_ASSERT(registry_is_cold(server, clock_now(&world.clock)));
 	clock_advance(&world.clock, COLD_FOR);
 	CU_ASSERT(!registry_is_cold(server, clock_now(&world.clock)));
@@ -114,30 +113,29 @@
 }
 
 /*
- * An instance that was away hears of the whole set from a peer, and later an
- * old word from another one that was away longer: that must not lift a cordon,
- * nor put one back that was lifted.
+ * An instance gets the whole set from a peer, then an older set from another
+ * one. The older set must neither remove a cordon nor restore a removed one.
  */
 static void test_newer_set_wins(void)
 {
-	struct cordon_set from = {.at = 20};
+	struct cordon_set from = {.revision = 20};
 	struct world world;
 
 	world_init(&world);
-	change(&world, "dc1", 10, false);
+	apply_change(&world, "dc1", 10, false);
 	cordon_set_add(&from, STR("dc2"), 15);
 	cordon_sync_apply_peer_set(&world.sync, &from);
 	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc1")));
 	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc2")));
-	from = (struct cordon_set){.at = 12};
+	from = (struct cordon_set){.revision = 12};
 	cordon_set_add(&from, STR("dc1"), 10);
 	cordon_sync_apply_peer_set(&world.sync, &from);
 	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc1")));
 	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc2")));
-	/* What the peer cannot know yet stays. */
-	change(&world, "dc3", 30, false);
-	world.registry.cordons.at = 20;
-	from = (struct cordon_set){.at = 25};
+	/* A cordon newer than the peer's revision stays. */
+	apply_change(&world, "dc3", 30, false);
+	world.registry.cordons.revision = 20;
+	from = (struct cordon_set){.revision = 25};
 	cordon_sync_apply_peer_set(&world.sync, &from);
 	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc3")));
 	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc2")));
@@ -145,32 +143,32 @@
 }
 
 /*
- * The store dropped its history while a cordon was lifted: the change itself is
- * never seen, only a list without it.
+ * The store compacted its history after a cordon was removed: the instance sees
+ * no removal, only a list without the cordon.
  */
 static void test_list_without_it(void)
 {
 	struct world world;
 
 	world_init(&world);
-	change(&world, "dc1", 10, false);
+	apply_change(&world, "dc1", 10, false);
 	cordon_sync_begin_list(&world.sync);
-	change(&world, "dc2", 12, false);
+	apply_change(&world, "dc2", 12, false);
 	cordon_sync_end_list(&world.sync, 15);
 	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc1")));
 	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc2")));
 	registry_finish(&world.registry);
 }
 
-/* A removal that comes late, behind a cordon that was put again. */
+/* A removal that arrives after the cordon was set again is ignored. */
 static void test_late_removal(void)
 {
 	struct world world;
 
 	world_init(&world);
-	change(&world, "dc1", 10, false);
-	change(&world, "dc1", 12, false);
-	change(&world, "dc1", 11, true);
+	apply_change(&world, "dc1", 10, false);
+	apply_change(&world, "dc1", 12, false);
+	apply_change(&world, "dc1", 11, true);
 	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc1")));
 	registry_finish(&world.registry);
 }
--- a/view_apply.c
+++ b/view_apply.c
@@ -45,7 +45,7 @@
 static void take_cordons(struct view_share *share,
 			 const Peer__ViewUpdate *message)
 {
-	struct cordon_set cordons = {.at = message->routes_at};
+	struct cordon_set cordons = {.revision = message->routes_at};
 	size_t i;
 
 	if (message->routes_age_ms == UINT32_MAX)
