--- a/list_sync.c
+++ b/list_sync.c
@@ -11,7 +11,7 @@
 #include "log.h"
 #include "mem.h"
 
-/* A list. */
+/* Lists */
 
 static void list_finish(struct instance_list *list)
 {
@@ -43,7 +43,7 @@
 	return cmp ? cmp : strcmp(x->text, y->text);
 }
 
-static void drop_doubles(struct instance_list *list)
+static void remove_duplicates(struct instance_list *list)
 {
 	int kept = 0;
 	int i;
@@ -72,8 +72,8 @@
 	}
 }
 
-static void read_row(struct instance_list *list, int *cap,
-		     struct json_object *item)
+static void parse_row(struct instance_list *list, int *cap,
+		      struct json_object *item)
 {
 	struct json_object *name;
 
@@ -85,8 +85,8 @@
 		json_object_to_json_string_ext(item, JSON_C_TO_STRING_PLAIN));
 }
 
-static int list_read(struct instance_list *list, struct str text,
-		     uint64_t revision)
+static int list_parse(struct instance_list *list, struct str text,
+		      uint64_t revision)
 {
 	struct json_tokener *tok = json_tokener_new();
 	struct json_object *root;
@@ -102,12 +102,12 @@
 		return ERR_SYNTAX;
 	}
 	for (i = 0; i < json_object_array_length(root); i++)
-		read_row(list, &cap, json_object_array_get_idx(root, i));
+		parse_row(list, &cap, json_object_array_get_idx(root, i));
 	json_object_put(root);
 	if (list->n)
 		qsort(list->rows, (size_t)list->n, sizeof(*list->rows),
 		      compare_rows);
-	drop_doubles(list);
+	remove_duplicates(list);
 	set_digest(list);
 	return 0;
 }
@@ -126,9 +126,13 @@
 	return text;
 }
 
-/* Two sorted lists as one sequence: below 0 only @a has it, above 0 only @b. */
-static int compare_heads(const struct instance_list *a, int i,
-			 const char *instance)
+/*
+ * Merge step over two sorted lists. @instance: the next of the other list, NULL
+ * at its end. Return: below 0 if only @a has the next row, above 0 if only the
+ * other list has it, 0 if both do.
+ */
+static int compare_next(const struct instance_list *a, int i,
+			const char *instance)
 {
 	if (i == a->n)
 		return 1;
@@ -149,7 +153,7 @@
 	return true;
 }
 
-/* Makes a list of a base, which may be empty, and an update. */
+/* Applies an update to @base, which may be empty. */
 static int list_apply(struct instance_list *list,
 		      const struct instance_list *base,
 		      const Peer__ListUpdate *message)
@@ -165,7 +169,7 @@
 	while (i < base->n || k < message->n_rows) {
 		const Peer__ListRow *row =
 			k < message->n_rows ? message->rows[k] : NULL;
-		int cmp = compare_heads(base, i, row ? row->instance : NULL);
+		int cmp = compare_next(base, i, row ? row->instance : NULL);
 
 		if (cmp < 0)
 			add_row(list, &cap, base->rows[i].instance,
@@ -184,15 +188,15 @@
 	return ERR_PROTOCOL;
 }
 
-/* Messages. */
+/* Messages */
 
 const struct instance_list *list_sync_newest(const struct list_sync *sync)
 {
 	return &sync->lists[sync->newest];
 }
 
-static void put_row(Peer__ListUpdate *message, Peer__ListRow *rows,
-		    const char *instance, const char *text)
+static void add_message_row(Peer__ListUpdate *message, Peer__ListRow *rows,
+			    const char *instance, const char *text)
 {
 	Peer__ListRow *row = &rows[message->n_rows];
 
@@ -202,22 +206,23 @@
 	message->rows[message->n_rows++] = row;
 }
 
-static void put_rows(Peer__ListUpdate *message, Peer__ListRow *rows,
-		     const struct instance_list *from,
-		     const struct instance_list *to)
+static void add_changed_rows(Peer__ListUpdate *message, Peer__ListRow *rows,
+			     const struct instance_list *from,
+			     const struct instance_list *to)
 {
 	int i = 0;
 	int k = 0;
 
 	while (i < from->n || k < to->n) {
 		const char *name = k < to->n ? to->rows[k].instance : NULL;
-		int cmp = compare_heads(from, i, name);
+		int cmp = compare_next(from, i, name);
 
 		if (cmp < 0)
-			put_row(message, rows, from->rows[i].instance, "");
+			add_message_row(message, rows, from->rows[i].instance,
+					"");
 		else if (cmp > 0 ||
 			 strcmp(from->rows[i].text, to->rows[k].text))
-			put_row(message, rows, name, to->rows[k].text);
+			add_message_row(message, rows, name, to->rows[k].text);
 		if (cmp <= 0)
 			i++;
 		if (cmp >= 0)
@@ -225,27 +230,28 @@
 	}
 }
 
-/* @from: what the peer has; an empty list sends the whole. */
+/* @from: the list that the peer has; empty to send all rows. */
 static void send_update(struct list_sync *sync, const char *peer,
 			const struct instance_list *from)
 {
 	const struct instance_list *to = list_sync_newest(sync);
-	size_t most = (size_t)from->n + (size_t)to->n;
+	size_t max_rows = (size_t)from->n + (size_t)to->n;
 	Peer__ListUpdate message = PEER__LIST_UPDATE__INIT;
-	Peer__ListRow *rows = mem_zalloc(most * sizeof(*rows));
+	Peer__ListRow *rows = mem_zalloc(max_rows * sizeof(*rows));
 
 	message.revision = to->revision;
 	message.digest = to->digest;
 	message.base_revision = from->revision;
 	message.base_digest = from->digest;
-	message.rows = mem_zalloc(most * sizeof(*message.rows));
-	put_rows(&message, rows, from, to);
+	message.rows = mem_zalloc(max_rows * sizeof(*message.rows));
+	add_changed_rows(&message, rows, from, to);
 	sync->ops->send_update(sync->ctx, peer, &message);
 	free(message.rows);
 	free(rows);
 }
 
-static void push_down(struct list_sync *sync, const struct instance_list *from)
+static void push_to_children(struct list_sync *sync,
+			     const struct instance_list *from)
 {
 	int fanout = (int)sync->reader->tunables->table_fanout;
 	int first;
@@ -256,24 +262,24 @@
 		send_update(sync, sync->peers->own[first + i].instance, from);
 }
 
-/* Takes over a list that is newer. */
-static void take(struct list_sync *sync, const struct instance_list *list)
+/* Makes @list the newest and takes ownership of its rows. */
+static void set_newest(struct list_sync *sync, const struct instance_list *list)
 {
 	const struct instance_list *old = list_sync_newest(sync);
 	size_t len;
 	char *text;
 
-	sync->newest = (sync->newest + 1) % LIST_SYNC_KEPT;
+	sync->newest = (sync->newest + 1) % LIST_SYNC_REVISIONS;
 	list_finish(&sync->lists[sync->newest]);
 	sync->lists[sync->newest] = *list;
 	if (list->revision >= sync->wanted)
 		sync->wanted = 0;
 	text = list_text(list, &len);
-	sync->ops->taken(sync->ctx, (struct str){text, len});
+	sync->ops->updated(sync->ctx, (struct str){text, len});
 	free(text);
-	/* Without a base the children are sent nothing: they read or pull. */
+	/* Without a base nothing is pushed: children read it or request it. */
 	if (old->revision)
-		push_down(sync, old);
+		push_to_children(sync, old);
 }
 
 int list_sync_platform_list(struct list_sync *sync, struct str text,
@@ -284,10 +290,10 @@
 
 	if (revision <= list_sync_newest(sync)->revision)
 		return ERR_STALE;
-	ret = list_read(&list, text, revision);
+	ret = list_parse(&list, text, revision);
 	if (ret)
 		return ret;
-	take(sync, &list);
+	set_newest(sync, &list);
 	return 0;
 }
 
@@ -300,12 +306,12 @@
 	if (revision <= list_sync_newest(sync)->revision ||
 	    revision <= sync->wanted)
 		return;
-	/* A push is usually on its way: see want() of table_sync.c. */
-	if (!sync->wanted || sync->asked)
+	/* The delay leaves time for a push, which makes a request needless. */
+	if (!sync->wanted || sync->requested)
 		sync->want_at = clock_now(sync->clock) +
 				reader_random(sync->reader, delay);
 	sync->wanted = revision;
-	sync->asked = false;
+	sync->requested = false;
 	str_copy(sync->wanted_peer, sizeof(sync->wanted_peer), str_from(peer));
 }
 
@@ -314,7 +320,7 @@
 {
 	int i;
 
-	for (i = 0; i < LIST_SYNC_KEPT; i++) {
+	for (i = 0; i < LIST_SYNC_REVISIONS; i++) {
 		if (sync->lists[i].revision == revision &&
 		    sync->lists[i].digest == digest)
 			return &sync->lists[i];
@@ -333,7 +339,7 @@
 		send_update(sync, peer, from ? from : &none);
 }
 
-static void ask(struct list_sync *sync, const char *peer, bool whole)
+static void request_update(struct list_sync *sync, const char *peer, bool whole)
 {
 	const struct instance_list *have = list_sync_newest(sync);
 	Peer__ListRequest message = PEER__LIST_REQUEST__INIT;
@@ -342,7 +348,7 @@
 		message.have_revision = have->revision;
 		message.have_digest = have->digest;
 	}
-	sync->asked = true;
+	sync->requested = true;
 	sync->want_at = clock_now(sync->clock) +
 			MSEC(sync->reader->tunables->table_pull_timeout_ms);
 	sync->ops->send_request(sync->ctx, peer, &message);
@@ -363,7 +369,7 @@
 		base = have;
 		if (message->base_revision != have->revision ||
 		    message->base_digest != have->digest) {
-			ask(sync, peer, false);
+			request_update(sync, peer, false);
 			return ERR_VERSION;
 		}
 	}
@@ -372,10 +378,10 @@
 		LOG_WARN("list_update_failed", LOG_TEXT("peer", peer),
 			 LOG_U64("revision", message->revision));
 		if (message->base_revision)
-			ask(sync, peer, true);
+			request_update(sync, peer, true);
 		return ret;
 	}
-	take(sync, &list);
+	set_newest(sync, &list);
 	return 0;
 }
 
@@ -383,13 +389,13 @@
 {
 	if (!sync->wanted || clock_now(sync->clock) < sync->want_at)
 		return;
-	if (!sync->asked) {
-		ask(sync, sync->wanted_peer, false);
+	if (!sync->requested) {
+		request_update(sync, sync->wanted_peer, false);
 		return;
 	}
-	/* Not answered: the next word of a peer tells of it again. */
+	/* Timed out: the next digest of a peer announces the revision again. */
 	sync->wanted = 0;
-	sync->asked = false;
+	sync->requested = false;
 }
 
 void list_sync_init(struct list_sync *sync, const struct clock *clock,
@@ -408,6 +414,6 @@
 {
 	int i;
 
-	for (i = 0; i < LIST_SYNC_KEPT; i++)
+	for (i = 0; i < LIST_SYNC_REVISIONS; i++)
 		list_finish(&sync->lists[i]);
 }
--- a/list_sync.h
+++ b/list_sync.h
@@ -1,8 +1,9 @@
 /*
- * The platform's list of instances at those that do not read it themselves:
- * the readers (reader.h) pass changed rows on down the tree of their data
- * centre (table_peers.h); what is lost is repaired by the list's revision and
- * digest in TableDigest. The highest revision wins. No sockets.
+ * Distributes the platform's list of instances to those that do not read it
+ * themselves. Readers (reader.h) push changed rows down the tree of their data
+ * centre (table_peers.h). TableDigest carries the list's revision and digest,
+ * so that an instance that missed an update requests it. The highest revision
+ * wins. Does no I/O.
  */
 #ifndef LIST_SYNC_H
 #define LIST_SYNC_H
@@ -15,10 +16,16 @@
 #include "str.h"
 #include "table_peers.h"
 
-/* Lists that are kept, so that peers can be sent what changed since. */
-#define LIST_SYNC_KEPT 8
+/* Revisions that are kept as a base for differences. */
+#define LIST_SYNC_REVISIONS 8
+/* Bytes of a peer's name, with the terminator. */
 #define LIST_SYNC_PEER_SIZE 256
 
+/**
+ * struct list_row - an instance in the platform's list
+ * @instance: its name
+ * @text: the row as JSON
+ */
 struct list_row {
 	char *instance;
 	char *text;
@@ -27,8 +34,9 @@
 /**
  * struct instance_list - one revision of the list
  * @revision: 0 if there is none
- * @digest: of the rows
- * @rows: sorted by instance, each once
+ * @digest: hash of all rows
+ * @rows: owned; sorted by instance, without duplicates
+ * @n: number of rows
  */
 struct instance_list {
 	uint64_t revision;
@@ -38,23 +46,32 @@
 };
 
 /**
- * struct list_sync_ops - what the module wants done
- * @taken: another list is the newest; a JSON list of its rows
+ * struct list_sync_ops - callbacks
+ * @send_request: send a message to a peer; it may be lost
+ * @send_update: the same
+ * @updated: a newer list is in use; @text is a JSON array of its rows, valid
+ *	during the call
  */
 struct list_sync_ops {
 	void (*send_request)(void *ctx, const char *peer,
 			     const Peer__ListRequest *message);
 	void (*send_update)(void *ctx, const char *peer,
 			    const Peer__ListUpdate *message);
-	void (*taken)(void *ctx, struct str text);
+	void (*updated)(void *ctx, struct str text);
 };
 
 /**
  * struct list_sync - the state of one instance
- * @lists: the last ones, a ring
+ * @clock: borrowed
+ * @peers: borrowed; gives the children in the tree
+ * @reader: borrowed
+ * @ops: callbacks, called with @ctx
+ * @lists: the last revisions, a ring
  * @newest: index of the newest
  * @wanted: revision that a peer has and this instance lacks, or 0
- * @want_at: when to ask, or, once asked, when to give up
+ * @wanted_peer: that peer
+ * @want_at: when to send a request or, if @requested, when it times out
+ * @requested: a request for @wanted was sent
  */
 struct list_sync {
 	const struct clock *clock;
@@ -62,18 +79,20 @@
 	struct reader *reader;
 	const struct list_sync_ops *ops;
 	void *ctx;
-	struct instance_list lists[LIST_SYNC_KEPT];
+	struct instance_list lists[LIST_SYNC_REVISIONS];
 	int newest;
 	uint64_t wanted;
 	char wanted_peer[LIST_SYNC_PEER_SIZE];
 	int64_t want_at;
-	bool asked;
+	bool requested;
 };
 
 /**
- * list_sync_init() - an instance that has no list
+ * list_sync_init() - initialise without a list
  * @peers: borrowed
  * @reader: borrowed, for tunables and jitter
+ * @ops: borrowed
+ * @ctx: passed to @ops
  */
 void list_sync_init(struct list_sync *sync, const struct clock *clock,
 		    const struct table_peers *peers, struct reader *reader,
@@ -81,29 +100,43 @@
 void list_sync_finish(struct list_sync *sync);
 
 /**
- * list_sync_platform_list() - the platform gave its list
+ * list_sync_platform_list() - apply a list read from the platform
+ * @text: a JSON array
  *
- * Return: 0; ERR_SYNTAX if it is no list; ERR_STALE if it is not newer.
+ * Return: 0; ERR_SYNTAX if @text is not a JSON array; ERR_STALE if @revision is
+ * not newer.
  */
 int list_sync_platform_list(struct list_sync *sync, struct str text,
 			    uint64_t revision);
 
 /**
- * list_sync_peer_revision() - a peer told its list
+ * list_sync_peer_revision() - handle the revision that a peer announced
+ *
+ * Requests the list after a random delay if it is newer and was not pushed by
+ * then.
  */
 void list_sync_peer_revision(struct list_sync *sync, const char *peer,
 			     uint64_t revision, uint64_t digest);
+
+/**
+ * list_sync_request() - send a peer the changes since the list that it has
+ */
 void list_sync_request(struct list_sync *sync, const char *peer,
 		       const Peer__ListRequest *message);
 
 /**
- * list_sync_update() - a peer sent a list
+ * list_sync_update() - apply a list, or differences, from a peer
  *
- * Return: 0; ERR_STALE if it is not newer; ERR_VERSION if it builds on another
- * list (it is asked for anew); ERR_PROTOCOL if it is not what it announces.
+ * Return: 0; ERR_STALE if it is not newer; ERR_VERSION if its base is not the
+ * list in use (a request is sent); ERR_PROTOCOL if rows are unsorted or the
+ * result does not match the announced digest.
  */
 int list_sync_update(struct list_sync *sync, const char *peer,
 		     const Peer__ListUpdate *message);
+
+/**
+ * list_sync_tick() - send a request that is due, or time it out
+ */
 void list_sync_tick(struct list_sync *sync);
 
 /**
--- a/table_control.c
+++ b/table_control.c
@@ -105,7 +105,7 @@
 static const struct list_sync_ops list_ops = {
 	.send_request = on_send_list_request,
 	.send_update = on_send_list_update,
-	.taken = on_list_taken,
+	.updated = on_list_taken,
 };
 
 static const struct table_sync_ops sync_ops = {
--- a/tests/test_list_sync.c
+++ b/tests/test_list_sync.c
@@ -19,8 +19,8 @@
 	struct table_peers peers;
 	struct reader reader;
 	struct list_sync sync;
-	char *text; /* as last taken */
-	uint64_t seen;
+	char *text; /* of the last update */
+	uint64_t revision;
 };
 
 struct message {
@@ -31,14 +31,14 @@
 	size_t len;
 };
 
-/* A data centre of instances and the messages between them. */
+/* Simulates the instances of a data centre and the messages between them. */
 struct net {
 	struct clock clock;
 	struct tunables tunables;
 	struct node nodes[NODES];
 	struct message messages[MESSAGES_MAX];
 	int n_messages;
-	int lose; /* every so many-th message; 0: none */
+	int loss_interval; /* every n-th message is lost; 0: none */
 	int sent;
 	size_t bytes;
 	int reverts;
@@ -49,14 +49,14 @@
 	return atoi(peer + 1);
 }
 
-static void post(struct node *node, const char *peer, bool request,
-		 uint8_t *data, size_t len)
+static void queue_message(struct node *node, const char *peer, bool request,
+			  uint8_t *data, size_t len)
 {
 	struct net *net = node->net;
 
 	net->sent++;
 	net->bytes += len;
-	if (net->lose && !(net->sent % net->lose)) {
+	if (net->loss_interval && !(net->sent % net->loss_interval)) {
 		free(data);
 		return;
 	}
@@ -73,7 +73,7 @@
 	uint8_t *data = mem_zalloc(len);
 
 	peer__list_request__pack(message, data);
-	post(ctx, peer, true, data, len);
+	queue_message(ctx, peer, true, data, len);
 }
 
 static void send_update(void *ctx, const char *peer,
@@ -83,24 +83,24 @@
 	uint8_t *data = mem_zalloc(len);
 
 	peer__list_update__pack(message, data);
-	post(ctx, peer, false, data, len);
+	queue_message(ctx, peer, false, data, len);
 }
 
-static void taken(void *ctx, struct str text)
+static void on_updated(void *ctx, struct str text)
 {
 	struct node *node = ctx;
 	uint64_t revision = list_sync_newest(&node->sync)->revision;
 
 	free(node->text);
 	node->text = mem_dup_len(text.data, text.len);
-	node->net->reverts += revision <= node->seen;
-	node->seen = revision;
+	node->net->reverts += revision <= node->revision;
+	node->revision = revision;
 }
 
 static const struct list_sync_ops ops = {
 	.send_request = send_request,
 	.send_update = send_update,
-	.taken = taken,
+	.updated = on_updated,
 };
 
 static void net_init(struct net *net)
@@ -182,7 +182,7 @@
 	net->n_messages = 0;
 }
 
-/* Everyone compares with its neighbour and does what is due. */
+/* Each node gets the revision of one other node, then its timers run. */
 static void step(struct net *net)
 {
 	int i;
@@ -207,7 +207,7 @@
 	int i;
 
 	for (i = 0; i < NODES; i++)
-		n += net->nodes[i].seen == revision;
+		n += net->nodes[i].revision == revision;
 	return n;
 }
 
@@ -216,7 +216,7 @@
 	return &net->nodes[index_of(net->nodes[0].peers.own[0].instance)];
 }
 
-/* A list of @n rows in which the row @changed differs by @revision. */
+/* Gives the reader a list of @n rows; row @changed contains @revision. */
 static void publish(struct net *net, int n, int changed, uint64_t revision)
 {
 	char *text;
@@ -247,7 +247,7 @@
 	CU_ASSERT_EQUAL_FATAL(count(net, 10), NODES);
 }
 
-static void check_same(struct net *net)
+static void check_equal_texts(struct net *net)
 {
 	int i;
 
@@ -256,8 +256,9 @@
 }
 
 /*
- * An instance leaves the platform's list. Those that do not read the platform
- * must see it, else they never take over what it did. Its row alone is pushed.
+ * An instance disappears from the platform's list. Instances that do not read
+ * the platform must learn of it, or they never take over its work. Only the
+ * changed rows are pushed.
  */
 static void test_push(void)
 {
@@ -271,7 +272,7 @@
 	deliver(&net);
 	deliver(&net);
 	CU_ASSERT_EQUAL(count(&net, 11), NODES);
-	/* Two rows differ; the whole list would be 2 KB for each. */
+	/* Two rows differ; the whole list would take 2 KB per node. */
 	CU_ASSERT(net.bytes < NODES * 200);
 	publish(&net, 49, 7, 12);
 	deliver(&net);
@@ -279,13 +280,13 @@
 	deliver(&net);
 	CU_ASSERT_EQUAL(count(&net, 12), NODES);
 	CU_ASSERT_PTR_NULL(strstr(net.nodes[3].text, "i049"));
-	check_same(&net);
+	check_equal_texts(&net);
 	net_finish(&net);
 }
 
 /*
- * Every third message is lost while the list changes time and again. All have
- * the last one in the end, made of differences to whatever each one had.
+ * Every third message is lost while the list changes repeatedly. All nodes must
+ * end with the last revision, built from differences to what each one had.
  */
 static void test_loss(void)
 {
@@ -295,7 +296,7 @@
 
 	net_init(&net);
 	start(&net);
-	net.lose = 3;
+	net.loss_interval = 3;
 	for (revision = 11; revision < 40; revision++) {
 		publish(&net, 30 + (int)revision % 20, (int)revision % 30,
 			revision);
@@ -304,13 +305,13 @@
 	for (i = 0; i < 100; i++)
 		step(&net);
 	CU_ASSERT_EQUAL(count(&net, 39), NODES);
-	check_same(&net);
+	check_equal_texts(&net);
 	net_finish(&net);
 }
 
 /*
- * A stale replica of the platform, a peer that was paused, an update that is
- * not what it announces: nothing of it is taken.
+ * Rejected: an old list from a stale replica of the platform, an old update
+ * from a peer, an update with the wrong digest or an unknown base.
  */
 static void test_refused(void)
 {
