--- a/entry_net.c
+++ b/entry_net.c
@@ -29,8 +29,11 @@
 }
 
 /**
- * struct entry_search - a search from when it was taken to its outcome
- * @request: while it waits
+ * struct entry_search - a search from its submission to its outcome
+ * @admission: must be first, see on_start()
+ * @net: owner
+ * @request: used until the search starts or is refused
+ * @owner: of entry_net_search()
  */
 struct entry_search {
 	struct admission_request admission;
@@ -39,8 +42,11 @@
 	void *owner;
 };
 
-/* One server that sheds is no overload of the service, most of them are. */
-static struct admission_sample sample_of(const struct search *search)
+/*
+ * The service counts as overloaded if more than half of the results were shed:
+ * a single server that sheds load is no sign of it.
+ */
+static struct admission_sample make_sample(const struct search *search)
 {
 	return (struct admission_sample){
 		.wait = search->n_results ? search->wait_us / search->n_results
@@ -53,13 +59,13 @@
 static void on_done(void *arg, struct search *search)
 {
 	struct entry_net *net = arg;
-	struct entry_search *taken = search->owner;
-	struct admission_sample sample = sample_of(search);
+	struct entry_search *entry = search->owner;
+	struct admission_sample sample = make_sample(search);
 
-	search->owner = taken->owner;
+	search->owner = entry->owner;
 	net->done(search);
-	admission_leave(&net->admission, &taken->admission, &sample);
-	free(taken);
+	admission_leave(&net->admission, &entry->admission, &sample);
+	free(entry);
 }
 
 static const struct search_ops ops = {
@@ -68,7 +74,7 @@
 	.done = on_done,
 };
 
-static void arm(struct entry_net *net)
+static void arm_timer(struct entry_net *net)
 {
 	wake_timer_arm(&net->timer, net->searches.wake_at);
 }
@@ -78,11 +84,11 @@
 	struct entry_net *net = arg;
 
 	searches_tick(&net->searches);
-	arm(net);
+	arm_timer(net);
 }
 
-static void ask_missing_maps(struct entry_net *net, struct peer_link *link,
-			     const Peer__ServerState *state)
+static void request_missing_maps(struct entry_net *net, struct peer_link *link,
+				 const Peer__ServerState *state)
 {
 	size_t i;
 
@@ -99,15 +105,15 @@
 	}
 }
 
-static void catalog_changed(struct entry_net *net)
+static void notify_catalog_changed(struct entry_net *net)
 {
 	blackboard_notify(net->board, BLACKBOARD_CATALOG);
 	searches_catalog_changed(&net->searches);
-	arm(net);
+	arm_timer(net);
 }
 
-static void take_states(struct entry_net *net, struct peer_link *link,
-			const Peer__ServerStates *states)
+static void apply_states(struct entry_net *net, struct peer_link *link,
+			 const Peer__ServerStates *states)
 {
 	size_t i;
 
@@ -117,38 +123,38 @@
 				      states->states[i]))
 			LOG_WARN("state_refused",
 				 LOG_TEXT("peer", link->instance));
-		ask_missing_maps(net, link, states->states[i]);
+		request_missing_maps(net, link, states->states[i]);
 	}
-	catalog_changed(net);
+	notify_catalog_changed(net);
 }
 
-static void take_map(struct entry_net *net, struct peer_link *link,
-		     const Peer__Map *map)
+static void apply_map(struct entry_net *net, struct peer_link *link,
+		      const Peer__Map *map)
 {
 	if (catalog_put_map(&net->board->catalog, map))
 		LOG_WARN("map_refused", LOG_TEXT("peer", link->instance),
 			 LOG_TEXT("service", map->service));
-	catalog_changed(net);
+	notify_catalog_changed(net);
 }
 
 static void on_frame(void *arg, struct peer_link *link, struct frame *frame)
 {
 	struct entry_net *net = arg;
 
-	/* Results and states come on the links this instance opened. */
+	/* Homes send results and states on links that this instance opened. */
 	if (!link->outgoing)
 		return;
 	switch (frame->type) {
 	case FRAME_QUERY_RESULT:
 		searches_result(&net->searches, str_from(link->instance),
 				(Peer__QueryResult *)frame->message);
-		arm(net);
+		arm_timer(net);
 		break;
 	case FRAME_SERVER_STATES:
-		take_states(net, link, (Peer__ServerStates *)frame->message);
+		apply_states(net, link, (Peer__ServerStates *)frame->message);
 		break;
 	case FRAME_MAP:
-		take_map(net, link, (Peer__Map *)frame->message);
+		apply_map(net, link, (Peer__Map *)frame->message);
 		break;
 	default:
 		break;
@@ -164,10 +170,10 @@
 	catalog_drop_home(&net->board->catalog, str_from(link->instance));
 	blackboard_notify(net->board, BLACKBOARD_CATALOG);
 	searches_home_lost(&net->searches, str_from(link->instance));
-	arm(net);
+	arm_timer(net);
 }
 
-static uint64_t draw(void)
+static uint64_t random_u64(void)
 {
 	uint64_t n;
 
@@ -175,7 +181,7 @@
 	return n;
 }
 
-static void set_admission(struct entry_net *net)
+static void apply_admission_tunables(struct entry_net *net)
 {
 	const struct tunables *tunables = blackboard_tunables(net->board);
 	struct admission_tunables values = {
@@ -194,7 +200,7 @@
 
 	catalog_set_table(&net->board->catalog, net->board->table);
 	blackboard_notify(net->board, BLACKBOARD_CATALOG);
-	set_admission(net);
+	apply_admission_tunables(net);
 }
 
 void entry_net_init(struct entry_net *net, struct blackboard *board,
@@ -205,8 +211,8 @@
 	net->peers = peers;
 	net->done = done;
 	searches_init(&net->searches, board, &ops, net, board->incarnation);
-	admission_init(&net->admission, board->clock, draw);
-	set_admission(net);
+	admission_init(&net->admission, board->clock, random_u64);
+	apply_admission_tunables(net);
 	wake_timer_init(&net->timer, board->base, board->clock, on_timer, net);
 	net->handler.frame = on_frame;
 	net->handler.down = on_link_down;
@@ -225,62 +231,62 @@
 	wake_timer_finish(&net->timer);
 }
 
-static void start(struct entry_search *taken)
+static void start_search(struct entry_search *entry)
 {
-	struct entry_net *net = taken->net;
+	struct entry_net *net = entry->net;
 
-	search_start(&net->searches, &taken->request, taken);
-	arm(net);
+	search_start(&net->searches, &entry->request, entry);
+	arm_timer(net);
 }
 
-static void refuse(struct entry_search *taken, int code,
-		   uint32_t retry_after_ms)
+static void refuse_search(struct entry_search *entry, int code,
+			  uint32_t retry_after_ms)
 {
-	struct entry_net *net = taken->net;
+	struct entry_net *net = entry->net;
 
 	metric_inc(&net->board->counters.searches_overload);
-	search_refuse(&net->searches, &taken->request, taken, code,
+	search_refuse(&net->searches, &entry->request, entry, code,
 		      retry_after_ms);
 }
 
-/* Those that wait count as open, so that a graceful stop waits for them. */
+/* Queued searches count as open, so that a graceful stop waits for them. */
 static void on_start(struct admission_request *request)
 {
-	struct entry_search *taken = (struct entry_search *)request;
+	struct entry_search *entry = (struct entry_search *)request;
 
-	metric_add(&taken->net->board->counters.searches_open, -1);
-	start(taken);
+	metric_add(&entry->net->board->counters.searches_open, -1);
+	start_search(entry);
 }
 
 static void on_refuse(struct admission_request *request, int code,
 		      uint32_t retry_after_ms)
 {
-	struct entry_search *taken = (struct entry_search *)request;
+	struct entry_search *entry = (struct entry_search *)request;
 
-	metric_add(&taken->net->board->counters.searches_open, -1);
-	refuse(taken, code, retry_after_ms);
+	metric_add(&entry->net->board->counters.searches_open, -1);
+	refuse_search(entry, code, retry_after_ms);
 }
 
-static int64_t deadline_of(const struct entry_search *taken,
+static int64_t deadline_of(const struct entry_search *entry,
 			   const struct service *service)
 {
 	int64_t ms = service->deadline_ms;
 
-	if (taken->request.deadline_ms && taken->request.deadline_ms < ms)
-		ms = taken->request.deadline_ms;
-	return taken->request.arrived_at + MSEC(ms);
+	if (entry->request.deadline_ms && entry->request.deadline_ms < ms)
+		ms = entry->request.deadline_ms;
+	return entry->request.arrived_at + MSEC(ms);
 }
 
-static void fill_admission(struct entry_search *taken,
+static void fill_admission(struct entry_search *entry,
 			   const struct service *service)
 {
-	taken->admission = (struct admission_request){
-		.service = str_from(taken->request.service),
-		.workspace = str_from(taken->request.workspace),
+	entry->admission = (struct admission_request){
+		.service = str_from(entry->request.service),
+		.workspace = str_from(entry->request.workspace),
 		.priority = (int)service->priority,
 		.weight = service->weight,
 		.slo_latency = MSEC(service->slo_latency_ms),
-		.deadline = deadline_of(taken, service),
+		.deadline = deadline_of(entry, service),
 		.start = on_start,
 		.refuse = on_refuse,
 	};
@@ -295,47 +301,47 @@
 	return row < 0 ? NULL : &table->services[row];
 }
 
-static void offer(struct entry_search *taken, const struct service *service)
+static void admit(struct entry_search *entry, const struct service *service)
 {
-	struct entry_net *net = taken->net;
+	struct entry_net *net = entry->net;
 	uint32_t retry_after_ms = 0;
 	int ret;
 
-	fill_admission(taken, service);
-	ret = admission_enter(&net->admission, &taken->admission,
+	fill_admission(entry, service);
+	ret = admission_enter(&net->admission, &entry->admission,
 			      &retry_after_ms);
 	if (ret == ADMISSION_STARTED)
-		start(taken);
+		start_search(entry);
 	else if (ret == ADMISSION_QUEUED)
 		metric_add(&net->board->counters.searches_open, 1);
 	else
-		refuse(taken, ret, retry_after_ms);
+		refuse_search(entry, ret, retry_after_ms);
 }
 
 void entry_net_search(struct entry_net *net, struct search_request *request,
 		      void *owner)
 {
 	const struct service *service = find_service(net, request->service);
-	struct entry_search *taken = mem_zalloc(sizeof(*taken));
+	struct entry_search *entry = mem_zalloc(sizeof(*entry));
 
-	taken->net = net;
-	taken->request = *request;
-	taken->request.arrived_at = clock_now(net->board->clock);
-	taken->owner = owner;
+	entry->net = net;
+	entry->request = *request;
+	entry->request.arrived_at = clock_now(net->board->clock);
+	entry->owner = owner;
 	request->where = NULL;
-	/* A service that is not in the table is refused by the search. */
+	/* search_start() refuses a service that is not in the table. */
 	if (!service ||
 	    blackboard_tunables(net->board)->admission == SWITCH_OFF)
-		start(taken);
+		start_search(entry);
 	else
-		offer(taken, service);
+		admit(entry, service);
 }
 
 void entry_net_tick(struct entry_net *net, int64_t lag)
 {
 	admission_lag(&net->admission, lag);
 	admission_tick(&net->admission);
-	arm(net);
+	arm_timer(net);
 }
 
 bool entry_net_overloaded(struct entry_net *net, struct str service,
--- a/entry_net.h
+++ b/entry_net.h
@@ -1,6 +1,6 @@
 /*
- * Runs the searches of this instance: sends queries to homes, takes their
- * results and what they say of servers.
+ * Connects the searches that enter at this instance to the network: sends
+ * queries to home instances and handles their results and server states.
  */
 #ifndef ENTRY_NET_H
 #define ENTRY_NET_H
@@ -12,8 +12,15 @@
 #include "wake_timer.h"
 
 /**
- * struct entry_net - the wiring of searches
- * @done: takes the outcome of a search, see struct search_ops.done
+ * struct entry_net - searches that enter at this instance
+ * @board: borrowed
+ * @peers: borrowed
+ * @searches: those that were started
+ * @admission: limits how many run at once
+ * @handler: for frames from homes
+ * @timer: for the next timeout of @searches
+ * @done: called with the outcome of a search, see struct search_ops.done
+ * @table_watch: for new tables
  */
 struct entry_net {
 	struct blackboard *board;
@@ -31,21 +38,22 @@
 void entry_net_finish(struct entry_net *net);
 
 /**
- * entry_net_search() - take a search, which may wait or be refused for load;
- * see search_start()
+ * entry_net_search() - submit a search; admission may start, queue or refuse it
+ * @request: copied; its @where is moved
+ * @owner: for @done, see search_start()
  */
 void entry_net_search(struct entry_net *net, struct search_request *request,
 		      void *owner);
 
 /**
- * entry_net_tick() - told now and then how late the event loop is
- * @lag: microseconds
+ * entry_net_tick() - run admission; called periodically
+ * @lag: delay of the event loop, microseconds
  */
 void entry_net_tick(struct entry_net *net, int64_t lag);
 
 /**
- * entry_net_overloaded() - whether new work for a service is refused now
- * @retry_after_ms: set if so
+ * entry_net_overloaded() - whether new requests for a service are refused now
+ * @retry_after_ms: set if they are
  */
 bool entry_net_overloaded(struct entry_net *net, struct str service,
 			  uint32_t *retry_after_ms);
--- a/member_net.c
+++ b/member_net.c
@@ -85,7 +85,7 @@
 	DL_FOREACH (net->peers->links, link) {
 		bool near = is_near(net, link);
 
-		if (!link->up || link->doomed)
+		if (!link->up || link->closed)
 			continue;
 		evutil_secure_rng_get_bytes(&draw, sizeof(draw));
 		if (draw % ++n[near] == 0)
--- a/peer.c
+++ b/peer.c
@@ -18,10 +18,10 @@
 #include "peer.pb-c.h"
 
 #define RECONNECT_MS 200
-#define HELLO_TIMEOUT_US MSEC(3000)
+#define HELLO_TIMEOUT MSEC(3000)
 /*
- * A link that is not wanted any more may still have requests under way; it is
- * closed once nothing passed for longer than a caller waits.
+ * A link that is no longer wanted may still carry requests. It is closed once
+ * it was idle for longer than a caller waits for an answer.
  */
 #define UNWANTED_IDLE MSEC(10000)
 #define BACKLOG_MAX_BYTES (64 * 1024 * 1024)
@@ -33,8 +33,8 @@
 	free(link);
 }
 
-/* Handlers may send on a link that has just failed: it is freed later. */
-static void reap(evutil_socket_t fd, short what, void *arg)
+/* Deferred, as a handler may still send on a link that has just failed. */
+static void free_closed_links(evutil_socket_t fd, short what, void *arg)
 {
 	struct peers *peers = arg;
 	struct peer_link *link;
@@ -43,19 +43,19 @@
 	(void)fd;
 	(void)what;
 	DL_FOREACH_SAFE (peers->links, link, next) {
-		if (link->doomed)
+		if (link->closed)
 			free_link(link);
 	}
 }
 
-static void doom(struct peer_link *link)
+static void close_link(struct peer_link *link)
 {
 	struct peers *peers = link->peers;
 	struct peer_handler *handler;
 
-	if (link->doomed)
+	if (link->closed)
 		return;
-	link->doomed = true;
+	link->closed = true;
 	bufferevent_disable(link->bev, EV_READ | EV_WRITE);
 	event_active(peers->reaper, EV_TIMEOUT, 1);
 	if (!link->up)
@@ -79,13 +79,13 @@
 	size_t before = evbuffer_get_length(out);
 	int ret;
 
-	if (link->doomed)
+	if (link->closed)
 		return ERR_UNAVAILABLE;
-	/* The other end does not read: more would only fill this process. */
+	/* The other end does not read; queueing more would exhaust memory. */
 	if (before > BACKLOG_MAX_BYTES)
 		return ERR_UNAVAILABLE;
 	ret = frame_write(out, type, message);
-	link->used_at = clock_now(link->peers->board->clock);
+	link->last_sent_at = clock_now(link->peers->board->clock);
 	if (!ret)
 		peer_traffic_add(&link->peers->traffic, type,
 				 evbuffer_get_length(out) - before);
@@ -113,10 +113,11 @@
 }
 
 /*
- * bufferevent_flush() does nothing for sockets, and the link is closed next:
- * what the socket takes goes out now, or the other end would not hear why.
+ * Writes as much as the socket accepts now. The link is closed next, and the
+ * other end must get the Failure frame; bufferevent_flush() does nothing for
+ * sockets.
  */
-static void write_out(struct peer_link *link)
+static void write_pending(struct peer_link *link)
 {
 	struct evbuffer *out = bufferevent_get_output(link->bev);
 
@@ -125,7 +126,7 @@
 	evbuffer_freeze(out, 1);
 }
 
-static void fail(struct peer_link *link, int code)
+static void close_with_failure(struct peer_link *link, int code)
 {
 	Peer__Failure failure = PEER__FAILURE__INIT;
 
@@ -135,20 +136,20 @@
 	failure.code = code;
 	failure.subject = (char *)"frame";
 	peer_send(link, FRAME_FAILURE, &failure.base);
-	write_out(link);
-	doom(link);
+	write_pending(link);
+	close_link(link);
 }
 
-static void take_hello(struct peer_link *link, const Peer__Hello *hello)
+static void handle_hello(struct peer_link *link, const Peer__Hello *hello)
 {
 	struct peers *peers = link->peers;
 	struct peer_handler *handler;
 
-	/* Another instance at the address: the list was out of date. */
+	/* A different instance has the address: the fleet was out of date. */
 	if (!hello->incarnation ||
 	    strlen(hello->instance) >= sizeof(link->instance) ||
 	    (link->outgoing && strcmp(link->instance, hello->instance))) {
-		fail(link, ERR_FOREIGN);
+		close_with_failure(link, ERR_FOREIGN);
 		return;
 	}
 	str_copy(link->instance, sizeof(link->instance),
@@ -164,16 +165,16 @@
 	}
 }
 
-static void take_frame(struct peer_link *link, struct frame *frame)
+static void handle_frame(struct peer_link *link, struct frame *frame)
 {
 	struct peer_handler *handler;
 
 	metric_inc(&link->peers->board->counters.peer_frames_in);
 	if (!link->up) {
 		if (frame->type == FRAME_HELLO)
-			take_hello(link, (Peer__Hello *)frame->message);
+			handle_hello(link, (Peer__Hello *)frame->message);
 		else
-			fail(link, ERR_FRAME);
+			close_with_failure(link, ERR_FRAME);
 		return;
 	}
 	if (frame->type == FRAME_FAILURE) {
@@ -198,17 +199,17 @@
 	int ret = 0;
 
 	link->last_received_at = clock_now(link->peers->board->clock);
-	while (!link->doomed && (ret = frame_read(in, &frame)) > 0) {
-		take_frame(link, &frame);
-		/* A handler that keeps the message has taken it out. */
+	while (!link->closed && (ret = frame_read(in, &frame)) > 0) {
+		handle_frame(link, &frame);
+		/* NULL if a handler took ownership. */
 		if (frame.message)
 			frame_finish(&frame);
 	}
-	if (ret < 0 && !link->doomed)
-		fail(link, ret);
+	if (ret < 0 && !link->closed)
+		close_with_failure(link, ret);
 }
 
-static void tell_refused(struct peer_link *link)
+static void notify_refused(struct peer_link *link)
 {
 	struct peer_handler *handler;
 
@@ -231,8 +232,8 @@
 	}
 	if (what & BEV_EVENT_ERROR && link->outgoing && !link->up &&
 	    EVUTIL_SOCKET_ERROR() == ECONNREFUSED)
-		tell_refused(link);
-	doom(link);
+		notify_refused(link);
+	close_link(link);
 }
 
 static struct peer_link *add_link(struct peers *peers, evutil_socket_t fd,
@@ -244,7 +245,7 @@
 	link->outgoing = outgoing;
 	link->opened_at = clock_now(peers->board->clock);
 	link->last_received_at = link->opened_at;
-	link->used_at = link->opened_at;
+	link->last_sent_at = link->opened_at;
 	link->bev = bufferevent_socket_new(peers->board->base, fd,
 					   BEV_OPT_CLOSE_ON_FREE);
 	bufferevent_setcb(link->bev, on_read, NULL, on_event, link);
@@ -275,7 +276,7 @@
 	struct peer_link *link;
 
 	DL_FOREACH (peers->links, link) {
-		if (link->outgoing && !link->doomed &&
+		if (link->outgoing && !link->closed &&
 		    str_eq_text(instance, link->instance))
 			return link;
 	}
@@ -297,7 +298,7 @@
 	if (found)
 		return found;
 	DL_FOREACH (peers->links, link) {
-		if (link->up && !link->doomed &&
+		if (link->up && !link->closed &&
 		    str_eq_text(instance, link->instance))
 			found = link;
 	}
@@ -315,7 +316,7 @@
 	link->address = member->peer_address;
 	if (bufferevent_socket_connect(link->bev, (struct sockaddr *)&sin,
 				       sizeof(sin))) {
-		doom(link);
+		close_link(link);
 		return;
 	}
 	set_nodelay(bufferevent_getfd(link->bev));
@@ -325,11 +326,11 @@
 			int64_t now)
 {
 	return peers->wanted && now - link->last_received_at >= UNWANTED_IDLE &&
-	       now - link->used_at >= UNWANTED_IDLE &&
+	       now - link->last_sent_at >= UNWANTED_IDLE &&
 	       !hub_links_wants(peers->wanted, link->instance);
 }
 
-static void close_stale(struct peers *peers)
+static void close_unneeded(struct peers *peers)
 {
 	int64_t now = clock_now(peers->board->clock);
 	struct peer_link *link;
@@ -337,10 +338,10 @@
 	DL_FOREACH (peers->links, link) {
 		struct fleet_member *member;
 
-		if (link->doomed)
+		if (link->closed)
 			continue;
-		if (!link->up && now - link->opened_at > HELLO_TIMEOUT_US)
-			doom(link);
+		if (!link->up && now - link->opened_at > HELLO_TIMEOUT)
+			close_link(link);
 		if (!link->outgoing)
 			continue;
 		member = fleet_find(&peers->board->fleet,
@@ -348,7 +349,7 @@
 		if (!member ||
 		    !address_eq(&member->peer_address, &link->address) ||
 		    is_unwanted(peers, link, now))
-			doom(link);
+			close_link(link);
 	}
 }
 
@@ -384,7 +385,7 @@
 
 void peers_update_links(struct peers *peers)
 {
-	close_stale(peers);
+	close_unneeded(peers);
 	connect_missing(peers);
 }
 
@@ -426,7 +427,7 @@
 	accept_guard_init(&peers->guard, board->base, peers->listener);
 	evconnlistener_set_error_cb(peers->listener, on_accept_error);
 	peers->timer = event_new(board->base, -1, EV_PERSIST, on_timer, peers);
-	peers->reaper = evtimer_new(board->base, reap, peers);
+	peers->reaper = evtimer_new(board->base, free_closed_links, peers);
 	event_add(peers->timer, &period);
 	blackboard_watch(board, BLACKBOARD_FLEET, &peers->fleet_watch, on_fleet,
 			 peers);
--- a/peer.h
+++ b/peer.h
@@ -1,8 +1,8 @@
 /*
  * Connections between instances. Each instance opens one to every member of
- * the fleet, itself included, or to those that the owner names; queries go out
- * on it and results come back. Connections opened by others carry their
- * queries.
+ * the fleet, itself included, or to the members that its owner selects. It
+ * sends queries on these and receives the results; connections opened by other
+ * instances carry their queries.
  */
 #ifndef PEER_H
 #define PEER_H
@@ -22,39 +22,45 @@
 struct hub_links;
 struct peers;
 
-#define PEER_TOPIC_HANDLERS_MAX 4
-
 /**
  * struct peer_link - one connection
+ * @peers: owner
  * @outgoing: opened by this instance
- * @up: Hello was exchanged; nothing else passes before
- * @instance: the other end, once up; for outgoing ones from the start
- * @last_received_at: when bytes last came
- * @used_at: when a frame was last sent
+ * @up: Hello was exchanged; no other frames are accepted before
+ * @closed: failed or no longer needed; freed in the next loop iteration
+ * @instance: the other end; set at creation if @outgoing, else with its Hello
+ * @incarnation: of the other end, set as @instance
+ * @address: connected to, if @outgoing
+ * @bev: owned
+ * @last_received_at: when bytes were last received
+ * @last_sent_at: when a frame was last sent
+ * @opened_at: when the link was created
  */
 struct peer_link {
 	struct peers *peers;
 	bool outgoing;
 	bool up;
-	bool doomed;
+	bool closed;
 	char instance[FLEET_NAME_SIZE];
 	uint64_t incarnation;
 	struct address address;
 	struct bufferevent *bev;
 	int64_t last_received_at;
-	int64_t used_at;
+	int64_t last_sent_at;
 	int64_t opened_at;
 	struct peer_link *prev;
 	struct peer_link *next;
 };
 
 /**
- * struct peer_handler - who takes links and frames
- * @up: a link is ready; may be NULL
- * @down: a link that was up is gone; may be NULL
- * @frame: a frame of one of @types came
- * @refused: nothing listens at a member's peer address; may be NULL
- * @types: bit (1 << type) for each type taken
+ * struct peer_handler - callbacks of a module for links and frames
+ * @up: a link completed its handshake; may be NULL
+ * @down: a link that was up was closed; may be NULL
+ * @frame: a frame of one of @types was received; the handler may set
+ *	@frame->message to NULL to take ownership of the message
+ * @refused: a member's peer address refused the connection; may be NULL
+ * @types: bit (1 << type) for each type to be passed to @frame
+ * @arg: passed to the callbacks
  */
 struct peer_handler {
 	void (*up)(void *arg, struct peer_link *link);
@@ -67,9 +73,17 @@
 };
 
 /**
- * struct peers - all of an instance
+ * struct peers - all links of an instance
+ * @board: borrowed
  * @wanted: instances to connect to, set by the owner; NULL: all members
- * @traffic: what was sent
+ * @listener: at the peer address
+ * @guard: pauses @listener when accept() fails
+ * @timer: closes and opens links periodically
+ * @reaper: frees closed links
+ * @links: incoming and outgoing
+ * @handlers: registered by peers_add_handler()
+ * @traffic: frames and bytes sent
+ * @fleet_watch: for changes of the fleet
  */
 struct peers {
 	struct blackboard *board;
@@ -85,7 +99,7 @@
 };
 
 /**
- * peers_init() - listen and connect
+ * peers_init() - listen at the peer address and start connecting
  *
  * Return: 0, or ERR_ADDRESS if the peer address cannot be bound.
  */
@@ -93,38 +107,41 @@
 void peers_finish(struct peers *peers);
 
 /**
- * peers_add_handler() - hand links and frames to a module
+ * peers_add_handler() - register callbacks
  * @handler: owned by the caller, outlives @peers
  */
 void peers_add_handler(struct peers *peers, struct peer_handler *handler);
 
 /**
- * peers_find() - the outgoing link to an instance that is up, or NULL
+ * peers_find() - find an outgoing link that is up
+ *
+ * Return: the link to @instance, or NULL.
  */
 struct peer_link *peers_find(struct peers *peers, struct str instance);
 
 /**
- * peers_find_any() - a link to or from an instance that is up, or NULL
+ * peers_find_any() - find a link that is up, in either direction
  *
- * For what may go either way; of several the newest, for an older one may be
- * of a process that has ended.
+ * Return: the outgoing link to @instance or else the newest incoming one, as an
+ * older one may belong to a process that has ended; or NULL.
  */
 struct peer_link *peers_find_any(struct peers *peers, struct str instance);
 
 /**
- * peers_update_links() - connect to those that are wanted now
+ * peers_update_links() - close unneeded links and open missing ones
  */
 void peers_update_links(struct peers *peers);
 
 /**
- * peer_backlog() - bytes that were sent on a link and not yet taken by it
+ * peer_backlog() - bytes queued on a link that its socket has not accepted yet
  */
 size_t peer_backlog(const struct peer_link *link);
 
 /**
- * peer_send() - send a frame on a link
+ * peer_send() - queue a frame on a link
  *
- * Return: 0, or ERR_TOO_LARGE or ERR_UNAVAILABLE and nothing is sent.
+ * Return: 0, or an error of frame_write(), or ERR_UNAVAILABLE if the link is
+ * closed or its backlog is full; nothing is sent after an error.
  */
 int peer_send(struct peer_link *link, enum frame_type type,
 	      const ProtobufCMessage *message);
--- a/peer_traffic.c
+++ b/peer_traffic.c
@@ -7,8 +7,8 @@
 #define FRAMES_NAME "garnetreach_peer_frames_out_total"
 #define BYTES_NAME "garnetreach_peer_bytes_out_total"
 
-static void expose(struct evbuffer *out, const char *name, const char *help,
-		   const uint64_t *counts)
+static void append_counters(struct evbuffer *out, const char *name,
+			    const char *help, const uint64_t *counts)
 {
 	int i;
 
@@ -26,8 +26,8 @@
 void peer_traffic_expose(const struct peer_traffic *traffic,
 			 struct evbuffer *out)
 {
-	expose(out, FRAMES_NAME, "frames sent to other instances",
-	       traffic->frames);
-	expose(out, BYTES_NAME, "bytes of these, headers included",
-	       traffic->bytes);
+	append_counters(out, FRAMES_NAME, "frames sent to other instances",
+			traffic->frames);
+	append_counters(out, BYTES_NAME, "bytes of these, headers included",
+			traffic->bytes);
 }
--- a/peer_traffic.h
+++ b/peer_traffic.h
@@ -1,6 +1,7 @@
 /*
- * What an instance sends to other instances, by kind of message: what control
- * costs at a start of all, at a change of routes and at rest.
+ * Counts what an instance sends to other instances by frame type. Shows the
+ * cost of control traffic when the fleet starts, when routes change and when
+ * idle.
  */
 #ifndef PEER_TRAFFIC_H
 #define PEER_TRAFFIC_H
@@ -13,9 +14,9 @@
 struct evbuffer;
 
 /**
- * struct peer_traffic - frames and bytes sent since the start
+ * struct peer_traffic - frames and bytes sent since startup
  * @frames: by enum frame_type
- * @bytes: the same, headers included
+ * @bytes: by enum frame_type, headers included
  */
 struct peer_traffic {
 	uint64_t frames[FRAME_TYPE_LIMIT];
@@ -30,7 +31,9 @@
 }
 
 /**
- * peer_traffic_expose() - as metrics, a line for each kind that was sent
+ * peer_traffic_expose() - append metrics with a line for each type that was
+ * sent
+ * @out: Prometheus text format
  */
 void peer_traffic_expose(const struct peer_traffic *traffic,
 			 struct evbuffer *out);
--- a/relay_choose.c
+++ b/relay_choose.c
@@ -68,7 +68,7 @@
 {
 	const struct fleet_member *member;
 
-	if (!link->outgoing || !link->up || link->doomed)
+	if (!link->outgoing || !link->up || link->closed)
 		return NULL;
 	member = fleet_find(&relay->board->fleet, str_from(link->instance));
 	if (!member || member->status != FLEET_ALIVE ||
