--- a/gateway.c
+++ b/gateway.c
@@ -219,7 +219,7 @@
 	gateway->state = GATEWAY_LEAVING;
 	gateway->leaving_since = clock_now(&gateway->clock);
 	LOG_INFO("leaving", LOG_I64("connections", gateway->inbound.n));
-	inbound_leave(&gateway->inbound);
+	inbound_disable_keep_alive(&gateway->inbound);
 	gateway_fleet_leave(&gateway->fleet);
 	event_add(gateway->stop_timer, &period);
 }
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -337,7 +337,7 @@
 		start_or_refuse(gateway, conn, message, route, fingerprint);
 }
 
-static void on_left(void *arg, struct inbound_conn *conn, void *data)
+static void on_closed(void *arg, struct inbound_conn *conn, void *data)
 {
 	struct gateway *gateway = arg;
 	struct gateway_request *request = data;
@@ -362,7 +362,7 @@
 
 const struct inbound_ops gateway_request_ops = {
 	.request = on_request,
-	.left = on_left,
+	.closed = on_closed,
 	.refused = on_refused,
 };
 
--- a/inbound.c
+++ b/inbound.c
@@ -18,22 +18,34 @@
 #include "mem.h"
 
 #define CONNS_MAX 2000
-/* Until the routes in force set others. */
+/* Defaults until the routes in force set limits. */
 #define HEADER_TIMEOUT MSEC(5000)
 #define IDLE_TIMEOUT MSEC(15000)
-#define HEAD_MAX 16384
-#define BODY_MAX (1024 * 1024)
-/* Unread bytes a caller may have waiting in our memory during its request. */
-#define WAITING_MAX 65536
-/* The other end has so long to close after our last byte. */
+#define HEADER_SIZE_MAX 16384
+#define BODY_SIZE_MAX (1024 * 1024)
+/* Bytes that are buffered for a caller while its request is processed. */
+#define READ_BUFFER_MAX 65536
+/* Time for the caller to close the connection after the last response. */
 #define CLOSE_TIMEOUT MSEC(1000)
 
 enum inbound_state {
 	INBOUND_READING,
-	INBOUND_BUSY,	 /* the request is being answered */
-	INBOUND_CLOSING, /* the last answer is on its way out */
+	INBOUND_BUSY,	 /* a request is being processed */
+	INBOUND_CLOSING, /* the last response is being sent */
 };
 
+/**
+ * struct inbound_conn - a caller's connection
+ * @inbound: owner
+ * @bev: owned
+ * @timer: for the timeouts of idle, reading and closing connections
+ * @message: the request being read or processed
+ * @processing: in process(), which a synchronous response must not re-enter
+ * @header_timer_armed: @timer limits the duration of the current request
+ * @continue_sent: 100 Continue was sent for the current request
+ * @ip: of the caller
+ * @request: of inbound_conn_set_request()
+ */
 struct inbound_conn {
 	struct inbound *inbound;
 	struct bufferevent *bev;
@@ -41,8 +53,8 @@
 	struct http_message message;
 	enum inbound_state state;
 	bool processing;
-	bool timed_head;
-	bool invited;
+	bool header_timer_armed;
+	bool continue_sent;
 	char ip[INET_ADDRSTRLEN];
 	void *request;
 	struct inbound_conn *prev;
@@ -62,7 +74,7 @@
 	free(conn);
 }
 
-static void arm(struct inbound_conn *conn, int64_t usec)
+static void arm_timer(struct inbound_conn *conn, int64_t usec)
 {
 	struct timeval tv = {usec / USEC_PER_SEC, usec % USEC_PER_SEC};
 
@@ -70,16 +82,17 @@
 }
 
 /*
- * A socket closed with unread bytes is reset, and the answer may be lost: our
- * side is shut, and what the caller still sends is read until it closes.
+ * Closing a socket with unread bytes sends a reset, and the caller may lose the
+ * response. So only the sending side is shut down, and input is discarded until
+ * the caller closes.
  */
-static void close_softly(struct inbound_conn *conn)
+static void close_gracefully(struct inbound_conn *conn)
 {
 	conn->state = INBOUND_CLOSING;
 	if (evbuffer_get_length(bufferevent_get_output(conn->bev)))
 		return;
 	shutdown(bufferevent_getfd(conn->bev), SHUT_WR);
-	arm(conn, CLOSE_TIMEOUT);
+	arm_timer(conn, CLOSE_TIMEOUT);
 }
 
 static void on_write(struct bufferevent *bev, void *arg)
@@ -88,17 +101,17 @@
 
 	(void)bev;
 	if (conn->state == INBOUND_CLOSING)
-		close_softly(conn);
+		close_gracefully(conn);
 }
 
-static bool keeps_open(const struct inbound_conn *conn)
+static bool keeps_alive(const struct inbound_conn *conn)
 {
 	return conn->message.keep_alive && !conn->message.error &&
-	       !conn->inbound->leaving;
+	       !conn->inbound->keep_alive_disabled;
 }
 
-static void write_answer(struct inbound_conn *conn, int status,
-			 struct evbuffer *fields, struct str body, bool keep)
+static void write_response(struct inbound_conn *conn, int status,
+			   struct evbuffer *fields, struct str body, bool keep)
 {
 	struct evbuffer *out = bufferevent_get_output(conn->bev);
 
@@ -115,8 +128,8 @@
 static void refuse(struct inbound_conn *conn, int status, const char *why)
 {
 	conn->inbound->ops->refused(conn->inbound->arg, status, why);
-	write_answer(conn, status, NULL, STR(""), false);
-	close_softly(conn);
+	write_response(conn, status, NULL, STR(""), false);
+	close_gracefully(conn);
 }
 
 static void refuse_error(struct inbound_conn *conn)
@@ -132,24 +145,24 @@
 		refuse(conn, HTTP_STATUS_PAYLOAD_TOO_LARGE, "body_too_large");
 }
 
-static void take(struct inbound_conn *conn)
+static void start_request(struct inbound_conn *conn)
 {
 	conn->state = INBOUND_BUSY;
-	conn->timed_head = false;
-	conn->invited = false;
+	conn->header_timer_armed = false;
+	conn->continue_sent = false;
 	event_del(conn->timer);
 	conn->inbound->ops->request(conn->inbound->arg, conn, &conn->message);
 }
 
-/* A caller may ask for leave before it sends a long body. */
-static void invite_body(struct inbound_conn *conn)
+/* Answers "Expect: 100-continue", sent by callers before a long body. */
+static void send_continue(struct inbound_conn *conn)
 {
 	static const char line[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
-	if (conn->invited || conn->message.state != MESSAGE_BODY ||
+	if (conn->continue_sent || conn->message.state != MESSAGE_BODY ||
 	    !http_message_has(&conn->message, STR("expect")))
 		return;
-	conn->invited = true;
+	conn->continue_sent = true;
 	bufferevent_write(conn->bev, line, sizeof(line) - 1);
 }
 
@@ -163,7 +176,7 @@
 	       evbuffer_get_length(in)) {
 		ret = http_message_read(&conn->message, in);
 		if (ret == 1)
-			take(conn);
+			start_request(conn);
 		else if (ret < 0)
 			refuse_error(conn);
 	}
@@ -171,10 +184,10 @@
 	if (conn->state != INBOUND_READING ||
 	    conn->message.state == MESSAGE_EMPTY)
 		return;
-	invite_body(conn);
-	if (!conn->timed_head)
-		arm(conn, conn->inbound->header_timeout);
-	conn->timed_head = true;
+	send_continue(conn);
+	if (!conn->header_timer_armed)
+		arm_timer(conn, conn->inbound->header_timeout);
+	conn->header_timer_armed = true;
 }
 
 static void on_read(struct bufferevent *bev, void *arg)
@@ -195,8 +208,8 @@
 	(void)bev;
 	(void)what;
 	if (conn->state == INBOUND_BUSY)
-		conn->inbound->ops->left(conn->inbound->arg, conn,
-					 conn->request);
+		conn->inbound->ops->closed(conn->inbound->arg, conn,
+					   conn->request);
 	free_conn(conn);
 }
 
@@ -210,7 +223,7 @@
 	    conn->message.state != MESSAGE_EMPTY)
 		refuse(conn, HTTP_STATUS_REQUEST_TIMEOUT, "slow");
 	else if (conn->state != INBOUND_CLOSING)
-		close_softly(conn);
+		close_gracefully(conn);
 	else
 		free_conn(conn);
 }
@@ -232,11 +245,11 @@
 	conn->bev = bufferevent_socket_new(inbound->base, fd,
 					   BEV_OPT_CLOSE_ON_FREE);
 	bufferevent_setcb(conn->bev, on_read, on_write, on_event, conn);
-	bufferevent_setwatermark(conn->bev, EV_READ, 0, WAITING_MAX);
+	bufferevent_setwatermark(conn->bev, EV_READ, 0, READ_BUFFER_MAX);
 	DL_APPEND(inbound->conns, conn);
 	if (++inbound->n == inbound->max)
 		evconnlistener_disable(listener);
-	arm(conn, inbound->idle_timeout);
+	arm_timer(conn, inbound->idle_timeout);
 	bufferevent_enable(conn->bev, EV_READ | EV_WRITE);
 }
 
@@ -262,8 +275,8 @@
 	inbound->max = CONNS_MAX;
 	inbound->header_timeout = HEADER_TIMEOUT;
 	inbound->idle_timeout = IDLE_TIMEOUT;
-	inbound->limits.head = HEAD_MAX;
-	inbound->limits.body = BODY_MAX;
+	inbound->limits.head = HEADER_SIZE_MAX;
+	inbound->limits.body = BODY_SIZE_MAX;
 	inbound->listener = evconnlistener_new_bind(base, on_accept, inbound,
 						    LEV_OPT_CLOSE_ON_FREE |
 							    LEV_OPT_REUSEABLE,
@@ -304,9 +317,9 @@
 	inbound->idle_timeout = MSEC(limits->idle_timeout_ms);
 }
 
-void inbound_leave(struct inbound *inbound)
+void inbound_disable_keep_alive(struct inbound *inbound)
 {
-	inbound->leaving = true;
+	inbound->keep_alive_disabled = true;
 }
 
 int inbound_close_idle(struct inbound *inbound)
@@ -317,11 +330,11 @@
 
 	stop_listening(inbound);
 	DL_FOREACH_SAFE (inbound->conns, conn, next) {
-		/* A request that is half read will still be answered. */
+		/* A partly read request is still completed and answered. */
 		if (conn->state == INBOUND_READING &&
 		    conn->message.state == MESSAGE_EMPTY &&
 		    !evbuffer_get_length(bufferevent_get_input(conn->bev)))
-			close_softly(conn);
+			close_gracefully(conn);
 		else if (conn->state != INBOUND_CLOSING)
 			busy++;
 		else if (evbuffer_get_length(bufferevent_get_output(conn->bev)))
@@ -354,17 +367,17 @@
 void inbound_respond(struct inbound_conn *conn, int status,
 		     struct evbuffer *fields, struct str body)
 {
-	bool keep = keeps_open(conn);
+	bool keep = keeps_alive(conn);
 
-	write_answer(conn, status, fields, body, keep);
+	write_response(conn, status, fields, body, keep);
 	conn->request = NULL;
 	if (!keep) {
-		close_softly(conn);
+		close_gracefully(conn);
 		return;
 	}
 	http_message_reset(&conn->message);
 	conn->state = INBOUND_READING;
-	arm(conn, conn->inbound->idle_timeout);
+	arm_timer(conn, conn->inbound->idle_timeout);
 	if (!conn->processing)
 		process(conn);
 }
--- a/inbound.h
+++ b/inbound.h
@@ -1,6 +1,6 @@
 /*
- * HTTP towards callers: connections, one request at a time on each, what a
- * caller may send and how slowly, and whole answers.
+ * HTTP server for callers: connections with one request at a time each, limits
+ * on the size and duration of requests, and responses with a complete body.
  */
 #ifndef INBOUND_H
 #define INBOUND_H
@@ -21,23 +21,34 @@
 struct inbound_conn;
 
 /**
- * struct inbound_ops - who takes the requests
- * @request: a whole request; it stays valid until it is answered
- * @left: the caller closed its connection; @request must not be answered
- * @refused: a message was refused with that status before it was a request
+ * struct inbound_ops - callbacks
+ * @request: a complete request was received; @message stays valid until
+ *	inbound_respond()
+ * @closed: the caller closed the connection during the request, which must not
+ *	be answered; @request is from inbound_conn_set_request()
+ * @refused: a malformed, oversized or slow message was answered with @status
  */
 struct inbound_ops {
 	void (*request)(void *arg, struct inbound_conn *conn,
 			const struct http_message *message);
-	void (*left)(void *arg, struct inbound_conn *conn, void *request);
+	void (*closed)(void *arg, struct inbound_conn *conn, void *request);
 	void (*refused)(void *arg, int status, const char *why);
 };
 
 /**
  * struct inbound - all connections of callers
- * @n: open now
- * @max: more are not accepted until some are closed
- * @leaving: answers close their connections
+ * @base: borrowed
+ * @clock: borrowed
+ * @ops: callbacks, called with @arg
+ * @listener: NULL after inbound_close_idle()
+ * @guard: pauses @listener when accept() fails
+ * @limits: on the size of requests
+ * @header_timeout: from the first byte of a request to its end, microseconds
+ * @idle_timeout: of a connection without a request, microseconds
+ * @conns: open connections
+ * @n: length of @conns
+ * @max: connections are accepted while @n is below
+ * @keep_alive_disabled: each response closes its connection
  */
 struct inbound {
 	struct event_base *base;
@@ -52,13 +63,15 @@
 	struct inbound_conn *conns;
 	int n;
 	int max;
-	bool leaving;
+	bool keep_alive_disabled;
 };
 
 /**
- * inbound_init() - listen
+ * inbound_init() - listen with default limits
+ * @ops: borrowed
+ * @arg: passed to @ops
  *
- * Return: 0, or ERR_ADDRESS.
+ * Return: 0, or ERR_ADDRESS if @address cannot be bound.
  */
 int inbound_init(struct inbound *inbound, struct event_base *base,
 		 const struct clock *clock, const struct address *address,
@@ -68,38 +81,38 @@
 			const struct caller_limits *limits);
 
 /**
- * inbound_leave() - from now on each answer closes its connection
+ * inbound_disable_keep_alive() - close connections after their next response
  */
-void inbound_leave(struct inbound *inbound);
+void inbound_disable_keep_alive(struct inbound *inbound);
 
 /**
  * inbound_close_idle() - stop listening, close connections without a request
  *
- * Return: connections that still have one.
+ * Return: the number of connections with a request or an unsent response.
  */
 int inbound_close_idle(struct inbound *inbound);
 
 /**
- * inbound_conn_set_request() - what is handed to ops->left
+ * inbound_conn_set_request() - set the value that ops->closed gets
  */
 void inbound_conn_set_request(struct inbound_conn *conn, void *request);
 
 /**
- * inbound_conn_rtt() - to the caller and back, by its connection
+ * inbound_conn_rtt() - the kernel's round-trip time of the connection
  *
- * Return: microseconds; 0 if it is not known.
+ * Return: microseconds; 0 if unknown.
  */
 int64_t inbound_conn_rtt(const struct inbound_conn *conn);
 
 /**
- * inbound_conn_ip() - the caller's IP address
+ * inbound_conn_ip() - the caller's IP address, owned by @conn
  */
 const char *inbound_conn_ip(const struct inbound_conn *conn);
 
 /**
- * inbound_respond() - answer the request of a connection
+ * inbound_respond() - send the response to the current request
  * @fields: header lines, each with its CRLF; drained. May be NULL
- * @body: whole
+ * @body: complete, copied
  */
 void inbound_respond(struct inbound_conn *conn, int status,
 		     struct evbuffer *fields, struct str body);
