--- a/view_apply.c
+++ b/view_apply.c
@@ -4,12 +4,12 @@
 
 #include "error.h"
 
-static void take_row(struct view_share *share, const Peer__ViewServer *row,
-		     bool listing)
+static void apply_row(struct view_share *share, const Peer__ViewServer *row,
+		      bool listing)
 {
 	struct server_entry entry;
 
-	/* Of an earlier era, kept by the peer until it has a list. */
+	/* From an earlier era, retained by the peer until it reads a list. */
 	if (!row->changed_at && share->sync->feeds[STORE_SERVERS].at)
 		return;
 	if (row->removed) {
@@ -41,9 +41,9 @@
 	return clock_now(share->clock) - MSEC((int64_t)age);
 }
 
-/* Taken whether or not the routes are: they need none of them. */
-static void take_cordons(struct view_share *share,
-			 const Peer__ViewUpdate *message)
+/* Independent of the routes: applied even if those are invalid. */
+static void apply_cordons(struct view_share *share,
+			  const Peer__ViewUpdate *message)
 {
 	struct cordon_set cordons = {.revision = message->routes_at};
 	size_t i;
@@ -57,8 +57,8 @@
 	cordon_sync_apply_peer_set(&share->sync->cordons, &cordons);
 }
 
-static int take_document(struct view_share *share,
-			 const ProtobufCBinaryData *text)
+static int apply_document(struct view_share *share,
+			  const ProtobufCBinaryData *text)
 {
 	const struct str document = {(char *)text->data, text->len};
 	int ret;
@@ -69,18 +69,18 @@
 	return ret == ERR_STALE ? 0 : ret;
 }
 
-static int take_routes(struct view_share *share,
-		       const Peer__ViewUpdate *message,
-		       const ProtobufCBinaryData *text)
+static int apply_routes(struct view_share *share,
+			const Peer__ViewUpdate *message,
+			const ProtobufCBinaryData *text)
 {
 	struct store_sync *sync = share->sync;
-	int ret = take_document(share, text);
+	int ret = apply_document(share, text);
 
 	if (ret)
 		return ret;
 	if (!sync->routes || sync->routes->version < message->routes_version)
 		return ERR_VERSION;
-	/* A lower version is old, whatever its age is said to be. */
+	/* A lower version is outdated, whatever age the message states. */
 	if (sync->routes->version == message->routes_version &&
 	    message->routes_age_ms != UINT32_MAX)
 		store_sync_confirm(sync, STORE_ROUTES, message->routes_at,
@@ -88,9 +88,9 @@
 	return 0;
 }
 
-static int take_servers(struct view_share *share,
-			const Peer__ViewUpdate *message,
-			Peer__ViewServer *const *servers, size_t n)
+static int apply_servers(struct view_share *share,
+			 const Peer__ViewUpdate *message,
+			 Peer__ViewServer *const *servers, size_t n)
 {
 	struct store_feed *feed = &share->sync->feeds[STORE_SERVERS];
 	size_t i;
@@ -100,7 +100,7 @@
 	if (message->whole)
 		store_sync_begin_whole(share->sync);
 	for (i = 0; i < n; i++)
-		take_row(share, servers[i], message->whole);
+		apply_row(share, servers[i], message->whole);
 	if (message->whole)
 		store_sync_end_whole(share->sync, message->servers_at);
 	else if (feed->fresh_at < 0 || feed->at < message->servers_from)
@@ -110,7 +110,7 @@
 	return 0;
 }
 
-/* Servers are taken also if the routes are not. */
+/* Servers are applied even if the routes are invalid. */
 int view_apply(struct view_share *share, const char *member,
 	       const Peer__ViewUpdate *message, const Peer__ViewBody *body)
 {
@@ -119,17 +119,18 @@
 	int servers_ret;
 	int ret;
 
-	/* Routes have an order of their own; all else there is outdated. */
+	/* Routes are ordered by version in all eras; the rest is outdated. */
 	if (store_sync_enter_era(share->sync, message->store_era,
 				 message->servers_at, member)) {
-		take_document(share, routes);
+		apply_document(share, routes);
 		return ERR_STALE;
 	}
 	view_share_follow_era(share);
-	take_cordons(share, message);
-	ret = take_routes(share, message, routes);
-	servers_ret = take_servers(share, message,
-				   body ? body->servers : message->servers,
-				   body ? body->n_servers : message->n_servers);
+	apply_cordons(share, message);
+	ret = apply_routes(share, message, routes);
+	servers_ret =
+		apply_servers(share, message,
+			      body ? body->servers : message->servers,
+			      body ? body->n_servers : message->n_servers);
 	return ret ? ret : servers_ret;
 }
--- a/view_send.c
+++ b/view_send.c
@@ -29,9 +29,9 @@
 	}
 }
 
-/* The first hub of a data centre that there is a way to. */
-static void tell_hub(struct view_share *share, struct view_update *update,
-		     const char *data_centre)
+/* Sends to the first hub of a data centre that can be reached. */
+static void send_to_hub(struct view_share *share, struct view_update *update,
+			const char *data_centre)
 {
 	int i;
 
@@ -57,7 +57,7 @@
 
 		if (!member->place &&
 		    strcmp(member->data_centre, share->data_centre))
-			tell_hub(share, update, member->data_centre);
+			send_to_hub(share, update, member->data_centre);
 	}
 }
 
@@ -75,5 +75,5 @@
 	}
 	update->message.forward = true;
 	update->message.spread = true;
-	tell_hub(share, update, share->data_centre);
+	send_to_hub(share, update, share->data_centre);
 }
--- a/view_share.c
+++ b/view_share.c
@@ -13,35 +13,37 @@
 #include "view_update.h"
 
 /*
- * How old the view may get before the store is read, by rank. What the first
- * reads is told before it is 1.3 s old, so that the second does not read while
- * the first does; and five may be lost or refused before a view is older than
- * 2.2 s. Routes and drains must be known everywhere within 3 s.
+ * Maximum age of the view before an instance reads the store, by rank. Routes
+ * and drains must reach all instances within 3 s. Views read by the first
+ * instance arrive before they are 1.3 s old, so the second does not read at the
+ * same time. Five instances may fail or be refused before a view is older than
+ * 2.2 s.
  */
-#define PATIENCE_SECOND MSEC(1700)
-#define PATIENCE_STEP MSEC(100)
-#define PATIENCE_MOST MSEC(2200)
+#define VIEW_AGE_RANK_1 MSEC(1700)
+#define VIEW_AGE_STEP MSEC(100)
+#define VIEW_AGE_KNEE MSEC(2200)
 /*
- * In a large fleet the rest must not read all at the same moment, before they
- * hear from the first of them that did: an answer takes 0.1 s at most, and its
- * way to all some more, in which 20 others begin. The last of 295 reads at 4 s:
- * such a fleet must leave a server that drains within 6 s.
+ * Beyond KNEE_RANK the instances of a large fleet must not all read at once
+ * before the view that one of them read arrives. An answer takes up to 0.1 s
+ * plus its distribution, during which 20 others start to read. The last of 295
+ * instances reads at 4 s; such a fleet must stop using a draining server within
+ * 6 s.
  */
-#define RANKS_SOON 6
-#define PATIENCE_SPREAD MSEC(6)
-#define PATIENCE_LAST MSEC(4000)
+#define KNEE_RANK 6
+#define VIEW_AGE_TAIL_STEP MSEC(6)
+#define VIEW_AGE_MAX MSEC(4000)
 /*
- * A view so old is asked for, before it is read from the store: the connection
- * that it is told on may have gone silent. Who reads tells each 0.9 s.
+ * Age at which the view is requested from a hub, before the store is read: the
+ * connection that delivers it may be dead. A reader sends every 0.9 s.
  */
-#define VIEW_OLD MSEC(1500)
-/* Nothing new: that it is still so is told no oftener than this. */
-#define TELL_PERIOD MSEC(100)
-/* A member that was asked for its view and has not answered. */
-#define ASK_AGAIN MSEC(200)
-/* So many whole views are told in a time: 0.4 MB at 400 servers. */
-#define WHOLE_PERIOD MSEC(100)
-#define WHOLE_MOST 6
+#define VIEW_REQUEST_AGE MSEC(1500)
+/* Minimum time between messages that only confirm an unchanged view. */
+#define CONFIRM_INTERVAL MSEC(100)
+/* Time after which an unanswered request is repeated. */
+#define REQUEST_RETRY MSEC(200)
+/* Limit for complete views: 0.4 MB per period with 400 servers. */
+#define SNAPSHOT_PERIOD MSEC(100)
+#define SNAPSHOTS_PER_PERIOD 6
 
 void view_share_init(struct view_share *share, const struct clock *clock,
 		     const struct view_share_ops *ops, void *arg,
@@ -56,30 +58,30 @@
 	str_copy(share->instance, sizeof(share->instance), str_from(instance));
 	str_copy(share->data_centre, sizeof(share->data_centre),
 		 str_from(data_centre));
-	share->asked_at = INT64_MIN / 2;
-	share->whole_since = INT64_MIN / 2;
+	share->requested_at = INT64_MIN / 2;
+	share->snapshot_period_start = INT64_MIN / 2;
 }
 
 void view_share_finish(struct view_share *share)
 {
 	free(share->members);
-	free(share->kept.packed);
+	free(share->snapshot.packed);
 }
 
-static int64_t patience_of(int rank)
+static int64_t max_view_age(int rank)
 {
-	int64_t patience;
+	int64_t age;
 
 	if (!rank)
 		return 0;
-	patience = PATIENCE_SECOND + (rank - 1) * PATIENCE_STEP;
-	if (patience <= PATIENCE_MOST)
-		return patience;
-	patience = PATIENCE_MOST + (rank - RANKS_SOON) * PATIENCE_SPREAD;
-	return patience < PATIENCE_LAST ? patience : PATIENCE_LAST;
+	age = VIEW_AGE_RANK_1 + (rank - 1) * VIEW_AGE_STEP;
+	if (age <= VIEW_AGE_KNEE)
+		return age;
+	age = VIEW_AGE_KNEE + (rank - KNEE_RANK) * VIEW_AGE_TAIL_STEP;
+	return age < VIEW_AGE_MAX ? age : VIEW_AGE_MAX;
 }
 
-static void find_rank(struct view_share *share)
+static void update_rank(struct view_share *share)
 {
 	int i;
 
@@ -88,7 +90,7 @@
 		if (!strcmp(share->members[i].instance, share->instance))
 			share->rank = i;
 	}
-	store_sync_set_patience(share->sync, patience_of(share->rank),
+	store_sync_set_patience(share->sync, max_view_age(share->rank),
 				share->rank);
 }
 
@@ -112,7 +114,7 @@
 		entry->score = str_hash(str_from(member->instance));
 	}
 	hubs_choose(share->members, share->n_members);
-	find_rank(share);
+	update_rank(share);
 	if (share->rank != before)
 		LOG_INFO("reader_rank", LOG_I64("rank", share->rank),
 			 LOG_I64("before", before),
@@ -120,8 +122,8 @@
 }
 
 /*
- * In a new era, what this instance knew already is no change here, and may be
- * one for others: they must begin with a whole view.
+ * What this instance knew before a new era is not recorded as a change, but may
+ * be new to others: they must first get a complete view.
  */
 void view_share_follow_era(struct view_share *share)
 {
@@ -129,18 +131,18 @@
 
 	if (share->era != share->sync->era) {
 		share->era = share->sync->era;
-		share->complete_at = UINT64_MAX;
-		share->told_at = 0;
-		share->told_changes = share->n_changes;
+		share->changes_since = UINT64_MAX;
+		share->sent_revision = 0;
+		share->sent_changes = share->n_changes;
 		share->last_change = 0;
-		free(share->kept.packed);
-		share->kept.packed = NULL;
+		free(share->snapshot.packed);
+		share->snapshot.packed = NULL;
 	}
-	if (share->complete_at == UINT64_MAX && feed->listed)
-		share->complete_at = feed->at;
+	if (share->changes_since == UINT64_MAX && feed->listed)
+		share->changes_since = feed->at;
 }
 
-static uint64_t max(uint64_t a, uint64_t b)
+static uint64_t max_u64(uint64_t a, uint64_t b)
 {
 	return a > b ? a : b;
 }
@@ -154,31 +156,33 @@
 	view_share_follow_era(share);
 	change = &share->changes[share->n_changes++ % VIEW_CHANGES_MAX];
 	str_copy(change->id, sizeof(change->id), str_from(id));
-	/* One that was held back comes later than its revision. */
-	share->last_change = max(max(changed_at, at + 1), share->last_change);
-	change->at = share->last_change;
+	/* A change that was held back is applied after its own revision. */
+	share->last_change =
+		max_u64(max_u64(changed_at, at + 1), share->last_change);
+	change->view_revision = share->last_change;
 	change->changed_at = changed_at;
 	change->removed = removed;
 }
 
-static void mark_told(struct view_share *share)
+static void mark_sent(struct view_share *share)
 {
-	share->told_version = share->sync->routes->version;
-	share->told_at = share->sync->feeds[STORE_SERVERS].at;
-	share->told_changes = share->n_changes;
-	share->told_cordons = share->sync->registry->cordons.n_changes;
+	share->sent_version = share->sync->routes->version;
+	share->sent_revision = share->sync->feeds[STORE_SERVERS].at;
+	share->sent_changes = share->n_changes;
+	share->sent_cordons = share->sync->registry->cordons.n_changes;
 }
 
 /*
- * Which revision a message of the last @n changes builds on. If more than are
- * kept came since the last message, it has none, and all who lack some ask.
+ * The revision that a message of the last @n changes builds on. If more changes
+ * than are recorded occurred since the last message, it is the current one, so
+ * that every member that lacks changes requests them.
  */
-static uint64_t told_from(const struct view_share *share, int n)
+static uint64_t base_revision(const struct view_share *share, int n)
 {
-	if ((uint64_t)n < share->n_changes - share->told_changes)
-		return max(share->sync->feeds[STORE_SERVERS].at,
-			   share->last_change);
-	return share->told_at;
+	if ((uint64_t)n < share->n_changes - share->sent_changes)
+		return max_u64(share->sync->feeds[STORE_SERVERS].at,
+			       share->last_change);
+	return share->sent_revision;
 }
 
 void view_share_publish(struct view_share *share)
@@ -187,111 +191,113 @@
 	const struct route_set *routes = share->sync->routes;
 	int64_t now = clock_now(share->clock);
 	const struct cordon_set *cordons = &share->sync->registry->cordons;
-	bool news = routes && routes->version != share->told_version;
+	bool new_routes = routes && routes->version != share->sent_version;
 	struct view_update update;
 	bool whole;
 	int n;
 
 	/*
-	 * A view that holds back removals is not the store's: those that took
-	 * it for fresh would not read, and not leave servers that left.
+	 * A view that holds back removals differs from the store. Members that
+	 * treated it as fresh would not read the store and would keep using
+	 * removed servers.
 	 */
 	view_share_follow_era(share);
 	if (!routes || feed->fresh_at < 0 || !feed->at ||
 	    server_view_holds_back(&share->sync->servers))
 		return;
 	/*
-	 * At the start of many at once each reads for itself. Only the first in
-	 * rank tells all that it has; of the others, who is not as far asks.
+	 * When many instances start at once, each reads for itself. Only the
+	 * first in rank sends a complete view; members that lack changes of the
+	 * others request them.
 	 */
-	whole = !share->told_at && !share->rank;
-	if (!share->told_at && share->rank) {
-		mark_told(share);
-		news = false;
+	whole = !share->sent_revision && !share->rank;
+	if (!share->sent_revision && share->rank) {
+		mark_sent(share);
+		new_routes = false;
 	}
-	n = (int)(share->n_changes - share->told_changes);
-	if (!news && !n && cordons->n_changes == share->told_cordons &&
-	    now - share->told_time < TELL_PERIOD)
+	n = (int)(share->n_changes - share->sent_changes);
+	if (!new_routes && !n && cordons->n_changes == share->sent_cordons &&
+	    now - share->last_sent_at < CONFIRM_INTERVAL)
 		return;
 	if (n > VIEW_CHANGES_MAX)
 		n = 0;
 	if (whole)
 		view_update_snapshot(share, &update);
 	else
-		view_update_changes(share, &update, told_from(share, n), n);
-	view_update_add_state(share, &update, news);
+		view_update_changes(share, &update, base_revision(share, n), n);
+	view_update_add_state(share, &update, new_routes);
 	view_send_all(share, &update);
 	view_update_finish(&update);
-	mark_told(share);
-	share->told_time = now;
+	mark_sent(share);
+	share->last_sent_at = now;
 }
 
 /*
- * Where hundreds start at once, the first that knows is asked by all of them.
- * Who gets no answer asks again, and soon others know too.
+ * When hundreds of instances start at once, all of them send requests to the
+ * first that has a view. Those that get no answer retry, by then with others.
  */
-static bool may_tell_whole(struct view_share *share)
+static bool may_send_snapshot(struct view_share *share)
 {
 	int64_t now = clock_now(share->clock);
 
-	if (now - share->whole_since >= WHOLE_PERIOD) {
-		share->whole_since = now;
-		share->n_whole = 0;
+	if (now - share->snapshot_period_start >= SNAPSHOT_PERIOD) {
+		share->snapshot_period_start = now;
+		share->n_snapshots = 0;
 	}
-	return share->n_whole++ < WHOLE_MOST;
+	return share->n_snapshots++ < SNAPSHOTS_PER_PERIOD;
 }
 
-static bool is_kept(const struct view_share *share)
+static bool is_snapshot_current(const struct view_share *share)
 {
-	const struct view_snapshot *kept = &share->kept;
+	const struct view_snapshot *snapshot = &share->snapshot;
 
-	return kept->packed && kept->n_changes == share->n_changes &&
-	       kept->version == share->sync->routes->version;
+	return snapshot->packed && snapshot->n_changes == share->n_changes &&
+	       snapshot->version == share->sync->routes->version;
 }
 
-/* Takes the packed rows over from @update, to be told again. */
-static void keep_whole(struct view_share *share, struct view_update *update)
+/* Moves the compressed data from @update to the cache. */
+static void cache_snapshot(struct view_share *share, struct view_update *update)
 {
-	struct view_snapshot *kept = &share->kept;
-
-	free(kept->packed);
-	kept->packed = update->packed;
-	kept->len = update->message.packed.len;
-	kept->size = update->message.packed_size;
-	kept->n_changes = share->n_changes;
-	kept->version = share->sync->routes->version;
+	struct view_snapshot *snapshot = &share->snapshot;
+
+	free(snapshot->packed);
+	snapshot->packed = update->packed;
+	snapshot->len = update->message.packed.len;
+	snapshot->size = update->message.packed_size;
+	snapshot->n_changes = share->n_changes;
+	snapshot->version = share->sync->routes->version;
 	update->packed = NULL;
 }
 
-static void tell_kept(struct view_share *share, const char *member)
+static void send_cached_snapshot(struct view_share *share, const char *member)
 {
 	struct view_update update = {.packed = NULL};
 
 	peer__view_update__init(&update.message);
 	update.message.whole = true;
 	view_update_fill_ages(share, &update);
-	update.message.packed.data = share->kept.packed;
-	update.message.packed.len = share->kept.len;
-	update.message.packed_size = share->kept.size;
+	update.message.packed.data = share->snapshot.packed;
+	update.message.packed.len = share->snapshot.len;
+	update.message.packed_size = share->snapshot.size;
 	view_send_member(share, member, &update);
 }
 
-static void tell_whole(struct view_share *share, const char *member)
+static void send_snapshot(struct view_share *share, const char *member)
 {
 	struct view_update update;
 
 	if (!share->sync->routes ||
 	    share->sync->feeds[STORE_SERVERS].fresh_at < 0 ||
-	    !may_tell_whole(share))
+	    !may_send_snapshot(share))
 		return;
-	if (is_kept(share)) {
-		tell_kept(share, member);
+	if (is_snapshot_current(share)) {
+		send_cached_snapshot(share, member);
 		return;
 	}
 	view_update_snapshot(share, &update);
 	view_update_add_state(share, &update, true);
 	view_send_member(share, member, &update);
-	keep_whole(share, &update);
+	cache_snapshot(share, &update);
 	view_update_finish(&update);
 }
 
@@ -306,13 +312,13 @@
 		store_sync_enter_era(share->sync, message->store_era,
 				     message->servers_at, member);
 	view_share_follow_era(share);
-	/* Who has a view has no use for one that is of no revision. */
+	/* A view without a revision is useless to a member that has one. */
 	if (message->servers_at && !feed->at)
 		return;
-	n = view_update_count(share, message->servers_at);
+	n = view_update_count_changes(share, message->servers_at);
 	if (!message->servers_at || message->store_era != share->sync->era ||
 	    n < 0) {
-		tell_whole(share, member);
+		send_snapshot(share, member);
 		return;
 	}
 	view_update_changes(share, &update, message->servers_at, n);
@@ -324,8 +330,9 @@
 	view_update_finish(&update);
 }
 
-/* Return: whether there is a way to it. */
-static bool ask(struct view_share *share, const char *member, bool whole)
+/* @whole: request a complete view. Return: whether @member can be reached. */
+static bool request_view(struct view_share *share, const char *member,
+			 bool whole)
 {
 	Peer__ViewRequest request = PEER__VIEW_REQUEST__INIT;
 	const struct route_set *routes = share->sync->routes;
@@ -334,27 +341,30 @@
 	request.store_era = share->sync->era;
 	if (!whole)
 		request.servers_at = share->sync->feeds[STORE_SERVERS].at;
-	share->asked_at = clock_now(share->clock);
+	share->requested_at = clock_now(share->clock);
 	return share->ops->request(share->arg, member, &request);
 }
 
-/* Without a view all that tell of theirs have more, and one is asked. */
-static bool may_ask(const struct view_share *share)
+/*
+ * Without a view, each message of a member shows that changes are missing; only
+ * one request is sent at a time.
+ */
+static bool may_request(const struct view_share *share)
 {
 	return store_sync_ready(share->sync) ||
-	       clock_now(share->clock) - share->asked_at >= ASK_AGAIN;
+	       clock_now(share->clock) - share->requested_at >= REQUEST_RETRY;
 }
 
 void view_share_member_reachable(struct view_share *share, const char *member)
 {
-	if (!store_sync_ready(share->sync) && may_ask(share))
-		ask(share, member, false);
+	if (!store_sync_ready(share->sync) && may_request(share))
+		request_view(share, member, false);
 }
 
-static bool is_old(const struct view_share *share)
+static bool is_view_old(const struct view_share *share)
 {
 	const struct store_feed *feeds = share->sync->feeds;
-	int64_t limit = clock_now(share->clock) - VIEW_OLD;
+	int64_t limit = clock_now(share->clock) - VIEW_REQUEST_AGE;
 
 	return feeds[STORE_ROUTES].fresh_at < limit ||
 	       feeds[STORE_SERVERS].fresh_at < limit;
@@ -366,22 +376,22 @@
 
 	bool whole = server_view_wants_whole(&share->sync->servers);
 
-	if (!store_sync_ready(share->sync) || (!is_old(share) && !whole))
+	if (!store_sync_ready(share->sync) || (!is_view_old(share) && !whole))
 		return;
-	/* Another one each time: whom it asked may not be reached. */
+	/* Rotates, as the member asked before may not answer. */
 	for (i = 0; i < share->n_members; i++) {
 		const struct hub_member *member =
-			&share->members[share->asked_next++ %
+			&share->members[share->next_request++ %
 					(unsigned int)share->n_members];
 
 		if (member->hub && strcmp(member->instance, share->instance) &&
-		    ask(share, member->instance, whole))
+		    request_view(share, member->instance, whole))
 			return;
 	}
 }
 
-static void pass_on(struct view_share *share, const char *member,
-		    const Peer__ViewUpdate *message)
+static void forward_update(struct view_share *share, const char *member,
+			   const Peer__ViewUpdate *message)
 {
 	struct view_update update = {.message = *message};
 	bool spread = message->spread;
@@ -408,14 +418,17 @@
 	ret = view_apply(share, member, message, body);
 	if (body)
 		peer__view_body__free_unpacked(body, NULL);
-	/* A whole view that is no news here is none in this data centre. */
+	/*
+	 * If this instance already had a view of the same era, so has its data
+	 * centre: a complete view need not be forwarded.
+	 */
 	if (message->forward &&
 	    !(message->whole && was_ready && era == share->sync->era))
-		pass_on(share, member, message);
-	/* What it has from others, the others need not be told. */
-	if (!share->told_at && store_sync_ready(share->sync))
-		mark_told(share);
-	if (ret == ERR_VERSION && may_ask(share))
-		ask(share, member, false);
+		forward_update(share, member, message);
+	/* What came from other members need not be sent back. */
+	if (!share->sent_revision && store_sync_ready(share->sync))
+		mark_sent(share);
+	if (ret == ERR_VERSION && may_request(share))
+		request_view(share, member, false);
 	return ret;
 }
--- a/view_share.h
+++ b/view_share.h
@@ -1,14 +1,14 @@
 /*
- * What few instances read from the store reaches all: who reads it and when,
- * who tells whom, and what. There is no fixed reader. Every instance reads once
- * its view is older than its patience, which grows with its rank among the
- * instances that live; who reads tells the others, so that theirs is not. If
- * the first is lost or cut off from the store, the next one's patience ends.
- * Decides without sockets.
+ * Shares the view of the store among all instances, so that only few read it.
+ * There is no elected reader. Each instance reads the store once its view
+ * exceeds a maximum age, which grows with its rank among the instances that are
+ * alive, and sends what it read to the others, which keeps their views fresh.
+ * If the first instance fails or loses the store, the view of the next one
+ * reaches its maximum age. Does no I/O.
  *
- * A reader that is a hub (see hubs.h) tells the members of its own data centre
- * and one hub of each other one, which passes it on. Any other reader tells one
- * hub of its own data centre, which passes it on to all.
+ * A reader that is a hub (see hubs.h) sends to the members of its own data
+ * centre and to one hub of each other data centre, which forwards to its own.
+ * Any other reader sends to one hub of its data centre, which forwards to all.
  */
 #ifndef VIEW_SHARE_H
 #define VIEW_SHARE_H
@@ -22,12 +22,12 @@
 #include "peer.pb-c.h"
 #include "store_sync.h"
 
-/* Changes of servers that are kept for those that missed some. */
+/* Changes of servers that are recorded for members that missed some. */
 #define VIEW_CHANGES_MAX 1024
 
 /**
- * struct view_share_ops - what the module wants done
- * @update: to a member; may be lost. Return: whether there is a way to it
+ * struct view_share_ops - callbacks
+ * @update: send to a member; may be lost. Return: whether it can be reached
  * @request: the same
  */
 struct view_share_ops {
@@ -38,21 +38,32 @@
 };
 
 /**
- * struct view_change - a server that changed
- * @at: a view that is complete up to this revision of the store holds it
+ * struct view_change - a change of a server's entry
+ * @id: of the server
+ * @view_revision: a view that is complete up to this revision of the store
+ *	includes the change
+ * @changed_at: the store's revision of the change itself
+ * @removed: the entry was removed
  */
 struct view_change {
 	char id[REGISTRY_NAME_SIZE];
-	uint64_t at;
+	uint64_t view_revision;
 	uint64_t changed_at;
 	bool removed;
 };
 
 /**
- * struct view_snapshot - a whole view as it was told last, packed
+ * struct view_snapshot - the compressed routes and servers of the last complete
+ * view that was sent
+ * @packed: owned; NULL if there is none
+ * @len: bytes of @packed
+ * @size: bytes before compression
+ * @n_changes: view_share.n_changes when it was made
+ * @version: of the routes
  *
- * Hundreds that start ask for the same one: to pack it for each takes some
- * milliseconds of a core, which is a second on a small instance.
+ * Hundreds of instances that start request the same view. Compressing it takes
+ * some milliseconds, which for each of them would add up to a second on a small
+ * instance.
  */
 struct view_snapshot {
 	uint8_t *packed;
@@ -64,20 +75,33 @@
 
 /**
  * struct view_share - the state of one instance
+ * @clock: borrowed
+ * @ops: callbacks, called with @arg
+ * @sync: borrowed; holds the view
+ * @instance: name of this instance
+ * @data_centre: of this instance
  * @members: alive, this one included; by rank, the largest first
- * @rank: of this instance among them
- * @era: of the store, that what follows is of
- * @complete_at: changes before this revision are not among @changes;
- *	UINT64_MAX: none is in this era yet
- * @told_version: of the routes told last
- * @told_at: revision of the servers told last
- * @told_changes: changes that were told
- * @told_cordons: changes of the cordons that were told
- * @asked_at: when a member was last asked for its view
- * @asked_next: index of the one to ask next
- * @n_whole: whole views told since @whole_since
- * @changes: a ring; @n_changes since the start
- * @last_change: revision that the last of them came with; it only rises
+ * @n_members: length of @members
+ * @cap_members: allocated length
+ * @rank: of this instance among @members
+ * @era: the store's era that all following fields belong to
+ * @changes_since: changes before this revision are not among @changes;
+ *	UINT64_MAX: none was recorded in this era
+ * @sent_version: version of the routes that were sent last
+ * @sent_revision: revision of the servers that were sent last; 0: none
+ * @sent_changes: @n_changes at that time
+ * @sent_cordons: number of cordon changes at that time
+ * @last_sent_at: when this instance last sent what it read
+ * @requested_at: when a view was last requested from a member
+ * @next_request: index of the member to send the next request to
+ * @snapshot_period_start: see @n_snapshots
+ * @n_snapshots: complete views sent since @snapshot_period_start
+ * @snapshot: cached for further requests
+ * @changes: a ring buffer of the last changes
+ * @n_changes: changes since startup
+ * @last_change: @view_revision of the last change; never decreases in an era
+ * @updates_in: messages received
+ * @updates_out: messages sent
  */
 struct view_share {
 	const struct clock *clock;
@@ -91,17 +115,17 @@
 	int cap_members;
 	int rank;
 	uint64_t era;
-	uint64_t complete_at;
-	uint64_t told_version;
-	uint64_t told_at;
-	uint64_t told_changes;
-	uint64_t told_cordons;
-	int64_t told_time;
-	int64_t asked_at;
-	unsigned int asked_next;
-	int64_t whole_since;
-	int n_whole;
-	struct view_snapshot kept;
+	uint64_t changes_since;
+	uint64_t sent_version;
+	uint64_t sent_revision;
+	uint64_t sent_changes;
+	uint64_t sent_cordons;
+	int64_t last_sent_at;
+	int64_t requested_at;
+	unsigned int next_request;
+	int64_t snapshot_period_start;
+	int n_snapshots;
+	struct view_snapshot snapshot;
 	struct view_change changes[VIEW_CHANGES_MAX];
 	uint64_t n_changes;
 	uint64_t last_change;
@@ -109,6 +133,9 @@
 	uint64_t updates_out;
 };
 
+/**
+ * view_share_init() - initialise; all pointers are borrowed
+ */
 void view_share_init(struct view_share *share, const struct clock *clock,
 		     const struct view_share_ops *ops, void *arg,
 		     struct store_sync *sync, const char *instance,
@@ -122,43 +149,49 @@
 			    const struct fleet *fleet);
 
 /**
- * view_share_tick() - to be called some times a second: asks for a view that
- * grew old
+ * view_share_tick() - request the view of a member if the own one is old; call
+ * several times per second
  */
 void view_share_tick(struct view_share *share);
 
 /**
- * view_share_record_change() - a server's entry changed or went, in the view
+ * view_share_record_change() - record that an entry of the view changed
+ * @changed_at: the store's revision of the change
+ * @removed: the entry was removed
  */
 void view_share_record_change(struct view_share *share, const char *id,
 			      uint64_t changed_at, bool removed);
 
 /**
- * view_share_publish() - the store answered this instance; tell the others
+ * view_share_publish() - send the view to the others after a read of the store
  */
 void view_share_publish(struct view_share *share);
 
 /**
- * view_share_follow_era() - the store may be in a later era: what was kept and
- * told is of the earlier one
+ * view_share_follow_era() - reset recorded and sent changes if the store
+ * entered a new era
  */
 void view_share_follow_era(struct view_share *share);
 
 /**
  * view_share_member_reachable() - a member can be reached
  *
- * An instance without a view asks one member for all of it, and another one if
- * that does not answer.
+ * An instance without a view requests it from one member at a time.
  */
 void view_share_member_reachable(struct view_share *share, const char *member);
 
 /**
- * view_share_update() - a member told what it knows
+ * view_share_update() - handle a view that a member sent
  *
- * Return: 0; or ERR_VERSION if changes before it are missing: asked for.
+ * Return: 0; ERR_VERSION if earlier changes are missing, which are then
+ * requested; or an error of view_decompress() or view_apply().
  */
 int view_share_update(struct view_share *share, const char *member,
 		      const Peer__ViewUpdate *message);
+
+/**
+ * view_share_request() - send a member the changes that it lacks
+ */
 void view_share_request(struct view_share *share, const char *member,
 			const Peer__ViewRequest *message);
 
--- a/view_update.c
+++ b/view_update.c
@@ -5,8 +5,8 @@
 #include "mem.h"
 #include "view_compress.h"
 
-/* Most rows of a message: a row takes about 150 bytes. */
-#define ROWS_MAX 4096
+/* A row takes about 150 bytes. */
+#define SNAPSHOT_ROWS_MAX 4096
 
 static void view_update_init(struct view_update *update, int max)
 {
@@ -14,34 +14,34 @@
 
 	peer__view_update__init(&update->message);
 	update->rows = mem_zalloc(n * sizeof(*update->rows));
-	update->pointers = mem_zalloc(n * sizeof(*update->pointers));
+	update->row_pointers = mem_zalloc(n * sizeof(*update->row_pointers));
 	update->addresses = mem_zalloc(n * sizeof(*update->addresses));
 	update->packed = NULL;
-	update->n = 0;
+	update->n_rows = 0;
 	update->max = max;
 }
 
 void view_update_finish(struct view_update *update)
 {
 	free(update->rows);
-	free(update->pointers);
+	free(update->row_pointers);
 	free(update->addresses);
 	free(update->packed);
 }
 
 static Peer__ViewServer *add_row(struct view_update *update)
 {
-	Peer__ViewServer *row = &update->rows[update->n];
+	Peer__ViewServer *row = &update->rows[update->n_rows];
 
 	peer__view_server__init(row);
-	update->pointers[update->n++] = row;
+	update->row_pointers[update->n_rows++] = row;
 	return row;
 }
 
 static void add_server(struct view_update *update,
 		       struct registry_server *server, int64_t now)
 {
-	char *address = update->addresses[update->n];
+	char *address = update->addresses[update->n_rows];
 	Peer__ViewServer *row = add_row(update);
 
 	address_format(&server->entry.address, address, ADDRESS_TEXT_SIZE);
@@ -68,7 +68,7 @@
 				  : (uint32_t)(age / USEC_PER_MSEC);
 }
 
-/* All that hold, each time: whoever missed some has them with the next. */
+/* Each message has all cordons, so that a lost one needs no repair. */
 static void add_cordons(const struct cordon_set *cordons,
 			struct view_update *update)
 {
@@ -97,8 +97,9 @@
 	message->routes_at = feeds[STORE_ROUTES].at;
 	message->servers_age_ms = age_ms(share, &feeds[STORE_SERVERS]);
 	/*
-	 * Whoever hears of entries that are kept here for a while must still
-	 * hear of their end, from another one if this instance is lost.
+	 * While removals are held back here, no revision is stated: receivers
+	 * must still get these removals, from another instance if this one
+	 * fails.
 	 */
 	if (!server_view_holds_back(&share->sync->servers))
 		message->servers_at = feeds[STORE_SERVERS].at;
@@ -114,8 +115,8 @@
 	Peer__ViewUpdate *message = &update->message;
 
 	view_update_fill_ages(share, update);
-	message->servers = update->pointers;
-	message->n_servers = (size_t)update->n;
+	message->servers = update->row_pointers;
+	message->n_servers = (size_t)update->n_rows;
 	if (routes && with_routes) {
 		message->routes.data = (uint8_t *)routes->text;
 		message->routes.len = routes->text_len;
@@ -135,7 +136,7 @@
 		add_server(update, server, clock_now(share->clock));
 		return;
 	}
-	/* It went since, which is another change, of a later revision. */
+	/* Removed since, which a later change records. */
 	if (!change->removed)
 		return;
 	row = add_row(update);
@@ -144,18 +145,18 @@
 	row->changed_at = change->changed_at;
 }
 
-int view_update_count(const struct view_share *share, uint64_t since)
+int view_update_count_changes(const struct view_share *share, uint64_t since)
 {
 	uint64_t i = share->n_changes;
 	int n = 0;
 
-	if (since < share->complete_at)
+	if (since < share->changes_since)
 		return -1;
 	while (i > 0) {
 		const struct view_change *change =
 			&share->changes[(i - 1) % VIEW_CHANGES_MAX];
 
-		if (change->at <= since)
+		if (change->view_revision <= since)
 			return n;
 		if (++n == VIEW_CHANGES_MAX)
 			return -1;
@@ -182,7 +183,8 @@
 	struct registry_server *server;
 
 	view_update_init(update, (int)HASH_COUNT(registry->servers));
-	for (server = registry->servers; server && update->n < ROWS_MAX;
+	for (server = registry->servers;
+	     server && update->n_rows < SNAPSHOT_ROWS_MAX;
 	     server = server->hh.next)
 		add_server(update, server, clock_now(share->clock));
 	update->message.whole = true;
