--- a/tests/test_view_order.c
+++ b/tests/test_view_order.c
@@ -1,11 +1,14 @@
-/* Which word of the store wins, over a fleet: see docs/design/store-era.md. */
+/*
+ * Ordering of changes from a store that loses revisions, over a fleet: see
+ * docs/design/store-era.md.
+ */
 #include <stdio.h>
 
 #include "unit.h"
 #include "view_world.h"
 
 /* Half of the instances in a data centre are cut off from the store. */
-static void cut_half(struct world *world, bool cut)
+static void isolate_half(struct world *world, bool cut)
 {
 	int i;
 
@@ -14,10 +17,10 @@
 }
 
 /*
- * A server leaves while the store is silent for some and views are lost or
- * overtake each other.
+ * A server is removed while the store does not answer some instances, and views
+ * are lost or reordered.
  */
-static void leave_in_silence(uint64_t seed, int64_t after_ms, bool drains)
+static void check_removal(uint64_t seed, int64_t after_ms, bool drains)
 {
 	struct world world;
 
@@ -26,7 +29,7 @@
 	world_pass(&world, 4000);
 	world.lost = 20;
 	world.delay = 1500;
-	cut_half(&world, true);
+	isolate_half(&world, true);
 	world.nodes[world_reader(&world)].cut_off = true;
 	world_pass(&world, 500 + (int64_t)seed * 170);
 	world.created_at = ++world.revision;
@@ -38,7 +41,7 @@
 	world.removed_at = ++world.revision;
 	if (seed % 2)
 		world.compacted = world.revision;
-	cut_half(&world, false);
+	isolate_half(&world, false);
 	world.nodes[world_reader(&world)].cut_off = false;
 	world_pass(&world, 8000);
 	CU_ASSERT_EQUAL(world_count_knowing(&world), 0);
@@ -50,7 +53,7 @@
 	uint64_t seed;
 
 	for (seed = 1; seed <= 24; seed++)
-		leave_in_silence(seed, (int64_t)seed * 100, seed % 3 == 0);
+		check_removal(seed, (int64_t)seed * 100, seed % 3 == 0);
 }
 
 static void put_servers(struct node *node, int n, uint64_t changed_at)
@@ -65,7 +68,7 @@
 	}
 }
 
-/* More servers change at once than changes are kept for those that ask. */
+/* More servers change at once than changes are recorded for requests. */
 static void test_many_changes(void)
 {
 	enum {
@@ -86,7 +89,10 @@
 	world_finish(&world);
 }
 
-/* Who asks an instance that holds a removal back must still hear of it. */
+/*
+ * An answer of an instance that holds back a removal must not confirm the
+ * receiver's view, which would then miss the removal.
+ */
 static void test_asked_while_holding_back(void)
 {
 	Peer__ViewRequest request = PEER__VIEW_REQUEST__INIT;
@@ -124,8 +130,8 @@
 	return n;
 }
 
-/* The store goes back by some revisions, and what was lost is written again. */
-static void go_back(struct world *world, uint64_t revisions)
+/* Restores the store from a copy that lacks the last @revisions. */
+static void restore_store(struct world *world, uint64_t revisions)
 {
 	world->era++;
 	world->revision -= revisions;
@@ -137,8 +143,8 @@
 	}
 }
 
-/* Passes time; no instance may lose a server or routes on the way. */
-static void pass_served(struct world *world, int64_t ms, uint64_t version)
+/* Passes time; fails if an instance loses a server or gets older routes. */
+static void pass_checked(struct world *world, int64_t ms, uint64_t version)
 {
 	int64_t t;
 	int i;
@@ -155,11 +161,12 @@
 }
 
 /*
- * All know of a revision that the store gives out again, and its copy lacks the
- * server. What is written then must reach all, though its revision is lower.
+ * The store is restored from a copy that lacks the server, and reuses revisions
+ * that all instances have seen. Later writes must reach all instances although
+ * their revisions are lower.
  */
-static void store_goes_back(int n, int centres, int n_large, int lost,
-			    bool some_first)
+static void check_restore(int n, int centres, int n_large, int lost,
+			  bool some_first)
 {
 	struct world world;
 
@@ -174,20 +181,20 @@
 	CU_ASSERT_EQUAL(world_count_version(&world, 2), n);
 	world.revision += 100;
 	world_pass(&world, 2500);
-	cut_half(&world, some_first);
-	go_back(&world, 300);
+	isolate_half(&world, some_first);
+	restore_store(&world, 300);
 	world.missing = true;
-	pass_served(&world, 1500, 2);
+	pass_checked(&world, 1500, 2);
 	world.missing = false;
 	world.created_at = ++world.revision;
 	world_drain(&world);
 	CU_ASSERT(world.drained_at < 500);
 	world_change_routes(&world);
-	pass_served(&world, 4500, 2);
-	cut_half(&world, false);
+	pass_checked(&world, 4500, 2);
+	isolate_half(&world, false);
 	CU_ASSERT_EQUAL(world_count_drained(&world), n);
 	world_change_routes(&world);
-	pass_served(&world, 4000, 2);
+	pass_checked(&world, 4000, 2);
 	CU_ASSERT_EQUAL(world_count_version(&world, 3), n);
 	CU_ASSERT_EQUAL(count_era(&world), n);
 	world_finish(&world);
@@ -195,13 +202,13 @@
 
 static void test_store_goes_back(void)
 {
-	store_goes_back(8, 4, 2, 0, false);
-	store_goes_back(76, 4, 3, 10, false);
-	store_goes_back(76, 4, 3, 0, true);
-	store_goes_back(295, 6, 3, 10, true);
+	check_restore(8, 4, 2, 0, false);
+	check_restore(76, 4, 3, 10, false);
+	check_restore(76, 4, 3, 0, true);
+	check_restore(295, 6, 3, 10, true);
 }
 
-/* The copy lacks a server that never writes again. */
+/* The copy lacks a server that does not register again: it must be removed. */
 static void test_gone_with_the_copy(void)
 {
 	struct world world;
@@ -213,15 +220,15 @@
 	world.delay = 300;
 	world_pass(&world, 4000);
 	CU_ASSERT_EQUAL(world_count_knowing(&world), 36);
-	go_back(&world, 40);
+	restore_store(&world, 40);
 	world.missing = true;
-	pass_served(&world, 2200, 1);
+	pass_checked(&world, 2200, 1);
 	world_pass(&world, 6000);
 	CU_ASSERT_EQUAL(world_count_knowing(&world), 0);
 	world_finish(&world);
 }
 
-/* Several times in a row, also while all of it is still under way. */
+/* The store is restored repeatedly, before the previous restore has spread. */
 static void test_store_goes_back_often(void)
 {
 	struct world world;
@@ -235,19 +242,19 @@
 	world.n_calls = 0;
 	for (i = 0; i < 6; i++) {
 		world.revision += 20;
-		go_back(&world, 100);
-		pass_served(&world, 300 * (i + 1), 1);
+		restore_store(&world, 100);
+		pass_checked(&world, 300 * (i + 1), 1);
 	}
 	world_drain(&world);
 	world_change_routes(&world);
-	pass_served(&world, 5000, 1);
+	pass_checked(&world, 5000, 1);
 	CU_ASSERT_EQUAL(world_count_drained(&world), 36);
 	CU_ASSERT_EQUAL(world_count_version(&world, 2), 36);
 	printf("\n%d calls of 36 instances in 11 s", world.n_calls);
 	world_finish(&world);
 }
 
-/* A peer that has not heard of the new era tells what it knows. */
+/* A peer that does not know the new era sends its view: it is ignored. */
 static void test_peer_of_earlier_era(void)
 {
 	struct registry_server *server;
@@ -265,7 +272,7 @@
 	CU_ASSERT(node->sync.feeds[STORE_SERVERS].at < 70);
 	node_hear_server(node, 0, 1000, 70);
 	CU_ASSERT(!server->entry.born);
-	/* One of a later era is believed, whatever its revision. */
+	/* A view of a later era is applied, whatever its revision. */
 	node_hear_server(node, 3, 1000, 7);
 	server = registry_find(&node->registry, STR("server"));
 	CU_ASSERT_EQUAL(server->entry.born, 1000);
--- a/tests/test_view_share.c
+++ b/tests/test_view_share.c
@@ -1,4 +1,4 @@
-/* What instances tell each other of the store. */
+/* Sharing of the store's view among instances. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,8 +8,8 @@
 #include "view_compress.h"
 #include "view_world.h"
 
-/* Calls in ten seconds must not grow with the fleet. */
-static int calls_of(int n)
+/* Return: calls on the store in ten seconds by @n instances. */
+static int count_calls(int n)
 {
 	struct world world;
 	int calls;
@@ -23,10 +23,11 @@
 	return calls;
 }
 
+/* The load on the store must not grow with the fleet. */
 static void test_calls_do_not_grow(void)
 {
-	int few = calls_of(8);
-	int many = calls_of(NODES_MAX);
+	int few = count_calls(8);
+	int many = count_calls(NODES_MAX);
 
 	CU_ASSERT(few > 10 && few < 40);
 	CU_ASSERT(many < few + 10);
@@ -48,9 +49,8 @@
 }
 
 /*
- * The instance that reads for all loses power, and nobody knows yet. A server
- * drains at that moment. It must be left everywhere within 3 s, though others
- * still count on the one that is lost.
+ * The reading instance fails undetected, just before a server drains. All
+ * others must stop using the server within 3 s.
  */
 static void test_reader_lost(void)
 {
@@ -68,8 +68,8 @@
 }
 
 /*
- * The store refuses the three instances that would read first, and serves the
- * others. These take over, and the refused ones hear from them.
+ * The store refuses the first three instances by rank. Others must read instead
+ * and send to the refused ones.
  */
 static void test_readers_refused(void)
 {
@@ -89,12 +89,12 @@
 }
 
 /*
- * The first reader was cut off from the store for a while, and takes what it
- * missed for entries that lapsed while the store was away: it waits whether
- * they come back. The others count on what it tells, and a server that left
- * meanwhile would get requests for longer than 3 s.
+ * The first reader reaches the store again after a while and holds back
+ * removals, as entries that lapsed in the meantime may return. If the others
+ * relied on its view, a server that was removed would get requests for longer
+ * than 3 s.
  */
-static void return_after(int64_t ms)
+static void check_reader_return(int64_t ms)
 {
 	struct world world;
 	struct node *reader;
@@ -116,64 +116,64 @@
 	int64_t ms;
 
 	for (ms = 0; ms < 2000; ms += 100)
-		return_after(ms);
+		check_reader_return(ms);
 }
 
 /*
- * An instance that starts while the store is away learns all from a peer, and
- * asks one peer, not each one it meets: of 76, each would send 50 KB.
+ * An instance that starts while the store is unavailable gets the view from a
+ * peer. It must request it from one peer only: 76 would send 50 KB each.
  */
 static void test_start_while_store_is_away(void)
 {
 	struct world world;
-	int fresh;
+	int started;
 
 	world_init(&world, 5);
 	world_pass(&world, 3000);
 	world.away = true;
-	fresh = (world_reader(&world) + 1) % 5;
-	node_stop(&world.nodes[fresh]);
-	node_start(&world, fresh);
+	started = (world_reader(&world) + 1) % 5;
+	node_stop(&world.nodes[started]);
+	node_start(&world, started);
 	world_tell_fleet(&world);
 	world_pass(&world, 1000);
-	CU_ASSERT(!store_sync_ready(&world.nodes[fresh].sync));
-	view_share_member_reachable(&world.nodes[fresh].share,
+	CU_ASSERT(!store_sync_ready(&world.nodes[started].sync));
+	view_share_member_reachable(&world.nodes[started].share,
 				    world.nodes[world_reader(&world)].name);
-	CU_ASSERT(store_sync_ready(&world.nodes[fresh].sync));
+	CU_ASSERT(store_sync_ready(&world.nodes[started].sync));
 	world.n_messages = 0;
-	view_share_member_reachable(&world.nodes[fresh].share,
-				    world.nodes[(fresh + 2) % 5].name);
+	view_share_member_reachable(&world.nodes[started].share,
+				    world.nodes[(started + 2) % 5].name);
 	CU_ASSERT(world.n_messages == 0);
-	CU_ASSERT(registry_find(&world.nodes[fresh].registry, STR("server")) !=
-		  NULL);
+	CU_ASSERT(registry_find(&world.nodes[started].registry,
+				STR("server")) != NULL);
 	world_finish(&world);
 }
 
 /*
- * A message of changes is lost. The next one shows that something is missing,
- * and the receiver asks for it.
+ * A message of changes is lost. The next one builds on a revision that the
+ * receiver lacks, so it requests the missing changes.
  */
 static void test_lost_message(void)
 {
 	struct world world;
-	struct node *deaf;
+	struct node *receiver;
 
 	world_init(&world, 8);
 	world_pass(&world, 5000);
-	deaf = &world.nodes[(world_reader(&world) + 1) % 8];
-	deaf->dead = true;
+	receiver = &world.nodes[(world_reader(&world) + 1) % 8];
+	receiver->dead = true;
 	world_drain(&world);
 	world_pass(&world, 1000);
-	deaf->dead = false;
-	CU_ASSERT(!node_knows_drain(deaf));
+	receiver->dead = false;
+	CU_ASSERT(!node_knows_drain(receiver));
 	world_pass(&world, 1000);
-	CU_ASSERT(node_knows_drain(deaf));
+	CU_ASSERT(node_knows_drain(receiver));
 	world_finish(&world);
 }
 
 /*
- * 300 instances start at once. If each read the store, page by page, it would
- * refuse most; the first reads, and the others hear from it.
+ * 300 instances start at once. If each read all pages of the store, it would
+ * refuse most calls; the first must read and send to the others.
  */
 static void test_all_start(void)
 {
@@ -187,10 +187,9 @@
 }
 
 /*
- * 60 instances start at once, and each reads the store before it knows that
- * there are others. All have the view then. If each told it whole to its data
- * centre, 1,200 messages of 60 KB would go out in the first second. One is
- * enough for each that might lack it.
+ * 60 instances start at once, and each reads the store before it knows of the
+ * others. If each then sent a complete view to its data centre, 1,200 messages
+ * of 60 KB would be sent in the first second. At most one per instance may be.
  */
 static void test_all_read(void)
 {
@@ -212,8 +211,8 @@
 }
 
 /*
- * A change of routes goes to 19 instances of a data centre over a link of
- * 14 Mbit/s: 31 KB each would fill it for a third of a second.
+ * Routes must be compressed: 31 KB to each of 19 instances of a data centre
+ * would occupy a link of 14 Mbit/s for a third of a second.
  */
 static void test_packed(void)
 {
@@ -237,7 +236,7 @@
 	free(packed);
 }
 
-/* A peer sends bytes that are no body, or says that they are others. */
+/* A peer sends invalid compressed data, or announces a wrong size. */
 static void test_packed_badly(void)
 {
 	Peer__ViewUpdate message = PEER__VIEW_UPDATE__INIT;
@@ -264,15 +263,15 @@
 	free(packed);
 }
 
-static void hear_server(struct node *node, int64_t born, uint64_t revision)
+static void apply_server(struct node *node, int64_t born, uint64_t revision)
 {
 	node_hear_server(node, 0, born, revision);
 }
 
 /*
- * A server was lost and avoided; it starts again under its id, and one instance
- * reads so from the store. All others hear of it as of another server, and a
- * view from before that is still on its way does not bring the earlier back.
+ * A server that was lost restarts under the same id. An instance that gets the
+ * new entry from a peer must reset the server's score, and an older view that
+ * arrives late must not restore the previous entry.
  */
 static void test_restart_is_told(void)
 {
@@ -285,17 +284,17 @@
 	world_pass(&world, 5000);
 	node = &world.nodes[0];
 	now = clock_now(&world.clock);
-	hear_server(node, 1000, 6);
+	apply_server(node, 1000, 6);
 	server = registry_find(&node->registry, STR("server"));
 	server_score_unreachable(&server->score, now);
 	server_score_unreachable(&server->score, now);
 	CU_ASSERT(server_score_is_lost(&server->score));
-	hear_server(node, 2000, 7);
+	apply_server(node, 2000, 7);
 	server = registry_find(&node->registry, STR("server"));
 	CU_ASSERT(server->entry.born == 2000);
 	CU_ASSERT(!server_score_is_lost(&server->score));
-	hear_server(node, 1000, 6);
-	hear_server(node, 1000, 8);
+	apply_server(node, 1000, 6);
+	apply_server(node, 1000, 8);
 	CU_ASSERT(registry_find(&node->registry, STR("server")) == server);
 	CU_ASSERT(server->entry.born == 2000);
 	CU_ASSERT(!server->gone);
@@ -303,11 +302,11 @@
 }
 
 /*
- * The store takes entries away and turns most instances away. One that it
- * serves waits for their return, in vain, and leaves the servers. Then they
- * come back, as they were. Whoever reads that kept them, and sees no change;
- * told of changes only, the one that left them would do without for good, and
- * whoever asks it later, too.
+ * The store drops entries and refuses most instances. One instance that it
+ * answers waits for the entries in vain and removes the servers. Then the
+ * entries return unchanged. The reader still has them and sees no change, so it
+ * sends none, and without a repair the servers would be missing for good on the
+ * instance that removed them and on those that request its view.
  */
 static void test_lapsed_entry_comes_back(void)
 {
@@ -326,7 +325,7 @@
 	world_finish(&world);
 }
 
-/* Alive, and knows the drain and that version of the routes. */
+/* Counts live instances that know the drain and that version of the routes. */
 static int count_current(const struct world *world, uint64_t version)
 {
 	int n = 0;
@@ -341,7 +340,7 @@
 	return n;
 }
 
-/* Milliseconds until all that live know a drain and a change of routes. */
+/* Return: ms until @alive instances know a drain and a change of routes. */
 static int64_t time_to_all(struct world *world, int alive)
 {
 	int64_t ms = 0;
@@ -357,11 +356,11 @@
 }
 
 /*
- * Instances of @n are linked to hubs only. A change must reach all of them with
- * one message between data centres each, though a tenth of all messages is
- * lost, and again when the hub that passes it on has died and nobody knows yet.
+ * @n instances are linked to hubs only. A change must reach all of them with
+ * one message to each other data centre; also if a tenth of all messages is
+ * lost, and if a hub that forwards it has failed undetected.
  */
-static void spread_among(int n, int centres, int n_large)
+static void check_spread(int n, int centres, int n_large)
 {
 	struct world world;
 	int alive = n;
@@ -375,7 +374,7 @@
 	world_change_routes(&world);
 	world_pass(&world, 1300);
 	CU_ASSERT(count_current(&world, 2) == n);
-	/* Two changes, what is told that nothing changed, and no more. */
+	/* Two changes and the messages that confirm an unchanged view. */
 	CU_ASSERT(world.n_far <= 8 * (centres - 1));
 	world_finish(&world);
 
@@ -406,17 +405,17 @@
 
 static void test_spread_by_hubs(void)
 {
-	spread_among(8, 4, 2);
-	spread_among(76, 4, 3);
-	spread_among(295, 6, 3);
-	spread_among(1200, 15, 4);
+	check_spread(8, 4, 2);
+	check_spread(76, 4, 3);
+	check_spread(295, 6, 3);
+	check_spread(1200, 15, 4);
 }
 
 /*
- * The store is down for 5 s, and the views of 295 instances grow old. If each
- * tried for itself, again and again, the store would come back to thousands of
- * calls. Those behind the first try so rarely that all together make few, and
- * all are current again soon after its return.
+ * The store is down for 5 s, and the views of 295 instances become old. If each
+ * kept trying, the returning store would face thousands of calls. Instances of
+ * lower rank must try so rarely that there are few calls in total, and all must
+ * be up to date soon after the store's return.
  */
 static void test_store_away(void)
 {
@@ -434,12 +433,12 @@
 	world_finish(&world);
 }
 
-static void cordon(struct world *world)
+static void set_cordon(struct world *world)
 {
 	world->cordoned_at = ++world->revision;
 }
 
-static void lift(struct world *world)
+static void remove_cordon(struct world *world)
 {
 	world->lifted_at = ++world->revision;
 }
@@ -457,11 +456,11 @@
 }
 
 /*
- * Operators take a data centre out among many changes of routes, and the
- * instance that reads for all is lost at that moment. Nothing may be sent there
- * 5 s later, from any instance, whoever missed a message.
+ * Operators cordon a data centre while routes change often, and the reading
+ * instance fails at that moment. 5 s later no instance may send requests there,
+ * even if messages were lost.
  */
-static void cordon_among(int n, int centres, int n_large, int lost)
+static void check_cordon(int n, int centres, int n_large, int lost)
 {
 	struct world world;
 	int i;
@@ -471,13 +470,13 @@
 	world.lost = lost;
 	CU_ASSERT(count_cordoned(&world) == 0);
 	world.nodes[world_reader(&world)].dead = true;
-	cordon(&world);
+	set_cordon(&world);
 	for (i = 0; i < 10; i++) {
 		world_change_routes(&world);
 		world_pass(&world, 300);
 	}
 	CU_ASSERT(count_cordoned(&world) == n - 1);
-	lift(&world);
+	remove_cordon(&world);
 	world_pass(&world, 3000);
 	CU_ASSERT(count_cordoned(&world) == 0);
 	world_finish(&world);
@@ -485,15 +484,15 @@
 
 static void test_cordon(void)
 {
-	cordon_among(8, 4, 2, 0);
-	cordon_among(76, 4, 3, 10);
-	cordon_among(295, 6, 3, 10);
+	check_cordon(8, 4, 2, 0);
+	check_cordon(76, 4, 3, 10);
+	check_cordon(295, 6, 3, 10);
 }
 
 /*
- * The store refuses most instances while a data centre is taken out, and has
- * dropped its history when that is taken back. The refused ones hear both from
- * the others.
+ * The store refuses most instances when a cordon is set, and has dropped its
+ * history when the cordon is removed. The refused instances must get both
+ * changes from the others.
  */
 static void test_cordon_and_store_trouble(void)
 {
@@ -504,15 +503,15 @@
 	world_pass(&world, 5000);
 	for (i = 0; i < 66; i++)
 		world.nodes[i].cut_off = i % 3 != 2;
-	cordon(&world);
+	set_cordon(&world);
 	world_pass(&world, 4000);
 	CU_ASSERT(count_cordoned(&world) == 66);
 	world.history_lost = true;
-	lift(&world);
+	remove_cordon(&world);
 	world_pass(&world, 4000);
 	CU_ASSERT(count_cordoned(&world) == 0);
-	/* One that was away for all of it, and starts anew. */
-	cordon(&world);
+	/* An instance that restarts gets the cordon. */
+	set_cordon(&world);
 	world_pass(&world, 3000);
 	node_stop(&world.nodes[7]);
 	node_start(&world, 7);
