--- a/blackboard.h
+++ b/blackboard.h
@@ -67,7 +67,8 @@
  * @table_confirmed_at: when @table was last known to be the newest; -1: never
  * @table_refused: why the newest revision was rejected, code 0 if it was not
  * @table_refused_revision: the rejected revision
- * @platform_list: instances by the platform; written by the table controller
+ * @platform_list: instances listed by the platform; written by the table
+ *	controller
  * @fleet: members; written by membership
  * @members: state of membership, for status queries
  * @share: the shares of backend servers; written by membership
@@ -105,6 +106,13 @@
 	struct blackboard_watch *watches[BLACKBOARD_N_TOPICS];
 };
 
+/**
+ * blackboard_init() - initialise
+ * @clock: borrowed
+ * @settings: borrowed
+ * @base: borrowed
+ * @incarnation: random, not 0
+ */
 void blackboard_init(struct blackboard *board, const struct clock *clock,
 		     const struct settings *settings, struct event_base *base,
 		     uint64_t incarnation);
--- a/cordon.c
+++ b/cordon.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-static struct cordon *find(const struct cordon_set *cordons,
-			   struct str data_centre)
+static struct cordon *find_cordon(const struct cordon_set *cordons,
+				  struct str data_centre)
 {
 	int i;
 
@@ -17,7 +17,7 @@
 bool cordon_set_add(struct cordon_set *cordons, struct str data_centre,
 		    uint64_t changed_at)
 {
-	struct cordon *cordon = find(cordons, data_centre);
+	struct cordon *cordon = find_cordon(cordons, data_centre);
 
 	if (cordon) {
 		if (changed_at > cordon->changed_at)
@@ -42,7 +42,7 @@
 bool cordon_set_remove(struct cordon_set *cordons, struct str data_centre,
 		       uint64_t changed_at)
 {
-	struct cordon *cordon = find(cordons, data_centre);
+	struct cordon *cordon = find_cordon(cordons, data_centre);
 
 	if (!cordon || changed_at < cordon->changed_at)
 		return false;
@@ -53,7 +53,7 @@
 bool cordon_set_contains(const struct cordon_set *cordons,
 			 struct str data_centre)
 {
-	return find(cordons, data_centre);
+	return find_cordon(cordons, data_centre);
 }
 
 bool cordon_set_replace(struct cordon_set *cordons,
--- a/cordon_sync.h
+++ b/cordon_sync.h
@@ -28,6 +28,9 @@
 	bool retained;
 };
 
+/**
+ * cordon_sync_init() - initialise; both pointers are borrowed
+ */
 void cordon_sync_init(struct cordon_sync *sync, const struct clock *clock,
 		      struct registry *registry);
 
--- a/entry_net.h
+++ b/entry_net.h
@@ -33,6 +33,9 @@
 	struct blackboard_watch table_watch;
 };
 
+/**
+ * entry_net_init() - register for frames and tables; all pointers are borrowed
+ */
 void entry_net_init(struct entry_net *net, struct blackboard *board,
 		    struct peers *peers, void (*done)(struct search *search));
 void entry_net_finish(struct entry_net *net);
--- a/inbound.h
+++ b/inbound.h
@@ -77,6 +77,10 @@
 		 const struct clock *clock, const struct address *address,
 		 const struct inbound_ops *ops, void *arg);
 void inbound_finish(struct inbound *inbound);
+
+/**
+ * inbound_set_limits() - replace the limits, also of open connections
+ */
 void inbound_set_limits(struct inbound *inbound,
 			const struct caller_limits *limits);
 
--- a/view_share.h
+++ b/view_share.h
@@ -88,7 +88,8 @@
  * @changes_since: changes before this revision are not among @changes;
  *	UINT64_MAX: none was recorded in this era
  * @sent_version: version of the routes that were sent last
- * @sent_revision: revision of the servers that were sent last; 0: none
+ * @sent_revision: revision of the servers that were sent last; 0: none. The
+ *	first complete view counts as sent even if it was received
  * @sent_changes: @n_changes at that time
  * @sent_cordons: number of cordon changes at that time
  * @last_sent_at: when this instance last sent what it read
