--- a/compress.c
+++ b/compress.c
@@ -8,11 +8,11 @@
 
 uint8_t *compress_bytes(const uint8_t *raw, size_t size, size_t *len)
 {
-	uLongf packed_len = compressBound(size);
-	uint8_t *out = mem_zalloc(packed_len);
+	uLongf room = compressBound(size);
+	uint8_t *out = mem_zalloc(room);
 
-	if (compress2(out, &packed_len, raw, size, Z_BEST_SPEED) == Z_OK) {
-		*len = packed_len;
+	if (compress2(out, &room, raw, size, Z_BEST_SPEED) == Z_OK) {
+		*len = room;
 		return out;
 	}
 	/* Out of memory: the caller sends the data uncompressed. */
