--- a/cordon_sync.h
+++ b/cordon_sync.h
@@ -1,7 +1,7 @@
 /*
- * Keeps the registry's cordons up to date with the store and with peers. From
- * then on no server of a cordoned data centre is chosen or sent a request. Does
- * no I/O.
+ * Keeps the registry's cordons up to date with the store and with peers, so
+ * that no server of a cordoned data centre is chosen or sent a request. Does no
+ * I/O.
  */
 #ifndef CORDON_SYNC_H
 #define CORDON_SYNC_H
--- a/list_sync.c
+++ b/list_sync.c
@@ -308,8 +308,8 @@
 		return;
 	/* The delay leaves time for a push, which makes a request needless. */
 	if (!sync->wanted || sync->requested)
-		sync->want_at = clock_now(sync->clock) +
-				reader_random(sync->reader, delay);
+		sync->due_at = clock_now(sync->clock) +
+			       reader_random(sync->reader, delay);
 	sync->wanted = revision;
 	sync->requested = false;
 	str_copy(sync->wanted_peer, sizeof(sync->wanted_peer), str_from(peer));
@@ -349,8 +349,8 @@
 		message.have_digest = have->digest;
 	}
 	sync->requested = true;
-	sync->want_at = clock_now(sync->clock) +
-			MSEC(sync->reader->tunables->table_pull_timeout_ms);
+	sync->due_at = clock_now(sync->clock) +
+		       MSEC(sync->reader->tunables->table_pull_timeout_ms);
 	sync->ops->send_request(sync->ctx, peer, &message);
 }
 
@@ -387,7 +387,7 @@
 
 void list_sync_tick(struct list_sync *sync)
 {
-	if (!sync->wanted || clock_now(sync->clock) < sync->want_at)
+	if (!sync->wanted || clock_now(sync->clock) < sync->due_at)
 		return;
 	if (!sync->requested) {
 		request_update(sync, sync->wanted_peer, false);
--- a/list_sync.h
+++ b/list_sync.h
@@ -70,7 +70,7 @@
  * @newest: index of the newest
  * @wanted: revision that a peer has and this instance lacks, or 0
  * @wanted_peer: that peer
- * @want_at: when to send a request or, if @requested, when it times out
+ * @due_at: when to send a request or, if @requested, when it times out
  * @requested: a request for @wanted was sent
  */
 struct list_sync {
@@ -83,7 +83,7 @@
 	int newest;
 	uint64_t wanted;
 	char wanted_peer[LIST_SYNC_PEER_SIZE];
-	int64_t want_at;
+	int64_t due_at;
 	bool requested;
 };
 
--- a/peer.h
+++ b/peer.h
@@ -29,7 +29,7 @@
  * @up: Hello was exchanged; no other frames are accepted before
  * @closed: failed or no longer needed; freed in the next loop iteration
  * @instance: the other end; set at creation if @outgoing, else with its Hello
- * @incarnation: of the other end, set as @instance
+ * @incarnation: of the other end
  * @address: connected to, if @outgoing
  * @bev: owned
  * @last_received_at: when bytes were last received
--- a/view_compress.c
+++ b/view_compress.c
@@ -6,8 +6,8 @@
 #include "mem.h"
 #include "compress.h"
 
-static uint8_t *deflate_body(const Peer__ViewBody *body, size_t size,
-			     size_t *len)
+static uint8_t *compress_body(const Peer__ViewBody *body, size_t size,
+			      size_t *len)
 {
 	uint8_t *raw = mem_zalloc(size);
 	uint8_t *out;
@@ -31,7 +31,7 @@
 	size = peer__view_body__get_packed_size(&body);
 	if (size < COMPRESS_MIN_SIZE || size > VIEW_BODY_SIZE_MAX)
 		return NULL;
-	packed = deflate_body(&body, size, &len);
+	packed = compress_body(&body, size, &len);
 	if (!packed)
 		return NULL;
 	message->routes.len = 0;
--- a/view_share.c
+++ b/view_share.c
@@ -17,7 +17,8 @@
  * and drains must reach all instances within 3 s. Views read by the first
  * instance arrive before they are 1.3 s old, so the second does not read at the
  * same time. Five instances may fail or be refused before a view is older than
- * 2.2 s.
+ * 2.2 s. The age grows by VIEW_AGE_STEP per rank up to KNEE_RANK, then by
+ * VIEW_AGE_TAIL_STEP.
  */
 #define VIEW_AGE_RANK_1 MSEC(1700)
 #define VIEW_AGE_STEP MSEC(100)
