--- a/accept_guard.c
+++ b/accept_guard.c
@@ -12,26 +12,26 @@
 
 static void go_on(evutil_socket_t fd, short what, void *arg)
 {
-	struct accept_guard *guard = arg;
+	struct accept_backoff *guard = arg;
 
 	(void)fd;
 	(void)what;
 	evconnlistener_enable(guard->listener);
 }
 
-void accept_guard_init(struct accept_guard *guard, struct event_base *base,
-		       struct evconnlistener *listener)
+void accept_backoff_init(struct accept_backoff *guard, struct event_base *base,
+			 struct evconnlistener *listener)
 {
 	guard->listener = listener;
 	guard->timer = evtimer_new(base, go_on, guard);
 }
 
-void accept_guard_finish(struct accept_guard *guard)
+void accept_backoff_finish(struct accept_backoff *guard)
 {
 	event_free(guard->timer);
 }
 
-void accept_guard_rest(struct accept_guard *guard)
+void accept_backoff_start(struct accept_backoff *guard)
 {
 	static const struct timeval rest = {0, REST_MS * 1000};
 
--- a/blackboard.c
+++ b/blackboard.c
@@ -95,7 +95,7 @@
 	int64_t since = clock_now(board->clock) - board->last_tick_at;
 
 	if (!board->last_tick_at ||
-	    since < LOOP_LAG_BEATS_MISSED * LOOP_LAG_PERIOD)
+	    since < LOOP_LAG_STALL_PERIODS * LOOP_LAG_PERIOD)
 		return 0;
 	return since;
 }
--- a/caller.c
+++ b/caller.c
@@ -369,7 +369,7 @@
 	struct caller *caller = http->arg;
 
 	(void)listener;
-	accept_guard_rest(&caller->guard);
+	accept_backoff_start(&caller->guard);
 }
 
 int caller_init(struct caller *caller, struct blackboard *board,
@@ -398,14 +398,14 @@
 	if (evhtp_bind_socket(caller->http, address->ip, address->port,
 			      BACKLOG))
 		return ERR_ADDRESS;
-	accept_guard_init(&caller->guard, board->base, caller->http->server);
+	accept_backoff_init(&caller->guard, board->base, caller->http->server);
 	evconnlistener_set_error_cb(caller->http->server, on_accept_error);
 	return 0;
 }
 
 void caller_finish(struct caller *caller)
 {
-	accept_guard_finish(&caller->guard);
+	accept_backoff_finish(&caller->guard);
 	evhtp_unbind_socket(caller->http);
 	evhtp_free(caller->http);
 }
--- a/caller.h
+++ b/caller.h
@@ -17,7 +17,7 @@
 	struct evhtp *http;
 	uint64_t next_id;
 	struct caller_conns conns;
-	struct accept_guard guard;
+	struct accept_backoff guard;
 	struct blackboard_watch table_watch;
 };
 
--- a/cmd_explain.c
+++ b/cmd_explain.c
@@ -233,7 +233,7 @@
 	print_parts(trace);
 }
 
-static void print_known(const struct fleet_ask *ask)
+static void print_known(const struct fleet_response *ask)
 {
 	struct json_object *list = json_value_list(ask->body, "traces");
 	size_t i;
@@ -251,7 +251,7 @@
 	int n_silent;
 };
 
-static bool is_known(const struct fleet_ask *ask)
+static bool is_known(const struct fleet_response *ask)
 {
 	return !ask->ret && ask->status == 200;
 }
@@ -263,7 +263,7 @@
 	memset(finding, 0, sizeof(*finding));
 	finding->n_asked = list->n;
 	for (i = 0; i < list->n; i++) {
-		const struct fleet_ask *ask = &list->asks[i];
+		const struct fleet_response *ask = &list->asks[i];
 
 		finding->n_known += is_known(ask);
 		finding->n_evicted += !ask->ret && ask->status == HTTP_GONE;
@@ -288,7 +288,7 @@
 	int i;
 
 	for (i = 0; i < list->n; i++) {
-		const struct fleet_ask *ask = &list->asks[i];
+		const struct fleet_response *ask = &list->asks[i];
 
 		if (!ask->ret)
 			continue;
@@ -371,9 +371,9 @@
 	snprintf(path, sizeof(path), "/v1/explain?request_id=%s", id);
 	free(id);
 	fleet_list_init(list, &args->target.address, args->timeout_ms);
-	fleet_list_ask_one(list, 0, path, args->timeout_ms);
+	fleet_list_fetch_one(list, 0, path, args->timeout_ms);
 	if (!is_known(&list->asks[0]))
-		fleet_list_ask(list, 1, path, args->timeout_ms);
+		fleet_list_fetch(list, 1, path, args->timeout_ms);
 }
 
 int command_explain(int argc, char **argv)
--- a/cmd_report.c
+++ b/cmd_report.c
@@ -52,7 +52,7 @@
 	int i;
 
 	for (i = 0; i < list->n; i++) {
-		const struct fleet_ask *ask = &list->asks[i];
+		const struct fleet_response *ask = &list->asks[i];
 		struct burn_instance instance = {.ret = ask->ret};
 
 		if (!ask->ret && ask->status != 200)
@@ -126,7 +126,7 @@
 			"known: %s\n",
 			error_text(ret));
 	if (!ret)
-		fleet_list_ask(&list, 0, "/v1/burn", args.timeout_ms);
+		fleet_list_fetch(&list, 0, "/v1/burn", args.timeout_ms);
 	burn_report_init(&report);
 	add_answers(&report, &list);
 	ret = show(&report, &args);
--- a/crash_watch.c
+++ b/crash_watch.c
@@ -12,8 +12,8 @@
 				    uint64_t fingerprint)
 {
 	struct crash_watch *watch = mem_zalloc(sizeof(*watch));
-	char room[REGISTRY_LIFE_SIZE];
-	struct str name = registry_life(server, room);
+	char room[REGISTRY_INCARNATION_SIZE];
+	struct str name = registry_incarnation(server, room);
 
 	if (poison_begin(poison, &watch->run, fingerprint, name, name, false)) {
 		free(watch);
@@ -35,8 +35,8 @@
 static void on_checked(void *arg, bool listens)
 {
 	struct crash_watch *watch = arg;
-	char room[REGISTRY_LIFE_SIZE];
-	struct str name = registry_life(watch->server, room);
+	char room[REGISTRY_INCARNATION_SIZE];
+	struct str name = registry_incarnation(watch->server, room);
 
 	/* Another send may have found out first. */
 	if (!listens && watch->run.server) {
--- a/entry_net.c
+++ b/entry_net.c
@@ -339,7 +339,7 @@
 
 void entry_net_tick(struct entry_net *net, int64_t lag)
 {
-	admission_lag(&net->admission, lag);
+	admission_add_lag(&net->admission, lag);
 	admission_tick(&net->admission);
 	arm_timer(net);
 }
--- a/fleet.c
+++ b/fleet.c
@@ -26,7 +26,7 @@
 	return member;
 }
 
-struct fleet_member *fleet_put(struct fleet *fleet, struct str instance)
+struct fleet_member *fleet_find_or_add(struct fleet *fleet, struct str instance)
 {
 	struct fleet_member *member = fleet_find(fleet, instance);
 
--- a/fleet.h
+++ b/fleet.h
@@ -49,9 +49,10 @@
 struct fleet_member *fleet_find(const struct fleet *fleet, struct str instance);
 
 /**
- * fleet_put() - member by name, added if missing
+ * fleet_find_or_add() - member by name, added if missing
  */
-struct fleet_member *fleet_put(struct fleet *fleet, struct str instance);
+struct fleet_member *fleet_find_or_add(struct fleet *fleet,
+				       struct str instance);
 void fleet_remove(struct fleet *fleet, struct fleet_member *member);
 
 #endif
--- a/fleet_ask.c
+++ b/fleet_ask.c
@@ -33,11 +33,11 @@
 
 struct exchange {
 	struct round *round;
-	struct fleet_ask *ask;
+	struct fleet_response *ask;
 };
 
-static struct fleet_ask *find(struct fleet_list *list,
-			      const struct address *address)
+static struct fleet_response *find(struct fleet_list *list,
+				   const struct address *address)
 {
 	int i;
 
@@ -48,16 +48,16 @@
 	return NULL;
 }
 
-static struct fleet_ask *put(struct fleet_list *list,
-			     const struct address *address)
+static struct fleet_response *put(struct fleet_list *list,
+				  const struct address *address)
 {
-	struct fleet_ask *ask = find(list, address);
+	struct fleet_response *ask = find(list, address);
 
 	if (ask)
 		return ask;
 	MEM_GROW(list->asks, list->n, list->cap);
 	ask = &list->asks[list->n++];
-	*ask = (struct fleet_ask){.address = *address};
+	*ask = (struct fleet_response){.address = *address};
 	return ask;
 }
 
@@ -66,7 +66,7 @@
 {
 	struct address address;
 	struct json_object *text;
-	struct fleet_ask *ask;
+	struct fleet_response *ask;
 
 	if (!json_object_object_get_ex(item, address_key, &text) ||
 	    !json_object_is_type(text, json_type_string) ||
@@ -97,7 +97,7 @@
 static int ask_first(struct fleet_list *list, const char *path, int timeout_ms,
 		     struct json_object **body)
 {
-	fleet_list_ask_one(list, 0, path, timeout_ms);
+	fleet_list_fetch_one(list, 0, path, timeout_ms);
 	*body = list->asks[0].body;
 	list->asks[0].body = NULL;
 	return list->asks[0].ret;
@@ -137,7 +137,8 @@
 
 static void ask_next(struct round *round);
 
-static void take_answer(struct fleet_ask *ask, struct evhttp_request *request)
+static void take_answer(struct fleet_response *ask,
+			struct evhttp_request *request)
 {
 	struct evbuffer *buffer = evhttp_request_get_input_buffer(request);
 	size_t len = evbuffer_get_length(buffer);
@@ -170,7 +171,7 @@
 
 static void send_ask(struct round *round, int index)
 {
-	struct fleet_ask *ask = &round->list->asks[index];
+	struct fleet_response *ask = &round->list->asks[index];
 	struct exchange *exchange = mem_zalloc(sizeof(*exchange));
 	struct evhttp_connection *connection;
 	struct evhttp_request *request;
@@ -234,14 +235,14 @@
 	finish_round(&round);
 }
 
-void fleet_list_ask_one(struct fleet_list *list, int index, const char *path,
-			int timeout_ms)
+void fleet_list_fetch_one(struct fleet_list *list, int index, const char *path,
+			  int timeout_ms)
 {
 	ask_range(list, index, index + 1, path, timeout_ms);
 }
 
-void fleet_list_ask(struct fleet_list *list, int from, const char *path,
-		    int timeout_ms)
+void fleet_list_fetch(struct fleet_list *list, int from, const char *path,
+		      int timeout_ms)
 {
 	ask_range(list, from, list->n, path, timeout_ms);
 }
--- a/fleet_ask.h
+++ b/fleet_ask.h
@@ -9,13 +9,13 @@
 struct json_object;
 
 /**
- * struct fleet_ask - one instance and its answer
+ * struct fleet_response - one instance and its answer
  * @instance: name, empty if it is not known yet
  * @status: HTTP status, 0 if there was no whole answer
  * @ret: 0, or ERR_CONNECT, ERR_LOST, ERR_PROTOCOL (the body is no JSON)
  * @body: owned, NULL unless @ret is 0
  */
-struct fleet_ask {
+struct fleet_response {
 	struct address address;
 	char instance[65];
 	char data_centre[65];
@@ -28,7 +28,7 @@
  * struct fleet_list - the instances to ask
  */
 struct fleet_list {
-	struct fleet_ask *asks;
+	struct fleet_response *asks;
 	int n;
 	int cap;
 };
@@ -48,16 +48,16 @@
 void fleet_list_finish(struct fleet_list *list);
 
 /**
- * fleet_list_ask_one() - send a GET to one instance and wait for its answer
+ * fleet_list_fetch_one() - send a GET to one instance and wait for its answer
  */
-void fleet_list_ask_one(struct fleet_list *list, int index, const char *path,
-			int timeout_ms);
+void fleet_list_fetch_one(struct fleet_list *list, int index, const char *path,
+			  int timeout_ms);
 
 /**
- * fleet_list_ask() - send a GET to several and wait for all answers
+ * fleet_list_fetch() - send a GET to several and wait for all answers
  * @from: index of the first; the ones before are left alone
  */
-void fleet_list_ask(struct fleet_list *list, int from, const char *path,
-		    int timeout_ms);
+void fleet_list_fetch(struct fleet_list *list, int from, const char *path,
+		      int timeout_ms);
 
 #endif
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -90,7 +90,7 @@
 {
 	struct gateway_fleet *fleet = arg;
 
-	member_table_greet(&fleet->members.members, link->instance);
+	member_table_probe_now(&fleet->members.members, link->instance);
 	view_share_member_reachable(&fleet->views, link->instance);
 }
 
@@ -98,7 +98,7 @@
 		     const struct member_beacon *beacon)
 {
 	struct gateway_fleet *fleet = arg;
-	struct fleet_heard *heard;
+	struct fleet_peer_state *heard;
 	const struct fleet_member *member =
 		fleet_find(&fleet->board.fleet, str_from(peer));
 
@@ -167,11 +167,11 @@
 static void set_cold_senders(struct gateway_fleet *fleet)
 {
 	const struct view_share *views = &fleet->views;
-	char instances[HUBS_MOST][FLEET_NAME_SIZE];
+	char instances[HUBS_PER_DC_MAX][FLEET_NAME_SIZE];
 	int n = 0;
 	int i;
 
-	for (i = 0; i < views->n_members && n < HUBS_MOST; i++) {
+	for (i = 0; i < views->n_members && n < HUBS_PER_DC_MAX; i++) {
 		if (is_near_hub(fleet, &views->members[i]))
 			memcpy(instances[n++], views->members[i].instance,
 			       FLEET_NAME_SIZE);
@@ -210,7 +210,7 @@
 		if (!member->hub ||
 		    strcmp(member->data_centre, server->entry.data_centre))
 			continue;
-		score = warmup_score(id, member->instance);
+		score = warmup_hash(id, member->instance);
 		if (best && score >= least)
 			continue;
 		least = score;
@@ -229,7 +229,7 @@
 	fleet->config.ops->members_changed(fleet->config.arg);
 }
 
-void gateway_fleet_seeds(struct gateway_fleet *fleet)
+void gateway_fleet_update_seeds(struct gateway_fleet *fleet)
 {
 	const struct gateway_settings *settings = fleet->config.from;
 	struct member_entry entries[GATEWAY_SEEDS_MAX] = {0};
@@ -247,7 +247,8 @@
 		entries[i].caller_address = entries[i].peer_address;
 		entries[i].address_only = true;
 	}
-	member_table_seeds(&fleet->members.members, entries, settings->n_seeds);
+	member_table_apply_seeds(&fleet->members.members, entries,
+				 settings->n_seeds);
 }
 
 static void on_beat(void *arg, int64_t lag)
@@ -260,7 +261,7 @@
 
 static bool heard_ready(const struct gateway_fleet *fleet, const char *instance)
 {
-	const struct fleet_heard *heard;
+	const struct fleet_peer_state *heard;
 
 	HASH_FIND_STR(fleet->heard, instance, heard);
 	return heard && heard->routes_version;
@@ -285,7 +286,7 @@
 	(void)fd;
 	(void)what;
 	if (fleet->ticks++ % SEEDS_TICKS == 0)
-		gateway_fleet_seeds(fleet);
+		gateway_fleet_update_seeds(fleet);
 	plan_links(fleet);
 	if (!fleet->config.ops->ready(fleet->config.arg))
 		ask_again(fleet);
@@ -357,14 +358,14 @@
 	fleet->seeds_timer =
 		event_new(config->base, -1, EV_PERSIST, on_seeds_timer, fleet);
 	event_add(fleet->seeds_timer, &period);
-	gateway_fleet_seeds(fleet);
+	gateway_fleet_update_seeds(fleet);
 	return 0;
 }
 
 void gateway_fleet_finish(struct gateway_fleet *fleet)
 {
-	struct fleet_heard *heard;
-	struct fleet_heard *next;
+	struct fleet_peer_state *heard;
+	struct fleet_peer_state *next;
 
 	event_free(fleet->seeds_timer);
 	loop_lag_finish(&fleet->loop);
@@ -379,7 +380,7 @@
 	}
 }
 
-void gateway_fleet_routes(struct gateway_fleet *fleet)
+void gateway_fleet_routes_changed(struct gateway_fleet *fleet)
 {
 	struct member_beacon *beacon = &fleet->members.members.beacon;
 	bool first = !beacon->table_revision;
@@ -389,8 +390,8 @@
 	/* From now on it can be asked for its view, and take requests. */
 	for (link = fleet->peers.links; first && link; link = link->next) {
 		if (link->up)
-			member_table_greet(&fleet->members.members,
-					   link->instance);
+			member_table_probe_now(&fleet->members.members,
+					       link->instance);
 	}
 }
 
@@ -404,7 +405,7 @@
 bool gateway_fleet_is_ready(const struct gateway_fleet *fleet,
 			    const struct fleet_member *member)
 {
-	const struct fleet_heard *heard;
+	const struct fleet_peer_state *heard;
 
 	if (!strcmp(member->instance, fleet->settings.instance))
 		return fleet->config.ops->ready(fleet->config.arg);
@@ -413,8 +414,9 @@
 	       heard->routes_version;
 }
 
-int gateway_fleet_candidates(const struct gateway_fleet *fleet, struct str host,
-			     struct directory_candidate **out)
+int gateway_fleet_list_candidates(const struct gateway_fleet *fleet,
+				  struct str host,
+				  struct directory_candidate **out)
 {
 	const struct fleet_member *member = fleet->board.fleet.members;
 	size_t most = HASH_COUNT(fleet->board.fleet.members);
@@ -442,7 +444,7 @@
 	return n;
 }
 
-int gateway_fleet_entries(const struct gateway_fleet *fleet)
+int gateway_fleet_count_entries(const struct gateway_fleet *fleet)
 {
 	const struct hub_member *members = fleet->views.members;
 	int n = 0;
@@ -458,10 +460,11 @@
 {
 	const struct view_share *views = &fleet->views;
 
-	return !views->n_members || views->rank < gateway_fleet_entries(fleet);
+	return !views->n_members ||
+	       views->rank < gateway_fleet_count_entries(fleet);
 }
 
-int gateway_fleet_near_senders(const struct gateway_fleet *fleet)
+int gateway_fleet_count_local_senders(const struct gateway_fleet *fleet)
 {
 	const struct view_share *views = &fleet->views;
 	int n = 0;
--- a/hubs.c
+++ b/hubs.c
@@ -52,7 +52,7 @@
 
 		member->place = centre->n++;
 		member->hub =
-			member->place < HUBS_MOST &&
+			member->place < HUBS_PER_DC_MAX &&
 			directory_is_large(member->capacity, centre->most);
 	}
 	free(centres);
@@ -94,12 +94,13 @@
 
 		if (i == self || !member->hub)
 			continue;
-		if (near ? me->hub || member->place < HUBS_NEAR : far)
+		if (near ? me->hub || member->place < LOCAL_HUBS_PER_MEMBER
+			 : far)
 			hub_links_add(links, member->instance);
 	}
 }
 
-bool hub_links_wants(const struct hub_links *links, const char *instance)
+bool hub_links_contain(const struct hub_links *links, const char *instance)
 {
 	int i;
 
--- a/hubs.h
+++ b/hubs.h
@@ -18,9 +18,9 @@
  * backend servers, which accept few and take some milliseconds for a new one;
  * eight share a server of 25 connections.
  */
-#define HUBS_MOST 8
+#define HUBS_PER_DC_MAX 8
 /* Hubs that each instance of the data centre connects to: two may be lost. */
-#define HUBS_NEAR 3
+#define LOCAL_HUBS_PER_MEMBER 3
 
 /**
  * struct hub_member - an instance that is alive
@@ -69,6 +69,6 @@
  */
 void hub_links_plan(struct hub_links *links, const struct hub_member *members,
 		    int n, int self);
-bool hub_links_wants(const struct hub_links *links, const char *instance);
+bool hub_links_contain(const struct hub_links *links, const char *instance);
 
 #endif
--- a/inbound.c
+++ b/inbound.c
@@ -258,7 +258,7 @@
 	struct inbound *inbound = arg;
 
 	(void)listener;
-	accept_guard_rest(&inbound->guard);
+	accept_backoff_start(&inbound->guard);
 }
 
 int inbound_init(struct inbound *inbound, struct event_base *base,
@@ -284,7 +284,7 @@
 						    sizeof(sin));
 	if (!inbound->listener)
 		return ERR_ADDRESS;
-	accept_guard_init(&inbound->guard, base, inbound->listener);
+	accept_backoff_init(&inbound->guard, base, inbound->listener);
 	evconnlistener_set_error_cb(inbound->listener, on_accept_error);
 	return 0;
 }
@@ -293,7 +293,7 @@
 {
 	if (!inbound->listener)
 		return;
-	accept_guard_finish(&inbound->guard);
+	accept_backoff_finish(&inbound->guard);
 	evconnlistener_free(inbound->listener);
 	inbound->listener = NULL;
 }
--- a/inbound.h
+++ b/inbound.h
@@ -56,7 +56,7 @@
 	const struct inbound_ops *ops;
 	void *arg;
 	struct evconnlistener *listener;
-	struct accept_guard guard;
+	struct accept_backoff guard;
 	struct http_limits limits;
 	int64_t header_timeout;
 	int64_t idle_timeout;
--- a/instances.c
+++ b/instances.c
@@ -31,7 +31,7 @@
 		LOG_WARN("instance_bad", LOG_STR("name", name));
 		return;
 	}
-	member = fleet_put(fleet, name);
+	member = fleet_find_or_add(fleet, name);
 	str_copy(member->data_centre, sizeof(member->data_centre), dc);
 	member->peer_address = peer;
 	member->caller_address = caller;
@@ -41,7 +41,7 @@
 	member->seen = true;
 }
 
-int instances_take(struct fleet *fleet, struct str text)
+int instances_apply(struct fleet *fleet, struct str text)
 {
 	struct json_tokener *tok = json_tokener_new();
 	struct json_object *list;
--- a/instances.h
+++ b/instances.h
@@ -5,13 +5,13 @@
 #include "fleet.h"
 
 /**
- * instances_take() - make the fleet what the list says
+ * instances_apply() - make the fleet what the list says
  * @text: the value of the key "instances"; rows that are malformed are logged
  *        and left out
  *
  * Return: 0, or ERR_SYNTAX for a text that is no list, with the fleet
  * unchanged.
  */
-int instances_take(struct fleet *fleet, struct str text);
+int instances_apply(struct fleet *fleet, struct str text);
 
 #endif
--- a/loop_lag.h
+++ b/loop_lag.h
@@ -13,7 +13,7 @@
 
 #define LOOP_LAG_PERIOD MSEC(20)
 /* So many periods without a beat: the process was stopped or is stuck. */
-#define LOOP_LAG_BEATS_MISSED 3
+#define LOOP_LAG_STALL_PERIODS 3
 
 /**
  * struct loop_lag - one timer
--- a/member.c
+++ b/member.c
@@ -40,7 +40,7 @@
 {
 	member_set_status(table, member, MEMBER_NAMED, 0);
 	HASH_DEL(table->members, member);
-	member_forget_hot(table, member);
+	member_dequeue_update(table, member);
 	member_probe_forget(table, member);
 	member_free(member);
 }
@@ -96,8 +96,9 @@
 		if (member_present(member) ||
 		    (member->status == MEMBER_GONE && !member->proven))
 			return;
-		member_move(member, entry->data_centre, &entry->peer_address,
-			    &entry->caller_address);
+		member_set_location(member, entry->data_centre,
+				    &entry->peer_address,
+				    &entry->caller_address);
 		member_set_status(table, member, MEMBER_NAMED, 0);
 	}
 	member->listed = true;
@@ -105,8 +106,8 @@
 	member->address_only = entry->address_only;
 }
 
-void member_table_list(struct member_table *table,
-		       const struct member_entry *entries, int n)
+void member_table_apply_list(struct member_table *table,
+			     const struct member_entry *entries, int n)
 {
 	struct member *member;
 	struct member *next;
@@ -159,8 +160,8 @@
 	}
 }
 
-void member_table_seeds(struct member_table *table,
-			const struct member_entry *entries, int n)
+void member_table_apply_seeds(struct member_table *table,
+			      const struct member_entry *entries, int n)
 {
 	struct member *member;
 	struct member *next;
@@ -217,8 +218,8 @@
 	peer__members__free_unpacked(body, NULL);
 }
 
-void member_table_members(struct member_table *table,
-			  const Peer__Members *message)
+void member_table_receive_members(struct member_table *table,
+				  const Peer__Members *message)
 {
 	struct address from;
 
@@ -233,7 +234,7 @@
 		member_send_members(table, &from, false);
 }
 
-void member_table_greet(struct member_table *table, const char *instance)
+void member_table_probe_now(struct member_table *table, const char *instance)
 {
 	struct member *member = member_table_find(table, instance);
 
@@ -241,8 +242,8 @@
 		member_probe_now(table, member);
 }
 
-void member_table_refused(struct member_table *table, const char *instance,
-			  uint64_t incarnation)
+void member_table_connection_refused(struct member_table *table,
+				     const char *instance, uint64_t incarnation)
 {
 	struct member *member = member_table_find(table, instance);
 
@@ -250,10 +251,10 @@
 		return;
 	member->refused = true;
 	if (member_present(member))
-		member_gone(table, member, true);
+		member_mark_gone(table, member, true);
 }
 
-void member_table_lost(struct member_table *table, const char *instance)
+void member_table_link_lost(struct member_table *table, const char *instance)
 {
 	struct member *member = member_table_find(table, instance);
 
@@ -266,7 +267,7 @@
 	table->self.status = status;
 	table->self.counter++;
 	table->version++;
-	member_spread(table, &table->self);
+	member_queue_update(table, &table->self);
 	member_probe_burst(table, LEAVE_BURST);
 }
 
@@ -316,9 +317,9 @@
 
 	HASH_ITER (hh, table->members, member, next) {
 		if (silent_and_unlisted(table, member, now))
-			member_gone(table, member, false);
+			member_mark_gone(table, member, false);
 		if (member->status == MEMBER_GONE && !member->listed &&
-		    now - member->since > MEMBER_GONE_KEEP)
+		    now - member->since > MEMBER_GONE_RETENTION)
 			remove_member(table, member);
 	}
 }
@@ -345,7 +346,7 @@
 	struct member *member;
 
 	LOG_WARN("woke_late", LOG_I64("late_us", now - table->last_tick));
-	member_probe_void(table);
+	member_probe_discard_all(table);
 	for (member = table->members; member; member = member->hh.next) {
 		member->silent_since = 0;
 		member->last_heard = now;
@@ -359,7 +360,7 @@
 	if (table->self.status == MEMBER_GONE)
 		return;
 	if (table->last_tick &&
-	    now - table->last_tick > MEMBER_TICKS_LATE * table->probe_period)
+	    now - table->last_tick > MEMBER_LATE_PERIODS * table->probe_period)
 		forget_observations(table, now);
 	table->last_tick = now;
 	if (now >= table->next_probe) {
--- a/member.h
+++ b/member.h
@@ -106,7 +106,8 @@
  * @send_members: by TCP; the message is borrowed during the call. Return:
  *	whether there is a connection for it
  * @check_address: try a TCP connection to the member's peer address and call
- *	member_table_refused() if it is refused; nothing on other failures
+ *	member_table_connection_refused() if it is refused; nothing on other
+ *failures
  * @confirmed: a peer acknowledged a ping sent at that time and holds this
  *	incarnation for present
  * @beacon: a peer told its table; may be NULL
@@ -165,11 +166,11 @@
 };
 
 /**
- * struct member_list - all members, packed to be told
+ * struct member_snapshot - all members, packed to be told
  * @size: bytes unpacked
  * @version: of the table when it was made
  */
-struct member_list {
+struct member_snapshot {
 	uint8_t *packed;
 	size_t len;
 	size_t size;
@@ -203,7 +204,7 @@
 	struct member *members;
 	struct member_tombstone *tombstones;
 	struct member_beacon beacon;
-	struct member_list list;
+	struct member_snapshot list;
 	uint64_t version;
 	uint64_t digest;
 	int present;
@@ -257,35 +258,35 @@
 			      int64_t lease);
 
 /**
- * member_table_list() - the platform's instance list came
+ * member_table_apply_list() - the platform's instance list came
  */
-void member_table_list(struct member_table *table,
-		       const struct member_entry *entries, int n);
+void member_table_apply_list(struct member_table *table,
+			     const struct member_entry *entries, int n);
 
 /**
- * member_table_seeds() - the only instances that are known from outside
+ * member_table_apply_seeds() - the only instances that are known from outside
  * @entries: with @address_only; may be stale or name this instance
  *
- * In place of member_table_list(), where there is no list of instances.
+ * In place of member_table_apply_list(), where there is no list of instances.
  */
-void member_table_seeds(struct member_table *table,
-			const struct member_entry *entries, int n);
+void member_table_apply_seeds(struct member_table *table,
+			      const struct member_entry *entries, int n);
 
 /**
- * member_table_datagram() - a datagram came
+ * member_table_receive_datagram() - a datagram came
  * @from: its source
  *
  * Return: 0, or ERR_FRAME if it is malformed.
  */
-int member_table_datagram(struct member_table *table,
-			  const struct address *from, const void *data,
-			  size_t len);
+int member_table_receive_datagram(struct member_table *table,
+				  const struct address *from, const void *data,
+				  size_t len);
 
 /**
- * member_table_members() - a Members frame came
+ * member_table_receive_members() - a Members frame came
  */
-void member_table_members(struct member_table *table,
-			  const struct Peer__Members *message);
+void member_table_receive_members(struct member_table *table,
+				  const struct Peer__Members *message);
 
 /**
  * member_table_hello() - a peer introduced itself on a connection
@@ -294,22 +295,23 @@
 			const struct member_entry *entry, uint64_t incarnation);
 
 /**
- * member_table_greet() - ask a member for a heartbeat now, not by its turn
+ * member_table_probe_now() - ask a member for a heartbeat now, not by its turn
  */
-void member_table_greet(struct member_table *table, const char *instance);
+void member_table_probe_now(struct member_table *table, const char *instance);
 
 /**
- * member_table_refused() - nobody listens at a member's peer address
+ * member_table_connection_refused() - nobody listens at a member's peer address
  * @instance: as in check_address
  * @incarnation: as it was when the connection was tried
  */
-void member_table_refused(struct member_table *table, const char *instance,
-			  uint64_t incarnation);
+void member_table_connection_refused(struct member_table *table,
+				     const char *instance,
+				     uint64_t incarnation);
 
 /**
- * member_table_lost() - a connection to a member broke; look what it means
+ * member_table_link_lost() - a connection to a member broke; look what it means
  */
-void member_table_lost(struct member_table *table, const char *instance);
+void member_table_link_lost(struct member_table *table, const char *instance);
 
 /**
  * member_table_leave() - announce that this instance is stopping
--- a/member_datagram.c
+++ b/member_datagram.c
@@ -18,7 +18,7 @@
 	if (!member || member->incarnation != incarnation ||
 	    !member_present(member))
 		return NULL;
-	member_heard(table, member);
+	member_mark_heard(table, member);
 	return member;
 }
 
@@ -88,11 +88,11 @@
 	if (strcmp(member->instance, ack->from)) {
 		/* Another instance has its address: its process has ended. */
 		if (member_present(member))
-			member_gone(table, member, true);
+			member_mark_gone(table, member, true);
 		return;
 	}
 	if (member->incarnation != ack->incarnation)
-		member_adopt(table, member, ack->incarnation, 0);
+		member_adopt_incarnation(table, member, ack->incarnation, 0);
 }
 
 static void take_direct_ack(struct member_table *table,
@@ -144,7 +144,7 @@
 	}
 	if (ack->you_are_gone) {
 		if (probe->incarnation == table->self.incarnation)
-			member_renew(table);
+			member_renew_incarnation(table);
 		return;
 	}
 	take_fresh_answer(table, probe->member, ack);
@@ -162,9 +162,9 @@
 		table->ops->beacon(table->arg, member, &beacon);
 }
 
-int member_table_datagram(struct member_table *table,
-			  const struct address *from, const void *data,
-			  size_t len)
+int member_table_receive_datagram(struct member_table *table,
+				  const struct address *from, const void *data,
+				  size_t len)
 {
 	const uint8_t *bytes = data;
 	Peer__Ping *ping;
--- a/member_merge.c
+++ b/member_merge.c
@@ -18,12 +18,12 @@
 		/* A process before us, at our address: we prove its end. */
 		member_add_tombstone(table, update->incarnation);
 		self->replaces = update->incarnation;
-		member_spread(table, self);
+		member_queue_update(table, self);
 		return;
 	}
 	if (update->status == PEER__MEMBER_STATUS__GONE) {
 		if (self->status != MEMBER_GONE)
-			member_renew(table);
+			member_renew_incarnation(table);
 		return;
 	}
 	if (update->status != PEER__MEMBER_STATUS__SUSPECT ||
@@ -32,7 +32,7 @@
 	self->counter = update->counter + 1;
 	if (table->health < MEMBER_HEALTH_MAX)
 		table->health++;
-	member_spread(table, self);
+	member_queue_update(table, self);
 }
 
 /* Same incarnation: the higher counter wins, then the graver status. */
@@ -48,7 +48,7 @@
 	}
 
 	if (status == MEMBER_GONE) {
-		member_gone(table, member, update->proven);
+		member_mark_gone(table, member, update->proven);
 		return;
 	}
 	if (member->status == MEMBER_GONE)
@@ -57,7 +57,7 @@
 		return;
 	if (update->counter == member->counter && status <= member->status) {
 		if (status == member->status && status == MEMBER_ALIVE)
-			member_heard_again(table, member);
+			member_update_repeated(table, member);
 		return;
 	}
 	/* A leaving member does not come back in this incarnation. */
@@ -70,7 +70,7 @@
 	}
 	if (status != member->status)
 		member_set_status(table, member, status, member->incarnation);
-	member_spread(table, member);
+	member_queue_update(table, member);
 }
 
 static void adopt_update(struct member_table *table, struct member *member,
@@ -78,8 +78,10 @@
 			 const struct address *peer_address,
 			 const struct address *caller_address)
 {
-	member_move(member, update->data_centre, peer_address, caller_address);
-	member_adopt(table, member, update->incarnation, update->replaces);
+	member_set_location(member, update->data_centre, peer_address,
+			    caller_address);
+	member_adopt_incarnation(table, member, update->incarnation,
+				 update->replaces);
 	member->counter = update->counter;
 	member->capacity = update->capacity;
 	if (update->status != PEER__MEMBER_STATUS__ALIVE)
@@ -99,7 +101,7 @@
 	    !address_eq(&member->peer_address, peer_address))
 		return;
 	member->incarnation = update->incarnation;
-	member_gone(table, member, update->proven);
+	member_mark_gone(table, member, update->proven);
 }
 
 static bool unreleased(const struct member_table *table,
--- a/member_net.c
+++ b/member_net.c
@@ -138,8 +138,8 @@
 	(void)what;
 	getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &len);
 	if (error == ECONNREFUSED)
-		member_table_refused(&net->members, check->instance,
-				     check->incarnation);
+		member_table_connection_refused(&net->members, check->instance,
+						check->incarnation);
 	end_check(check);
 	took_input(net);
 }
@@ -244,7 +244,7 @@
 		      enum fleet_status status)
 {
 	struct fleet_member *entry =
-		fleet_put(fleet, str_from(member->instance));
+		fleet_find_or_add(fleet, str_from(member->instance));
 
 	str_copy(entry->data_centre, sizeof(entry->data_centre),
 		 str_from(member->data_centre));
@@ -309,7 +309,7 @@
 		entries[n].leaving = member->status == FLEET_LEAVING;
 		n++;
 	}
-	member_table_list(&net->members, entries, n);
+	member_table_apply_list(&net->members, entries, n);
 	free(entries);
 	/* Flags of the list do not raise the version. */
 	net->published = 0;
@@ -393,7 +393,8 @@
 		return errno != EAGAIN && errno != EWOULDBLOCK;
 	inet_ntop(AF_INET, &sin.sin_addr, from.ip, sizeof(from.ip));
 	from.port = ntohs(sin.sin_port);
-	if (member_table_datagram(&net->members, &from, data, (size_t)len))
+	if (member_table_receive_datagram(&net->members, &from, data,
+					  (size_t)len))
 		metric_inc(&net->board->counters.member_datagrams_bad);
 	return true;
 }
@@ -420,8 +421,8 @@
 		share_view_state(&net->share,
 				 (const Peer__ViewState *)frame->message);
 	else
-		member_table_members(&net->members,
-				     (const Peer__Members *)frame->message);
+		member_table_receive_members(
+			&net->members, (const Peer__Members *)frame->message);
 	net->asked_on = NULL;
 	took_input(net);
 }
@@ -431,7 +432,7 @@
 	struct member_net *net = arg;
 
 	if (link->outgoing)
-		member_table_lost(&net->members, link->instance);
+		member_table_link_lost(&net->members, link->instance);
 }
 
 static void on_refused(void *arg, struct str instance, uint64_t incarnation)
@@ -440,7 +441,7 @@
 	char name[FLEET_NAME_SIZE];
 
 	str_copy(name, sizeof(name), instance);
-	member_table_refused(&net->members, name, incarnation);
+	member_table_connection_refused(&net->members, name, incarnation);
 	took_input(net);
 }
 
@@ -505,7 +506,7 @@
 }
 
 int member_net_init(struct member_net *net, struct blackboard *board,
-		    struct peers *peers, member_net_heard_cb heard, void *arg)
+		    struct peers *peers, member_net_beacon_cb heard, void *arg)
 {
 	int ret;
 
--- a/member_net.h
+++ b/member_net.h
@@ -15,15 +15,15 @@
 struct event;
 
 /* A peer that tells its table in a heartbeat. */
-typedef void (*member_net_heard_cb)(void *arg, const char *instance,
-				    const struct member_beacon *beacon);
+typedef void (*member_net_beacon_cb)(void *arg, const char *instance,
+				     const struct member_beacon *beacon);
 
 struct member_net {
 	struct blackboard *board;
 	struct peers *peers;
 	struct member_table members;
 	struct share share;
-	member_net_heard_cb heard;
+	member_net_beacon_cb heard;
 	void *arg;
 	evutil_socket_t fd;
 	struct event *readable;
@@ -48,7 +48,7 @@
  * Return: 0, or ERR_ADDRESS if the peer address cannot be bound.
  */
 int member_net_init(struct member_net *net, struct blackboard *board,
-		    struct peers *peers, member_net_heard_cb heard, void *arg);
+		    struct peers *peers, member_net_beacon_cb heard, void *arg);
 
 /**
  * member_net_finish() - say that nothing is used any more, and leave
--- a/member_private.h
+++ b/member_private.h
@@ -10,10 +10,10 @@
 #include "peer.pb-c.h"
 
 /* Neighbours that together ask each other often enough. */
-#define MEMBER_NEAR_ENOUGH 4
-#define MEMBER_TICKS_LATE 2 /* probe periods without a tick */
+#define MEMBER_LOCAL_MIN 4
+#define MEMBER_LATE_PERIODS 2 /* probe periods without a tick */
 /* How long what is gone is remembered. */
-#define MEMBER_GONE_KEEP MSEC(600000)
+#define MEMBER_GONE_RETENTION MSEC(600000)
 
 /* The first byte of a datagram. */
 enum member_datagram_kind {
@@ -51,11 +51,11 @@
 			  const struct address *caller_address);
 
 /**
- * member_move() - texts that only the list or the member itself tells
+ * member_set_location() - texts that only the list or the member itself tells
  */
-void member_move(struct member *member, const char *data_centre,
-		 const struct address *peer_address,
-		 const struct address *caller_address);
+void member_set_location(struct member *member, const char *data_centre,
+			 const struct address *peer_address,
+			 const struct address *caller_address);
 
 /**
  * member_set_status() - all changes of status and incarnation go through here
@@ -67,53 +67,55 @@
 void member_add_tombstone(struct member_table *table, uint64_t incarnation);
 
 /**
- * member_forget_hot() - tell no news of it any more
+ * member_dequeue_update() - tell no news of it any more
  */
-void member_forget_hot(struct member_table *table, const struct member *member);
+void member_dequeue_update(struct member_table *table,
+			   const struct member *member);
 
 /**
- * member_spread() - put a member's record into the next datagrams
+ * member_queue_update() - put a member's record into the next datagrams
  */
-void member_spread(struct member_table *table, struct member *member);
+void member_queue_update(struct member_table *table, struct member *member);
 
 /**
- * member_heard_again() - a peer told of it what is known here
+ * member_update_repeated() - a peer told of it what is known here
  *
  * Where many join at once, news of each goes round until most have heard it
  * many times. Who hears it again stops telling it sooner.
  */
-void member_heard_again(struct member_table *table, struct member *member);
+void member_update_repeated(struct member_table *table, struct member *member);
 
 /**
- * member_suspect() - it did not answer us, nor those whom we asked
+ * member_mark_suspect() - it did not answer us, nor those whom we asked
  */
-void member_suspect(struct member_table *table, struct member *member);
+void member_mark_suspect(struct member_table *table, struct member *member);
 
 /**
- * member_gone() - drop a member on evidence
+ * member_mark_gone() - drop a member on evidence
  * @proven: its process ended, or gave up its shares
  */
-void member_gone(struct member_table *table, struct member *member,
-		 bool proven);
+void member_mark_gone(struct member_table *table, struct member *member,
+		      bool proven);
 
 /**
- * member_adopt() - a new incarnation is at a member's place
+ * member_adopt_incarnation() - a new incarnation is at a member's place
  */
-void member_adopt(struct member_table *table, struct member *member,
-		  uint64_t incarnation, uint64_t replaces);
+void member_adopt_incarnation(struct member_table *table, struct member *member,
+			      uint64_t incarnation, uint64_t replaces);
 
 /**
- * member_renew() - go on under a new incarnation: peers hold ours for gone
+ * member_renew_incarnation() - go on under a new incarnation: peers hold ours
+ * for gone
  */
-void member_renew(struct member_table *table);
+void member_renew_incarnation(struct member_table *table);
 
 bool member_is_tombstone(const struct member_table *table,
 			 uint64_t incarnation);
 
 /**
- * member_heard() - a datagram came from the member itself
+ * member_mark_heard() - a datagram came from the member itself
  */
-void member_heard(struct member_table *table, struct member *member);
+void member_mark_heard(struct member_table *table, struct member *member);
 
 /* member_send.c */
 
@@ -126,10 +128,11 @@
 				      struct member *member);
 
 /**
- * member_send_help() - ask a helper to ask the member of a ping
+ * member_send_ping_request() - ask a helper to ask the member of a ping
  */
-void member_send_help(struct member_table *table, const struct member *helper,
-		      const struct member_probe *probe);
+void member_send_ping_request(struct member_table *table,
+			      const struct member *helper,
+			      const struct member_probe *probe);
 void member_send_ack(struct member_table *table, const struct address *to,
 		     const struct member *peer, const Peer__Ping *ping,
 		     bool gone);
@@ -138,11 +141,13 @@
 			     const Peer__Ack *answer);
 
 /**
- * member_ask_members() - ask for all that are known, and tell of this instance
+ * member_request_members() - ask for all that are known, and tell of this
+ * instance
  *
  * Return: whether there was a way to send it.
  */
-bool member_ask_members(struct member_table *table, const struct address *to);
+bool member_request_members(struct member_table *table,
+			    const struct address *to);
 
 /**
  * member_send_members() - tell who is known
@@ -160,7 +165,7 @@
 void member_probe_now(struct member_table *table, struct member *member);
 void member_probe_burst(struct member_table *table, int n);
 void member_probe_tick(struct member_table *table);
-void member_probe_void(struct member_table *table);
+void member_probe_discard_all(struct member_table *table);
 
 /* member_merge.c */
 
--- a/member_probe.c
+++ b/member_probe.c
@@ -54,7 +54,7 @@
 		table->last_acker = NULL;
 }
 
-void member_probe_void(struct member_table *table)
+void member_probe_discard_all(struct member_table *table)
 {
 	int i;
 
@@ -124,7 +124,7 @@
 			   const struct member *member,
 			   const struct spread_of_members *n)
 {
-	if (!table->seeded || n->near < MEMBER_NEAR_ENOUGH ||
+	if (!table->seeded || n->near < MEMBER_LOCAL_MIN ||
 	    member->status != MEMBER_ALIVE ||
 	    member->dc_hash == table->self.dc_hash)
 		return false;
@@ -215,7 +215,7 @@
 		struct member *helper = random_alive(table, probe->member);
 
 		if (helper)
-			member_send_help(table, helper, probe);
+			member_send_ping_request(table, helper, probe);
 	}
 }
 
@@ -228,7 +228,7 @@
 		return;
 	if (table->health < MEMBER_HEALTH_MAX)
 		table->health++;
-	member_suspect(table, member);
+	member_mark_suspect(table, member);
 	/* The order is made anew, with all of that data centre. */
 	if (table->seeded)
 		table->at_order = table->n_order;
@@ -297,7 +297,7 @@
 static bool sync(struct member_table *table, const struct member *member)
 {
 	if (table->seeded)
-		return member_ask_members(table, &member->peer_address);
+		return member_request_members(table, &member->peer_address);
 	return member_send_members(table, &member->peer_address, true);
 }
 
--- a/member_send.c
+++ b/member_send.c
@@ -63,7 +63,7 @@
 
 static bool is_far(const struct member_table *table, const struct member *peer)
 {
-	return table->seeded && table->n_near >= MEMBER_NEAR_ENOUGH &&
+	return table->seeded && table->n_near >= MEMBER_LOCAL_MIN &&
 	       (!peer || peer->dc_hash != table->self.dc_hash);
 }
 
@@ -174,8 +174,9 @@
 	return probe;
 }
 
-void member_send_help(struct member_table *table, const struct member *helper,
-		      const struct member_probe *probe)
+void member_send_ping_request(struct member_table *table,
+			      const struct member *helper,
+			      const struct member_probe *probe)
 {
 	send_ping_message(table, &helper->peer_address, helper, probe->sequence,
 			  probe->member->instance, !helper->knows_us);
@@ -199,7 +200,7 @@
 }
 
 /* 295 members take 25 KB, and a third of it packed. */
-static void pack_list(struct member_list *list, const Peer__Members *body,
+static void pack_list(struct member_snapshot *list, const Peer__Members *body,
 		      size_t size)
 {
 	uint8_t *raw = mem_zalloc(size);
@@ -217,9 +218,9 @@
  * At a start of hundreds all ask the seeds, which may have a tenth of a core,
  * for the same list.
  */
-static const struct member_list *packed_list(struct member_table *table)
+static const struct member_snapshot *packed_list(struct member_table *table)
 {
-	struct member_list *list = &table->list;
+	struct member_snapshot *list = &table->list;
 	int64_t now = clock_now(table->clock);
 	struct member_wire *wires;
 	Peer__Member **pointers;
@@ -257,7 +258,8 @@
 	return true;
 }
 
-bool member_ask_members(struct member_table *table, const struct address *to)
+bool member_request_members(struct member_table *table,
+			    const struct address *to)
 {
 	Peer__Members message = PEER__MEMBERS__INIT;
 	struct member_wire wire;
@@ -275,7 +277,7 @@
 {
 	size_t most = HASH_COUNT(table->members) + 1;
 	Peer__Members message = PEER__MEMBERS__INIT;
-	const struct member_list *list;
+	const struct member_snapshot *list;
 	struct member_wire *wires;
 	Peer__Member **pointers;
 	bool sent;
--- a/member_state.c
+++ b/member_state.c
@@ -117,7 +117,8 @@
 	free(member);
 }
 
-void member_forget_hot(struct member_table *table, const struct member *member)
+void member_dequeue_update(struct member_table *table,
+			   const struct member *member)
 {
 	int i;
 
@@ -159,9 +160,9 @@
  * Texts that only the list or the member itself tells. The name, by which the
  * hash table finds it, stays.
  */
-void member_move(struct member *member, const char *data_centre,
-		 const struct address *peer_address,
-		 const struct address *caller_address)
+void member_set_location(struct member *member, const char *data_centre,
+			 const struct address *peer_address,
+			 const struct address *caller_address)
 {
 	char *copy = mem_dup(data_centre);
 
@@ -193,12 +194,12 @@
 		return;
 	tombstone = mem_zalloc(sizeof(*tombstone));
 	tombstone->incarnation = incarnation;
-	tombstone->until = clock_now(table->clock) + MEMBER_GONE_KEEP;
+	tombstone->until = clock_now(table->clock) + MEMBER_GONE_RETENTION;
 	HASH_ADD(hh, table->tombstones, incarnation, sizeof(incarnation),
 		 tombstone);
 }
 
-void member_spread(struct member_table *table, struct member *member)
+void member_queue_update(struct member_table *table, struct member *member)
 {
 	/* What a peer tells in whole is asked for by all who miss it. */
 	if (table->quiet && member != &table->self)
@@ -210,7 +211,7 @@
 	member->transmits_left = spread_limit(table);
 }
 
-void member_heard_again(struct member_table *table, struct member *member)
+void member_update_repeated(struct member_table *table, struct member *member)
 {
 	if (!member->transmits_left)
 		return;
@@ -218,10 +219,10 @@
 	if (member->transmits_left > 0)
 		return;
 	member->transmits_left = 0;
-	member_forget_hot(table, member);
+	member_dequeue_update(table, member);
 }
 
-void member_heard(struct member_table *table, struct member *member)
+void member_mark_heard(struct member_table *table, struct member *member)
 {
 	member->last_heard = clock_now(table->clock);
 	member->silent_since = 0;
@@ -229,7 +230,7 @@
 	member->dropped = false;
 }
 
-void member_suspect(struct member_table *table, struct member *member)
+void member_mark_suspect(struct member_table *table, struct member *member)
 {
 	if (!member_present(member))
 		return;
@@ -239,10 +240,11 @@
 		return;
 	LOG_INFO("member_suspect", LOG_TEXT("member", member->instance));
 	member_set_status(table, member, MEMBER_SUSPECT, member->incarnation);
-	member_spread(table, member);
+	member_queue_update(table, member);
 }
 
-void member_gone(struct member_table *table, struct member *member, bool proven)
+void member_mark_gone(struct member_table *table, struct member *member,
+		      bool proven)
 {
 	int64_t now = clock_now(table->clock);
 
@@ -256,11 +258,11 @@
 		 LOG_TEXT("evidence", proven ? "ended" : "silent"));
 	member_set_status(table, member, MEMBER_GONE, member->incarnation);
 	member->since = now;
-	member_spread(table, member);
+	member_queue_update(table, member);
 }
 
-void member_adopt(struct member_table *table, struct member *member,
-		  uint64_t incarnation, uint64_t replaces)
+void member_adopt_incarnation(struct member_table *table, struct member *member,
+			      uint64_t incarnation, uint64_t replaces)
 {
 	member_add_tombstone(table, member->incarnation);
 	if (member->incarnation)
@@ -271,15 +273,15 @@
 	member->proven = false;
 	member->knows_us = false;
 	member->since = clock_now(table->clock);
-	member_heard(table, member);
+	member_mark_heard(table, member);
 	member_set_status(table, member, MEMBER_ALIVE, incarnation);
-	member_spread(table, member);
+	member_queue_update(table, member);
 	LOG_INFO("member_joined", LOG_TEXT("member", member->instance),
 		 LOG_U64("incarnation", incarnation),
 		 LOG_U64("replaces", replaces));
 }
 
-void member_renew(struct member_table *table)
+void member_renew_incarnation(struct member_table *table)
 {
 	struct member *member;
 
@@ -291,7 +293,7 @@
 	table->last_confirmed = INT64_MIN / 2;
 	for (member = table->members; member; member = member->hh.next)
 		member->knows_us = false;
-	member_spread(table, &table->self);
+	member_queue_update(table, &table->self);
 }
 
 void member_to_wire(const struct member *member, struct member_wire *wire)
--- a/peer.c
+++ b/peer.c
@@ -327,7 +327,7 @@
 {
 	return peers->wanted && now - link->last_received_at >= UNWANTED_IDLE &&
 	       now - link->last_sent_at >= UNWANTED_IDLE &&
-	       !hub_links_wants(peers->wanted, link->instance);
+	       !hub_links_contain(peers->wanted, link->instance);
 }
 
 static void close_unneeded(struct peers *peers)
@@ -406,7 +406,7 @@
 	struct peers *peers = arg;
 
 	(void)listener;
-	accept_guard_rest(&peers->guard);
+	accept_backoff_start(&peers->guard);
 }
 
 int peers_init(struct peers *peers, struct blackboard *board)
@@ -424,7 +424,7 @@
 						  sizeof(sin));
 	if (!peers->listener)
 		return ERR_ADDRESS;
-	accept_guard_init(&peers->guard, board->base, peers->listener);
+	accept_backoff_init(&peers->guard, board->base, peers->listener);
 	evconnlistener_set_error_cb(peers->listener, on_accept_error);
 	peers->timer = event_new(board->base, -1, EV_PERSIST, on_timer, peers);
 	peers->reaper = evtimer_new(board->base, free_closed_links, peers);
@@ -441,7 +441,7 @@
 
 	DL_FOREACH_SAFE (peers->links, link, next)
 		free_link(link);
-	accept_guard_finish(&peers->guard);
+	accept_backoff_finish(&peers->guard);
 	evconnlistener_free(peers->listener);
 	event_free(peers->timer);
 	event_free(peers->reaper);
--- a/peer.h
+++ b/peer.h
@@ -89,7 +89,7 @@
 	struct blackboard *board;
 	const struct hub_links *wanted;
 	struct evconnlistener *listener;
-	struct accept_guard guard;
+	struct accept_backoff guard;
 	struct event *timer;
 	struct event *reaper;
 	struct peer_link *links;
--- a/search.c
+++ b/search.c
@@ -136,8 +136,8 @@
 	bool whole = search->n_answered == search->map->n_shards;
 
 	if (service && (whole || search_now(search) >= search->answer_at))
-		policy_searched(&search->searches->policy, service,
-				search_now(search) - search->started_at);
+		policy_search_done(&search->searches->policy, service,
+				   search_now(search) - search->started_at);
 }
 
 static void conclude(struct search *search)
--- a/store_sync.c
+++ b/store_sync.c
@@ -195,7 +195,7 @@
 	struct store_feed *feed = &sync->feeds[STORE_SERVERS];
 
 	if (feed->fresh_at >= 0)
-		server_view_returned(&sync->servers);
+		server_view_store_returned(&sync->servers);
 	server_view_end_list(&sync->servers, at);
 }
 
@@ -279,7 +279,7 @@
 		LOG_INFO("store_regained", LOG_I64("topic", feed->topic),
 			 LOG_I64("failures", feed->failures));
 	if (lost || is_view_old(sync))
-		server_view_returned(&sync->servers);
+		server_view_store_returned(&sync->servers);
 }
 
 static void call_failed(struct store_sync *sync, struct store_feed *feed,
--- a/table_control.c
+++ b/table_control.c
@@ -98,7 +98,7 @@
 
 	control->sync.list_revision = list->revision;
 	control->sync.list_digest = list->digest;
-	if (!instances_take(&control->board->platform_list, text))
+	if (!instances_apply(&control->board->platform_list, text))
 		blackboard_notify(control->board, BLACKBOARD_INSTANCES);
 }
 
--- a/tests/fuzz/fuzz_relay.c
+++ b/tests/fuzz/fuzz_relay.c
@@ -134,7 +134,7 @@
 	clock_init_paused(&world->clock, MSEC(1000000));
 	blackboard_init(&world->board, &world->clock, &world->settings, base,
 			1);
-	member = fleet_put(&world->board.fleet, STR("far"));
+	member = fleet_find_or_add(&world->board.fleet, STR("far"));
 	member->status = FLEET_ALIVE;
 	str_copy(member->data_centre, sizeof(member->data_centre),
 		 STR("there"));
--- a/tests/member_sim.c
+++ b/tests/member_sim.c
@@ -426,7 +426,7 @@
 		entries[n].leaving = node->listed_leaving;
 		n++;
 	}
-	member_table_list(&reader->members, entries, n);
+	member_table_apply_list(&reader->members, entries, n);
 	free(entries);
 }
 
@@ -566,7 +566,7 @@
 		peer__members__unpack(NULL, message->len,
 				      (const uint8_t *)message->data);
 
-	member_table_members(&node->members, members);
+	member_table_receive_members(&node->members, members);
 	peer__members__free_unpacked(members, NULL);
 }
 
@@ -589,9 +589,9 @@
 		tick(node);
 		break;
 	case MESSAGE_DATAGRAM:
-		member_table_datagram(&node->members,
-				      &sim->nodes[message->from].peer_address,
-				      message->data, message->len);
+		member_table_receive_datagram(
+			&node->members, &sim->nodes[message->from].peer_address,
+			message->data, message->len);
 		break;
 	case MESSAGE_MEMBERS:
 		take_members(node, message);
@@ -601,9 +601,9 @@
 			take_view(node, message);
 		break;
 	case MESSAGE_REFUSED:
-		member_table_refused(&node->members,
-				     sim->nodes[message->from].name,
-				     message->incarnation);
+		member_table_connection_refused(&node->members,
+						sim->nodes[message->from].name,
+						message->incarnation);
 		break;
 	}
 }
--- a/tests/test_cordon.c
+++ b/tests/test_cordon.c
@@ -55,7 +55,7 @@
 
 static struct registry_server *pick_server(struct world *world)
 {
-	static const struct registry_choice anywhere;
+	static const struct registry_criteria anywhere;
 
 	return registry_pick(registry_service(&world->registry, STR("s")),
 			     &anywhere, clock_now(&world->clock));
--- a/tests/test_hubs.c
+++ b/tests/test_hubs.c
@@ -45,7 +45,8 @@
 		hub_links_plan(&links, members, n, i);
 		held[i] += links.n;
 		for (k = 0; k < n; k++)
-			held[k] += hub_links_wants(&links, members[k].instance);
+			held[k] +=
+				hub_links_contain(&links, members[k].instance);
 	}
 	for (i = 0; i < n; i++)
 		most = held[i] > most ? held[i] : most;
@@ -75,7 +76,7 @@
 	CU_ASSERT(most_links_of(76, 4, 3) <= 2 * 11 + 19);
 	CU_ASSERT(most_links_of(295, 6, 3) <= 2 * 17 + 50);
 	/* All alike and all taking callers: hubs are asked by each of them. */
-	CU_ASSERT(most_links_of(295, 6, 0) <= 6 * HUBS_MOST + 295);
+	CU_ASSERT(most_links_of(295, 6, 0) <= 6 * HUBS_PER_DC_MAX + 295);
 }
 
 static void test_small_fleets_are_linked_as_before(void)
@@ -89,7 +90,7 @@
 		CU_ASSERT(members[i].hub);
 		hub_links_plan(&links, members, 8, i);
 		CU_ASSERT(links.n == 7);
-		CU_ASSERT(!hub_links_wants(&links, members[i].instance));
+		CU_ASSERT(!hub_links_contain(&links, members[i].instance));
 	}
 	hub_links_finish(&links);
 	free(members);
@@ -105,9 +106,9 @@
 	hub_links_init(&links);
 	hub_links_plan(&links, members, 295, 294);
 	CU_ASSERT(members[294].capacity == SMALL);
-	CU_ASSERT(links.n == HUBS_NEAR);
+	CU_ASSERT(links.n == LOCAL_HUBS_PER_MEMBER);
 	for (i = 0; i < 295; i++) {
-		if (hub_links_wants(&links, members[i].instance))
+		if (hub_links_contain(&links, members[i].instance))
 			CU_ASSERT(members[i].hub &&
 				  !strcmp(members[i].data_centre,
 					  members[294].data_centre));
@@ -137,11 +138,11 @@
 	for (i = 0; i < n; i++)
 		hubs += members[i].hub &&
 			!strcmp(members[i].data_centre, "dc0");
-	CU_ASSERT(hubs == HUBS_MOST);
+	CU_ASSERT(hubs == HUBS_PER_DC_MAX);
 	hub_links_init(&links);
 	hub_links_plan(&links, members, n, 0);
 	CU_ASSERT(strcmp(members[0].data_centre, "dc0"));
-	CU_ASSERT(links.n == 4 * 3 + 2 + HUBS_MOST);
+	CU_ASSERT(links.n == 4 * 3 + 2 + HUBS_PER_DC_MAX);
 	hub_links_finish(&links);
 	free(members);
 }
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -192,8 +192,9 @@
 	ping.n_updates = 1;
 	data[0] = 1;
 	len = 1 + peer__ping__pack(&ping, data + 1);
-	CU_ASSERT_EQUAL(member_table_datagram(&sim->nodes[to].members,
-					      &node->peer_address, data, len),
+	CU_ASSERT_EQUAL(member_table_receive_datagram(&sim->nodes[to].members,
+						      &node->peer_address, data,
+						      len),
 			0);
 }
 
@@ -364,14 +365,15 @@
 	struct sim sim;
 
 	begin(&sim, 2);
-	CU_ASSERT_EQUAL(member_table_datagram(&sim.nodes[0].members, &from,
-					      junk, sizeof(junk) - 1),
+	CU_ASSERT_EQUAL(member_table_receive_datagram(&sim.nodes[0].members,
+						      &from, junk,
+						      sizeof(junk) - 1),
 			ERR_FRAME);
-	CU_ASSERT_EQUAL(member_table_datagram(&sim.nodes[0].members, &from, "",
-					      0),
+	CU_ASSERT_EQUAL(member_table_receive_datagram(&sim.nodes[0].members,
+						      &from, "", 0),
 			ERR_FRAME);
-	CU_ASSERT_EQUAL(member_table_datagram(&sim.nodes[0].members, &from,
-					      "\x07", 1),
+	CU_ASSERT_EQUAL(member_table_receive_datagram(&sim.nodes[0].members,
+						      &from, "\x07", 1),
 			ERR_FRAME);
 	sim_finish(&sim);
 }
--- a/tests/view_world.c
+++ b/tests/view_world.c
@@ -68,8 +68,8 @@
 
 static bool is_linked(const struct node *a, const struct node *b)
 {
-	return !a->world->n_large || hub_links_wants(&a->links, b->name) ||
-	       hub_links_wants(&b->links, a->name);
+	return !a->world->n_large || hub_links_contain(&a->links, b->name) ||
+	       hub_links_contain(&b->links, a->name);
 }
 
 static uint64_t draw(struct world *world)
@@ -187,7 +187,8 @@
 
 		if (world->nodes[i].dead)
 			continue;
-		member = fleet_put(&fleet, str_from(world->nodes[i].name));
+		member = fleet_find_or_add(&fleet,
+					   str_from(world->nodes[i].name));
 		snprintf(member->data_centre, sizeof(member->data_centre),
 			 "dc%d", i % world->centres);
 		member->capacity =
--- a/view_share.c
+++ b/view_share.c
@@ -375,7 +375,7 @@
 {
 	int i;
 
-	bool whole = server_view_wants_whole(&share->sync->servers);
+	bool whole = server_view_needs_full_list(&share->sync->servers);
 
 	if (!store_sync_ready(share->sync) || (!is_view_old(share) && !whole))
 		return;
