--- a/pack.c
+++ b/compress.c
@@ -1,4 +1,4 @@
-#include "pack.h"
+#include "compress.h"
 
 #include <stdlib.h>
 
@@ -15,7 +15,7 @@
 		*len = room;
 		return out;
 	}
-	/* Out of memory: it goes out as it is. */
+	/* Out of memory: the caller sends the data uncompressed. */
 	free(out);
 	return NULL;
 }
@@ -23,9 +23,9 @@
 uint8_t *decompress_bytes(const uint8_t *packed, size_t len, size_t size)
 {
 	uint8_t *raw = mem_zalloc(size + 1);
-	uLongf room = size;
+	uLongf raw_len = size;
 
-	if (uncompress(raw, &room, packed, len) == Z_OK && room == size)
+	if (uncompress(raw, &raw_len, packed, len) == Z_OK && raw_len == size)
 		return raw;
 	free(raw);
 	return NULL;
--- a/cordon.c
+++ b/cordon.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-static struct cordon *find(const struct cordons *cordons,
-			   struct str data_centre)
+static struct cordon *find_cordon(const struct cordon_set *cordons,
+				  struct str data_centre)
 {
 	int i;
 
@@ -14,10 +14,10 @@
 	return NULL;
 }
 
-bool cordon_set_add(struct cordons *cordons, struct str data_centre,
+bool cordon_set_add(struct cordon_set *cordons, struct str data_centre,
 		    uint64_t changed_at)
 {
-	struct cordon *cordon = find(cordons, data_centre);
+	struct cordon *cordon = find_cordon(cordons, data_centre);
 
 	if (cordon) {
 		if (changed_at > cordon->changed_at)
@@ -33,45 +33,47 @@
 	return true;
 }
 
-static void drop(struct cordons *cordons, struct cordon *cordon)
+static void remove_cordon(struct cordon_set *cordons, struct cordon *cordon)
 {
 	*cordon = cordons->list[--cordons->n];
 	cordons->n_changes++;
 }
 
-bool cordon_set_remove(struct cordons *cordons, struct str data_centre,
+bool cordon_set_remove(struct cordon_set *cordons, struct str data_centre,
 		       uint64_t changed_at)
 {
-	struct cordon *cordon = find(cordons, data_centre);
+	struct cordon *cordon = find_cordon(cordons, data_centre);
 
 	if (!cordon || changed_at < cordon->changed_at)
 		return false;
-	drop(cordons, cordon);
+	remove_cordon(cordons, cordon);
 	return true;
 }
 
-bool cordon_set_contains(const struct cordons *cordons, struct str data_centre)
+bool cordon_set_contains(const struct cordon_set *cordons,
+			 struct str data_centre)
 {
-	return find(cordons, data_centre);
+	return find_cordon(cordons, data_centre);
 }
 
-bool cordon_set_replace(struct cordons *cordons, const struct cordons *from)
+bool cordon_set_replace(struct cordon_set *cordons,
+			const struct cordon_set *from)
 {
 	uint64_t before = cordons->n_changes;
 	int i;
 
-	if (from->at < cordons->at)
+	if (from->revision < cordons->revision)
 		return false;
 	for (i = cordons->n - 1; i >= 0; i--) {
 		struct cordon *cordon = &cordons->list[i];
 
-		if (cordon->changed_at <= from->at &&
+		if (cordon->changed_at <= from->revision &&
 		    !cordon_set_contains(from, str_from(cordon->data_centre)))
-			drop(cordons, cordon);
+			remove_cordon(cordons, cordon);
 	}
 	for (i = 0; i < from->n; i++)
 		cordon_set_add(cordons, str_from(from->list[i].data_centre),
 			       from->list[i].changed_at);
-	cordons->at = from->at;
+	cordons->revision = from->revision;
 	return cordons->n_changes != before;
 }
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -374,7 +374,7 @@
 
 const struct inbound_ops gateway_request_ops = {
 	.request = on_request,
-	.left = on_caller_left,
+	.closed = on_caller_left,
 	.refused = on_malformed,
 };
 
--- a/member.c
+++ b/member.c
@@ -7,7 +7,7 @@
 #include "clock.h"
 #include "log.h"
 #include "member_private.h"
-#include "pack.h"
+#include "compress.h"
 
 /* Probe periods of silence after which a delisted member is gone. */
 #define DELISTED_SILENCE_PERIODS 6
--- a/member_net.c
+++ b/member_net.c
@@ -85,7 +85,7 @@
 	DL_FOREACH (net->peers->links, link) {
 		bool local = is_local(net, link);
 
-		if (!link->up || link->doomed)
+		if (!link->up || link->closed)
 			continue;
 		evutil_secure_rng_get_bytes(&draw, sizeof(draw));
 		if (draw % ++n[local] == 0)
@@ -297,7 +297,7 @@
 static void on_instances(void *arg)
 {
 	struct member_net *net = arg;
-	struct fleet *listed = &net->board->listed;
+	struct fleet *listed = &net->board->platform_list;
 	struct member_entry *entries =
 		mem_zalloc(HASH_COUNT(listed->members) * sizeof(*entries));
 	struct fleet_member *member;
--- a/member_send.c
+++ b/member_send.c
@@ -6,7 +6,7 @@
 
 #include "clock.h"
 #include "mem.h"
-#include "pack.h"
+#include "compress.h"
 
 #define UPDATES_MAX 24 /* in one datagram */
 /* Time for which a snapshot is sent although members changed, microseconds. */
--- a/registry.h
+++ b/registry.h
@@ -179,7 +179,7 @@
 	uint64_t n_removed;
 	const struct regions *regions;
 	bool use_shared_estimates;
-	struct cordons cordons;
+	struct cordon_set cordons;
 	char data_centre[REGISTRY_NAME_SIZE];
 	struct registry_server *servers;
 	struct registry_service *services;
--- a/table_control.c
+++ b/table_control.c
@@ -98,14 +98,14 @@
 
 	control->sync.list_revision = list->revision;
 	control->sync.list_digest = list->digest;
-	if (!instances_apply(&control->board->listed, text))
+	if (!instances_apply(&control->board->platform_list, text))
 		blackboard_notify(control->board, BLACKBOARD_INSTANCES);
 }
 
 static const struct list_sync_ops list_ops = {
 	.send_request = on_send_list_request,
 	.send_update = on_send_list_update,
-	.taken = on_list_taken,
+	.updated = on_list_taken,
 };
 
 static const struct table_sync_ops sync_ops = {
--- a/tests/test_store_order.c
+++ b/tests/test_store_order.c
@@ -380,7 +380,7 @@
 static void test_era_keeps_operators_word(void)
 {
 	struct store_item cordon = item_of("dc2", 40, false);
-	struct cordons *cordons;
+	struct cordon_set *cordons;
 	struct world world;
 
 	start_in_era(&world, 1);
