--- a/table_control.c
+++ b/table_control.c
@@ -187,7 +187,7 @@
 	struct table_control *control = arg;
 	uint64_t stale = control->sync.counts.stale;
 
-	table_sync_answered(&control->sync, key, id, answer);
+	table_sync_receive_answer(&control->sync, key, id, answer);
 	/* This replica may have stopped following, and others not. */
 	if (control->sync.counts.stale != stale)
 		platform_turn(&control->platform);
@@ -199,7 +199,7 @@
 {
 	struct table_control *control = arg;
 
-	table_sync_part(&control->sync, id, answer);
+	table_sync_receive_part(&control->sync, id, answer);
 	publish(control);
 }
 
@@ -213,7 +213,7 @@
 {
 	list_sync_peer_revision(&control->list, peer, message->list_revision,
 				message->list_digest);
-	table_sync_digest(&control->sync, peer, message);
+	table_sync_receive_digest(&control->sync, peer, message);
 }
 
 static void on_frame(void *arg, struct peer_link *link, struct frame *frame)
@@ -234,12 +234,14 @@
 			    (const Peer__TableDigest *)frame->message);
 		break;
 	case FRAME_TABLE_REQUEST:
-		table_sync_request(&control->sync, link->instance,
-				   (const Peer__TableRequest *)frame->message);
+		table_sync_receive_request(&control->sync, link->instance,
+					   (const Peer__TableRequest *)
+						   frame->message);
 		break;
 	case FRAME_TABLE_UPDATE:
-		table_sync_update(&control->sync, link->instance,
-				  (const Peer__TableUpdate *)frame->message);
+		table_sync_receive_update(&control->sync, link->instance,
+					  (const Peer__TableUpdate *)
+						  frame->message);
 		break;
 	default:
 		return;
@@ -247,10 +249,12 @@
 	publish(control);
 }
 
-void table_control_heard(struct table_control *control, const char *peer,
-			 uint64_t revision, uint64_t digest, uint32_t age_ms)
+void table_control_receive_heartbeat(struct table_control *control,
+				     const char *peer, uint64_t revision,
+				     uint64_t digest, uint32_t age_ms)
 {
-	table_sync_heard(&control->sync, peer, revision, digest, age_ms);
+	table_sync_receive_heartbeat(&control->sync, peer, revision, digest,
+				     age_ms);
 	publish(control);
 }
 
--- a/table_sync.c
+++ b/table_sync.c
@@ -68,7 +68,9 @@
 	reader_set_starting(&sync->reader, false);
 	LOG_INFO("table_start_over",
 		 LOG_U64("revision", table_sync_revision(sync)),
-		 LOG_TEXT("state", table_doubt_names[table_sync_doubt(sync)]),
+		 LOG_TEXT("state",
+			  table_confirmation_names[table_sync_confirmation(
+				  sync)]),
 		 LOG_I64("peers_heard", sync->n_heard));
 }
 
