--- a/catalog.c
+++ b/catalog.c
@@ -216,7 +216,7 @@
 
 	HASH_ITER (hh, catalog->servers, server, next) {
 		if (!server->in_table ||
-		    table_server(table, str_from(server->name)) >= 0)
+		    table_find_server(table, str_from(server->name)) >= 0)
 			continue;
 		mark_dirty(catalog, server->service);
 		server->in_table = false;
--- a/entry_net.c
+++ b/entry_net.c
@@ -290,7 +290,7 @@
 					  const char *name)
 {
 	const struct table *table = net->board->table;
-	int row = table ? table_service(table, str_from(name)) : ERR_NO_SERVICE;
+	int row = table ? table_find_service(table, str_from(name)) : ERR_NO_SERVICE;
 
 	return row < 0 ? NULL : &table->services[row];
 }
--- a/home_net.c
+++ b/home_net.c
@@ -786,7 +786,7 @@
 		return;
 	net->has_leftovers = false;
 	HASH_ITER (hh, net->home.servers, server, next) {
-		int row = table_server(table, str_from(server->name));
+		int row = table_find_server(table, str_from(server->name));
 
 		server->seen =
 			row >= 0 && !has_moved(server, &table->servers[row]);
--- a/search.c
+++ b/search.c
@@ -332,7 +332,7 @@
 
 	if (!board->table)
 		return ERR_NOT_RUN;
-	row = table_service(board->table, str_from(search->request.service));
+	row = table_find_service(board->table, str_from(search->request.service));
 	if (row < 0)
 		return error_set(&search->error, ERR_NO_SERVICE, "service",
 				 search->request.service,
--- a/table.c
+++ b/table.c
@@ -10,13 +10,13 @@
 #include "mem.h"
 #include "table_text.h"
 
-/* A name to the row that has it. */
 struct entry {
 	const char *name;
 	int row;
 	UT_hash_handle hh;
 };
 
+/* Hash table from names to row numbers. */
 struct name_index {
 	struct entry *head;
 	struct entry *entries;
@@ -33,39 +33,39 @@
 	{.name = "value", .type = OPTION_STRING, .required = true},
 };
 
-/* Which option stands in which column, from the "columns" line. */
+/* Index in the sheet's option list of each column, from "columns". */
 struct header {
 	int option[TABLE_COLUMNS_MAX];
 	int n;
 };
 
-/* A row of the document: its name, its cells and where it stood. */
-struct source {
+/* Row of the document, with its position there. */
+struct source_row {
 	const char *name;
 	struct json_object *cells;
 	int row;
 };
 
-/* The name is the first member of each kind of row. */
-static const char *name_of(const void *row)
+/* The name is the first member of each row struct. */
+static const char *row_name(const void *row)
 {
 	return *(char *const *)row;
 }
 
-/* How one sheet becomes an array of structs. */
+/* Describes how a sheet is converted to an array of structs. */
 struct sheet {
 	const char *name;
 	const struct option_spec *columns;
 	int n_columns;
 	size_t row_size;
-	/* Filled by read_sheet(), then sorted by sort_sheet(). */
+	/* Set by read_sheet(), then sorted by sort_sheet(). */
 	char *rows;
 	int n_rows;
 	struct header header;
-	struct source *sources;
+	struct source_row *source_rows;
 };
 
-static const struct sheet sheet_kinds[] = {
+static const struct sheet empty_sheets[] = {
 	[TABLE_MARKETS] = {"markets", market_columns, 0, sizeof(struct market)},
 	[TABLE_SERVICES] = {"services", service_columns, 0,
 			    sizeof(struct service)},
@@ -117,8 +117,8 @@
 	return 0;
 }
 
-/* Texts for errors are made on errors only: a large table has 100,000 cells. */
-static int bad_cells(int code, const struct sheet *sheet, int row,
+/* Formats the subject only on errors: a large table has 100,000 cells. */
+static int row_error(int code, const struct sheet *sheet, int row,
 		     const char *expected, struct error *err)
 {
 	char subject[ERROR_SUBJECT_SIZE];
@@ -127,8 +127,8 @@
 	return error_set(err, code, subject, NULL, expected);
 }
 
-static void name_cell(const struct sheet *sheet, int row, const char *column,
-		      struct error *err)
+static void set_error_cell(const struct sheet *sheet, int row,
+			   const char *column, struct error *err)
 {
 	if (err)
 		snprintf(err->subject, sizeof(err->subject),
@@ -142,9 +142,9 @@
 	int i;
 
 	if (!json_object_is_type(cells, json_type_array))
-		return bad_cells(ERR_TYPE, sheet, row, "a list of cells", err);
+		return row_error(ERR_TYPE, sheet, row, "a list of cells", err);
 	if (json_object_array_length(cells) != (size_t)header->n)
-		return bad_cells(ERR_RANGE, sheet, row,
+		return row_error(ERR_RANGE, sheet, row,
 				 "as many cells as columns", err);
 	for (i = 0; i < header->n; i++) {
 		const struct option_spec *option =
@@ -154,7 +154,7 @@
 				    base, "", err);
 
 		if (ret) {
-			name_cell(sheet, row, option->name, err);
+			set_error_cell(sheet, row, option->name, err);
 			return ret;
 		}
 	}
@@ -168,28 +168,28 @@
 	size_t i;
 
 	sheet->rows = mem_zalloc(n * sheet->row_size);
-	sheet->sources = mem_zalloc(n * sizeof(*sheet->sources));
+	sheet->source_rows = mem_zalloc(n * sizeof(*sheet->source_rows));
 	for (i = 0; i < n; i++) {
 		void *base = sheet->rows + i * sheet->row_size;
 		struct json_object *cells = json_object_array_get_idx(rows, i);
 		int ret;
 
 		option_set_defaults(sheet->columns, sheet->n_columns, base);
-		/* Counted first, so that table_finish() frees a failed row. */
+		/* Incremented first, so that table_finish() frees a bad row. */
 		sheet->n_rows++;
 		ret = read_row(sheet, &sheet->header, cells, (int)i, base, err);
 		if (ret)
 			return ret;
-		sheet->sources[i].name = name_of(base);
-		sheet->sources[i].cells = cells;
-		sheet->sources[i].row = (int)i;
+		sheet->source_rows[i].name = row_name(base);
+		sheet->source_rows[i].cells = cells;
+		sheet->source_rows[i].row = (int)i;
 	}
 	return 0;
 }
 
-static int get_lists(const char *name, struct json_object *value,
-		     struct json_object **columns, struct json_object **rows,
-		     struct error *err)
+static int get_columns_and_rows(const char *name, struct json_object *value,
+				struct json_object **columns,
+				struct json_object **rows, struct error *err)
 {
 	if (!json_object_is_type(value, json_type_object) ||
 	    !json_object_object_get_ex(value, "columns", columns) ||
@@ -209,7 +209,7 @@
 	struct json_object *rows;
 	int ret;
 
-	ret = get_lists(sheet->name, value, &columns, &rows, err);
+	ret = get_columns_and_rows(sheet->name, value, &columns, &rows, err);
 	if (!ret)
 		ret = read_header(sheet, columns, &sheet->header, err);
 	if (!ret)
@@ -250,16 +250,16 @@
 	size_t n = json_object_array_length(rows);
 	size_t i;
 
-	sheet->sources = mem_zalloc(n * sizeof(*sheet->sources));
+	sheet->source_rows = mem_zalloc(n * sizeof(*sheet->source_rows));
 	for (i = 0; i < n; i++) {
 		struct json_object *cells = json_object_array_get_idx(rows, i);
 		int option = read_tunable(tunables, cells, (int)i, err);
 
 		if (option < 0)
 			return option;
-		sheet->sources[i].name = tunable_rows[option].name;
-		sheet->sources[i].cells = cells;
-		sheet->sources[i].row = (int)i;
+		sheet->source_rows[i].name = tunable_rows[option].name;
+		sheet->source_rows[i].cells = cells;
+		sheet->source_rows[i].row = (int)i;
 		sheet->n_rows++;
 	}
 	return 0;
@@ -272,7 +272,7 @@
 	struct json_object *rows;
 	int ret;
 
-	ret = get_lists("tunables", value, &columns, &rows, err);
+	ret = get_columns_and_rows("tunables", value, &columns, &rows, err);
 	if (!ret)
 		ret = read_header(sheet, columns, &sheet->header, err);
 	if (!ret && (sheet->header.n != 2 || sheet->header.option[0]))
@@ -283,8 +283,8 @@
 	return ret;
 }
 
-/* The arrays are handed over also on failure, so that they are freed. */
-static void take_rows(struct table *table, const struct sheet *sheets)
+/* Also called on failure, so that table_finish() frees the arrays. */
+static void move_rows(struct table *table, const struct sheet *sheets)
 {
 	table->markets = (struct market *)sheets[TABLE_MARKETS].rows;
 	table->n_markets = sheets[TABLE_MARKETS].n_rows;
@@ -328,41 +328,41 @@
 	return 0;
 }
 
-static int compare_sources(const void *a, const void *b)
+static int compare_source_rows(const void *a, const void *b)
 {
-	const struct source *x = a;
-	const struct source *y = b;
+	const struct source_row *x = a;
+	const struct source_row *y = b;
 	int cmp = strcmp(x->name, y->name);
 
 	return cmp ? cmp : x->row - y->row;
 }
 
-/* After this, sources[i] tells where row i stood in the document. */
+/* Afterwards source_rows[i] is the position of row i in the document. */
 static void sort_sheet(struct sheet *sheet)
 {
 	char *sorted = mem_zalloc((size_t)sheet->n_rows * sheet->row_size);
 	int i;
 
 	if (sheet->n_rows)
-		qsort(sheet->sources, (size_t)sheet->n_rows,
-		      sizeof(*sheet->sources), compare_sources);
+		qsort(sheet->source_rows, (size_t)sheet->n_rows,
+		      sizeof(*sheet->source_rows), compare_source_rows);
 	for (i = 0; i < sheet->n_rows; i++)
 		memcpy(sorted + (size_t)i * sheet->row_size,
-		       sheet->rows +
-			       (size_t)sheet->sources[i].row * sheet->row_size,
+		       sheet->rows + (size_t)sheet->source_rows[i].row *
+					     sheet->row_size,
 		       sheet->row_size);
 	free(sheet->rows);
 	sheet->rows = sorted;
 }
 
-static int bad_row(int code, const struct sheet *sheet, int row,
-		   const char *column, const char *value, const char *expected,
-		   struct error *err)
+static int cell_error(int code, const struct sheet *sheet, int row,
+		      const char *column, const char *value,
+		      const char *expected, struct error *err)
 {
 	char subject[ERROR_SUBJECT_SIZE];
 
-	if (sheet->sources)
-		row = sheet->sources[row].row;
+	if (sheet->source_rows)
+		row = sheet->source_rows[row].row;
 	snprintf(subject, sizeof(subject), "%s row %d column %s", sheet->name,
 		 row + 1, column);
 	return error_set(err, code, subject, value, expected);
@@ -377,13 +377,13 @@
 		mem_zalloc((size_t)sheet->n_rows * sizeof(*index->entries));
 	for (i = 0; i < sheet->n_rows; i++) {
 		const char *name =
-			name_of(sheet->rows + (size_t)i * sheet->row_size);
+			row_name(sheet->rows + (size_t)i * sheet->row_size);
 		struct entry *entry;
 
 		HASH_FIND_STR(index->head, name, entry);
 		if (entry)
-			return bad_row(ERR_DUPLICATE, sheet, i, "name", name,
-				       "a name used once", err);
+			return cell_error(ERR_DUPLICATE, sheet, i, "name", name,
+					  "a name used once", err);
 		entry = &index->entries[i];
 		entry->name = name;
 		entry->row = i;
@@ -413,10 +413,11 @@
 	int i;
 
 	for (i = 1; i < sheet->n_rows; i++) {
-		if (!strcmp(sheet->sources[i - 1].name, sheet->sources[i].name))
-			return bad_row(ERR_DUPLICATE, sheet, i, "name",
-				       sheet->sources[i].name,
-				       "a name used once", err);
+		if (!strcmp(sheet->source_rows[i - 1].name,
+			    sheet->source_rows[i].name))
+			return cell_error(ERR_DUPLICATE, sheet, i, "name",
+					  sheet->source_rows[i].name,
+					  "a name used once", err);
 	}
 	return 0;
 }
@@ -436,7 +437,7 @@
 	return ret;
 }
 
-static int link_services(struct table *table, const struct sheet *sheets,
+static int check_markets(struct table *table, const struct sheet *sheets,
 			 struct error *err)
 {
 	int i;
@@ -446,26 +447,27 @@
 
 		if (index_find(&table->index->markets, market, strlen(market)) <
 		    0)
-			return bad_row(ERR_REFERENCE, &sheets[TABLE_SERVICES],
-				       i, "market", market,
-				       "a name of another sheet", err);
+			return cell_error(ERR_REFERENCE,
+					  &sheets[TABLE_SERVICES], i, "market",
+					  market, "a name of another sheet",
+					  err);
 	}
 	return 0;
 }
 
-static int find_services(struct table *table, const struct sheet *sheets,
-			 int *counts, struct error *err)
+static int find_server_services(struct table *table, const struct sheet *sheets,
+				int *counts, struct error *err)
 {
 	int i;
 
 	for (i = 0; i < table->n_servers; i++) {
 		struct backend_server *server = &table->servers[i];
-		int row = table_service(table, str_from(server->service));
+		int row = table_find_service(table, str_from(server->service));
 
 		if (row < 0)
-			return bad_row(ERR_REFERENCE, &sheets[TABLE_SERVERS], i,
-				       "service", server->service,
-				       "a name of another sheet", err);
+			return cell_error(ERR_REFERENCE, &sheets[TABLE_SERVERS],
+					  i, "service", server->service,
+					  "a name of another sheet", err);
 		server->service_index = row;
 		server->hash = str_hash(str_from(server->name));
 		counts[row]++;
@@ -480,7 +482,7 @@
 	int ret;
 	int i;
 
-	ret = find_services(table, sheets, counts, err);
+	ret = find_server_services(table, sheets, counts, err);
 	for (i = 0; i < table->n_services && !ret; i++)
 		table->services[i].servers =
 			mem_zalloc((size_t)counts[i] * sizeof(int));
@@ -494,21 +496,22 @@
 	return ret;
 }
 
-static int link_sheets(struct table *table, const struct sheet *sheets,
-		       struct error *err)
+static int resolve_references(struct table *table, const struct sheet *sheets,
+			      struct error *err)
 {
 	int ret = build_indexes(table, sheets, err);
 
 	if (!ret)
-		ret = link_services(table, sheets, err);
+		ret = check_markets(table, sheets, err);
 	if (!ret)
 		ret = link_servers(table, sheets, err);
 	return ret;
 }
 
-/* Where each option of the sheet stands in a row: ascending options. */
-static void sort_columns(const struct header *header, struct table_lines *lines,
-			 int *places)
+/* Sorts the columns by option; positions[i] is the old index of column i. */
+static void sort_layout_columns(const struct header *header,
+				struct table_sheet_layout *layout,
+				int *positions)
 {
 	int option;
 	int i;
@@ -517,63 +520,66 @@
 		for (i = 0; i < header->n; i++) {
 			if (header->option[i] != option)
 				continue;
-			places[lines->n_columns] = i;
-			lines->columns[lines->n_columns++] = option;
+			positions[layout->n_columns] = i;
+			layout->columns[layout->n_columns++] = option;
 		}
 	}
 }
 
-static bool is_identity(const int *places, int n)
+static bool is_identity(const int *positions, int n)
 {
 	int i;
 
 	for (i = 0; i < n; i++) {
-		if (places[i] != i)
+		if (positions[i] != i)
 			return false;
 	}
 	return true;
 }
 
-static struct json_object *reorder(struct json_object *cells, const int *places,
-				   int n)
+static struct json_object *reorder_cells(struct json_object *cells,
+					 const int *positions, int n)
 {
 	struct json_object *out;
 	int i;
 
-	if (is_identity(places, n))
+	if (is_identity(positions, n))
 		return json_object_get(cells);
 	out = json_object_new_array();
 	for (i = 0; i < n; i++)
 		json_object_array_add(out,
 				      json_object_get(json_object_array_get_idx(
-					      cells, (size_t)places[i])));
+					      cells, (size_t)positions[i])));
 	return out;
 }
 
-static void write_sheet(struct table_text *text, struct table_lines *lines,
+static void write_sheet(struct table_text *text,
+			struct table_sheet_layout *layout,
 			const struct sheet *sheet, enum table_sheet kind)
 {
-	int places[TABLE_COLUMNS_MAX] = {0};
+	int positions[TABLE_COLUMNS_MAX] = {0};
 	int i;
 
-	sort_columns(&sheet->header, lines, places);
-	table_text_begin(text, kind, sheet->columns, lines, sheet->n_rows);
+	sort_layout_columns(&sheet->header, layout, positions);
+	table_text_begin_sheet(text, kind, sheet->columns, layout,
+			       sheet->n_rows);
 	for (i = 0; i < sheet->n_rows; i++) {
-		struct json_object *cells = reorder(sheet->sources[i].cells,
-						    places, lines->n_columns);
+		struct json_object *cells =
+			reorder_cells(sheet->source_rows[i].cells, positions,
+				      layout->n_columns);
 		size_t len;
 		const char *data = json_object_to_json_string_length(
 			cells,
 			JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE,
 			&len);
 
-		table_text_row(text, lines, (struct str){data, len});
+		table_text_add_row(text, layout, (struct str){data, len});
 		json_object_put(cells);
 	}
-	table_text_end(text, kind);
+	table_text_end_sheet(text, kind);
 }
 
-static void take_text(struct table *table, struct table_text *text)
+static void move_text(struct table *table, struct table_text *text)
 {
 	table->text = mem_realloc(text->data, text->len + 1);
 	table->len = text->len;
@@ -587,18 +593,18 @@
 
 	for (i = 0; i < TABLE_SHEETS; i++)
 		write_sheet(&text, &table->sheets[i], &sheets[i], i);
-	take_text(table, &text);
+	move_text(table, &text);
 }
 
-static void take_set_tunables(struct table *table, const struct sheet *sheet)
+static void set_tunable_ids(struct table *table, const struct sheet *sheet)
 {
 	int i;
 
-	table->set_tunables = mem_zalloc((size_t)sheet->n_rows * sizeof(int));
+	table->tunable_ids = mem_zalloc((size_t)sheet->n_rows * sizeof(int));
 	for (i = 0; i < sheet->n_rows; i++)
-		table->set_tunables[i] =
+		table->tunable_ids[i] =
 			option_find(tunable_rows, n_tunable_rows,
-				    sheet->sources[i].name);
+				    sheet->source_rows[i].name);
 }
 
 static int read_document(struct table *table, struct sheet *sheets,
@@ -612,27 +618,28 @@
 		ret = read_sheets(table, sheets, root, err);
 	for (i = 0; i < TABLE_TUNABLES && !ret; i++)
 		sort_sheet(&sheets[i]);
-	take_rows(table, sheets);
+	move_rows(table, sheets);
 	if (ret)
 		return ret;
 	if (sheets[TABLE_TUNABLES].n_rows)
-		qsort(sheets[TABLE_TUNABLES].sources,
+		qsort(sheets[TABLE_TUNABLES].source_rows,
 		      (size_t)sheets[TABLE_TUNABLES].n_rows,
-		      sizeof(struct source), compare_sources);
+		      sizeof(struct source_row), compare_source_rows);
 	ret = check_tunable_names(&sheets[TABLE_TUNABLES], err);
 	if (!ret)
-		ret = link_sheets(table, sheets, err);
+		ret = resolve_references(table, sheets, err);
 	if (ret)
 		return ret;
-	take_set_tunables(table, &sheets[TABLE_TUNABLES]);
+	set_tunable_ids(table, &sheets[TABLE_TUNABLES]);
 	write_sheets(table, sheets);
 	return 0;
 }
 
-static void start(struct table *table, struct sheet *sheets, uint64_t revision)
+static void init_empty(struct table *table, struct sheet *sheets,
+		       uint64_t revision)
 {
 	memset(table, 0, sizeof(*table));
-	memcpy(sheets, sheet_kinds, sizeof(sheet_kinds));
+	memcpy(sheets, empty_sheets, sizeof(empty_sheets));
 	sheets[TABLE_MARKETS].n_columns = n_market_columns;
 	sheets[TABLE_SERVICES].n_columns = n_service_columns;
 	sheets[TABLE_SERVERS].n_columns = n_server_columns;
@@ -655,17 +662,17 @@
 	ret = option_parse_document(text, len, &root, err);
 	if (ret)
 		return ret;
-	start(table, sheets, revision);
+	init_empty(table, sheets, revision);
 	ret = read_document(table, sheets, root, err);
 	for (i = 0; i < TABLE_SHEETS; i++)
-		free(sheets[i].sources);
+		free(sheets[i].source_rows);
 	json_object_put(root);
 	if (ret)
 		table_finish(table);
 	return ret;
 }
 
-/* Rows of an old table and changes, both sorted by name, as one sequence. */
+/* Merges the rows of an old table with changes, both sorted by name. */
 struct merge {
 	const struct table *old;
 	enum table_sheet sheet;
@@ -675,13 +682,13 @@
 	int change;
 };
 
-struct merged {
-	int old_row;			   /* -1: the row is new */
-	const struct table_change *change; /* NULL: the row stays */
+struct merge_step {
+	int old_row;			   /* -1 if the row is new */
+	const struct table_change *change; /* NULL if the row is unchanged */
 };
 
-static struct merge merge_start(const struct table *old, enum table_sheet sheet,
-				const struct table_change *changes, int n)
+static struct merge merge_init(const struct table *old, enum table_sheet sheet,
+			       const struct table_change *changes, int n)
 {
 	struct merge merge = {.old = old, .sheet = sheet};
 	int i = 0;
@@ -695,9 +702,9 @@
 	return merge;
 }
 
-static bool merge_next(struct merge *merge, struct merged *out)
+static bool merge_next(struct merge *merge, struct merge_step *out)
 {
-	bool more = merge->row < merge->old->sheets[merge->sheet].n;
+	bool more = merge->row < merge->old->sheets[merge->sheet].n_rows;
 	int cmp;
 
 	out->old_row = -1;
@@ -733,51 +740,54 @@
 }
 
 static int read_changed_row(const struct sheet *sheet,
-			    const struct table_lines *lines,
+			    const struct table_sheet_layout *layout,
 			    const struct table_change *change, int row,
 			    void *base, struct error *err)
 {
 	struct json_object *cells = json_tokener_parse(change->cells);
-	struct header header = {.n = lines->n_columns};
+	struct header header = {.n = layout->n_columns};
 	int ret;
 
-	memcpy(header.option, lines->columns, sizeof(header.option));
+	memcpy(header.option, layout->columns, sizeof(header.option));
 	option_set_defaults(sheet->columns, sheet->n_columns, base);
 	ret = read_row(sheet, &header, cells, row, base, err);
-	if (!ret && strcmp(name_of(base), change->name))
+	if (!ret && strcmp(row_name(base), change->name))
 		ret = error_set(err, ERR_SYNTAX, sheet->name, change->name,
-				"the name that the cells hold");
+				"the name in the cells");
 	json_object_put(cells);
 	return ret;
 }
 
-/* The number of rows that a merged sheet has at most. */
-static int merge_max(const struct merge *merge)
+/* Upper bound of the number of rows in the merged sheet. */
+static int merge_rows_max(const struct merge *merge)
 {
-	return merge->old->sheets[merge->sheet].n + merge->n_changes;
+	return merge->old->sheets[merge->sheet].n_rows + merge->n_changes;
 }
 
-static void begin_merged(struct table *table, const struct merge *merge,
-			 const struct sheet *sheet, struct table_text *text)
+static void begin_merged_sheet(struct table *table, const struct merge *merge,
+			       const struct sheet *sheet,
+			       struct table_text *text)
 {
-	const struct table_lines *from = &merge->old->sheets[merge->sheet];
-	struct table_lines *lines = &table->sheets[merge->sheet];
+	const struct table_sheet_layout *from =
+		&merge->old->sheets[merge->sheet];
+	struct table_sheet_layout *layout = &table->sheets[merge->sheet];
 
-	lines->n_columns = from->n_columns;
-	memcpy(lines->columns, from->columns, sizeof(lines->columns));
-	table_text_begin(text, merge->sheet, sheet->columns, lines,
-			 merge_max(merge));
+	layout->n_columns = from->n_columns;
+	memcpy(layout->columns, from->columns, sizeof(layout->columns));
+	table_text_begin_sheet(text, merge->sheet, sheet->columns, layout,
+			       merge_rows_max(merge));
 }
 
 static int merge_sheet(struct table *table, struct merge *merge,
 		       struct sheet *sheet, const void *old_rows,
 		       struct table_text *text, struct error *err)
 {
-	struct table_lines *lines = &table->sheets[merge->sheet];
-	struct merged next;
+	struct table_sheet_layout *layout = &table->sheets[merge->sheet];
+	struct merge_step next;
 
-	begin_merged(table, merge, sheet, text);
-	sheet->rows = mem_zalloc((size_t)merge_max(merge) * sheet->row_size);
+	begin_merged_sheet(table, merge, sheet, text);
+	sheet->rows =
+		mem_zalloc((size_t)merge_rows_max(merge) * sheet->row_size);
 	while (merge_next(merge, &next)) {
 		char *base =
 			sheet->rows + (size_t)sheet->n_rows * sheet->row_size;
@@ -789,21 +799,22 @@
 					 (size_t)next.old_row *
 						 sheet->row_size);
 			sheet->n_rows++;
-			table_text_row(text, lines,
-				       table_row_cells(merge->old, merge->sheet,
-						       next.old_row));
+			table_text_add_row(text, layout,
+					   table_row_cells(merge->old,
+							   merge->sheet,
+							   next.old_row));
 			continue;
 		}
 		if (!next.change->cells)
 			continue;
 		sheet->n_rows++;
-		ret = read_changed_row(sheet, lines, next.change,
+		ret = read_changed_row(sheet, layout, next.change,
 				       sheet->n_rows - 1, base, err);
 		if (ret)
 			return ret;
-		table_text_row(text, lines, str_from(next.change->cells));
+		table_text_add_row(text, layout, str_from(next.change->cells));
 	}
-	table_text_end(text, merge->sheet);
+	table_text_end_sheet(text, merge->sheet);
 	return 0;
 }
 
@@ -816,7 +827,7 @@
 	json_object_put(value);
 	if (option < 0)
 		return option;
-	table->set_tunables[row] = option;
+	table->tunable_ids[row] = option;
 	return 0;
 }
 
@@ -824,12 +835,12 @@
 			  const struct sheet *sheet, struct table_text *text,
 			  struct error *err)
 {
-	struct table_lines *lines = &table->sheets[merge->sheet];
-	struct merged next;
+	struct table_sheet_layout *layout = &table->sheets[merge->sheet];
+	struct merge_step next;
 
-	begin_merged(table, merge, sheet, text);
-	table->set_tunables =
-		mem_zalloc((size_t)merge_max(merge) * sizeof(int));
+	begin_merged_sheet(table, merge, sheet, text);
+	table->tunable_ids =
+		mem_zalloc((size_t)merge_rows_max(merge) * sizeof(int));
 	while (merge_next(merge, &next)) {
 		struct str cells;
 		char *copy;
@@ -841,17 +852,17 @@
 				    : table_row_cells(merge->old, merge->sheet,
 						      next.old_row);
 		copy = mem_dup_len(cells.data, cells.len);
-		ret = set_tunable(table, str_from(copy), lines->n, err);
+		ret = set_tunable(table, str_from(copy), layout->n_rows, err);
 		free(copy);
 		if (ret)
 			return ret;
-		table_text_row(text, lines, cells);
+		table_text_add_row(text, layout, cells);
 	}
-	table_text_end(text, merge->sheet);
+	table_text_end_sheet(text, merge->sheet);
 	return 0;
 }
 
-static const void *rows_of(const struct table *table, enum table_sheet sheet)
+static const void *sheet_rows(const struct table *table, enum table_sheet sheet)
 {
 	switch (sheet) {
 	case TABLE_MARKETS:
@@ -865,8 +876,8 @@
 	}
 }
 
-/* The lists of the old rows are not theirs to share. */
-static void forget_links(struct sheet *sheet)
+/* The copied rows still point to lists that the old table owns. */
+static void clear_server_lists(struct sheet *sheet)
 {
 	struct service *services = (struct service *)sheet->rows;
 	int i;
@@ -887,33 +898,33 @@
 	int i;
 
 	for (i = 0; i < TABLE_TUNABLES && !ret; i++) {
-		merge = merge_start(old, i, changes, n);
-		ret = merge_sheet(table, &merge, &sheets[i], rows_of(old, i),
+		merge = merge_init(old, i, changes, n);
+		ret = merge_sheet(table, &merge, &sheets[i], sheet_rows(old, i),
 				  text, err);
 	}
-	forget_links(&sheets[TABLE_SERVICES]);
-	take_rows(table, sheets);
+	clear_server_lists(&sheets[TABLE_SERVICES]);
+	move_rows(table, sheets);
 	if (ret)
 		return ret;
-	merge = merge_start(old, TABLE_TUNABLES, changes, n);
+	merge = merge_init(old, TABLE_TUNABLES, changes, n);
 	ret = merge_tunables(table, &merge, &sheets[TABLE_TUNABLES], text, err);
 	if (!ret)
-		ret = link_sheets(table, sheets, err);
+		ret = resolve_references(table, sheets, err);
 	return ret;
 }
 
-int table_init_changed(struct table *table, const struct table *old,
-		       const struct table_change *changes, int n,
-		       uint64_t revision, struct error *err)
+int table_init_from_changes(struct table *table, const struct table *old,
+			    const struct table_change *changes, int n,
+			    uint64_t revision, struct error *err)
 {
 	struct table_text text = {.cap = old->len, .data = NULL};
 	struct sheet sheets[TABLE_SHEETS];
 	int ret;
 
-	start(table, sheets, revision);
+	init_empty(table, sheets, revision);
 	text.data = mem_zalloc(text.cap);
 	ret = merge_sheets(table, old, sheets, changes, n, &text, err);
-	take_text(table, &text);
+	move_text(table, &text);
 	if (ret)
 		table_finish(table);
 	return ret;
@@ -951,8 +962,8 @@
 	}
 	free_rows(table);
 	for (i = 0; i < TABLE_SHEETS; i++)
-		free(table->sheets[i].lines);
-	free(table->set_tunables);
+		free(table->sheets[i].rows);
+	free(table->tunable_ids);
 	free(table->text);
 	memset(table, 0, sizeof(*table));
 }
@@ -968,26 +979,26 @@
 	case TABLE_SERVERS:
 		return table->servers[row].name;
 	default:
-		return tunable_rows[table->set_tunables[row]].name;
+		return tunable_rows[table->tunable_ids[row]].name;
 	}
 }
 
 struct str table_row_cells(const struct table *table, enum table_sheet sheet,
 			   int row)
 {
-	const struct table_line *line = &table->sheets[sheet].lines[row];
+	const struct table_row_span *span = &table->sheets[sheet].rows[row];
 
-	return (struct str){table->text + line->at, line->len};
+	return (struct str){table->text + span->offset, span->len};
 }
 
-int table_service(const struct table *table, struct str name)
+int table_find_service(const struct table *table, struct str name)
 {
 	int row = index_find(&table->index->services, name.data, name.len);
 
 	return row < 0 ? ERR_NO_SERVICE : row;
 }
 
-int table_server(const struct table *table, struct str name)
+int table_find_server(const struct table *table, struct str name)
 {
 	return index_find(&table->index->servers, name.data, name.len);
 }
--- a/table.h
+++ b/table.h
@@ -1,6 +1,7 @@
 /*
- * The operators' table: sheets of markets, services, backend servers and
- * tunables, read from JSON with comments and checked as a whole.
+ * The operators' configuration table: sheets of markets, services, backend
+ * servers and tunables, parsed from JSON with comments and validated as a
+ * whole.
  */
 #ifndef TABLE_H
 #define TABLE_H
@@ -13,8 +14,8 @@
 #include "str.h"
 
 enum service_mode {
-	SERVICE_LATENCY,  /* answer early with what there is */
-	SERVICE_COVERAGE, /* use the whole deadline for missing shards */
+	SERVICE_LATENCY,  /* return partial results early */
+	SERVICE_COVERAGE, /* wait for missing shards until the deadline */
 };
 
 enum table_switch {
@@ -24,16 +25,16 @@
 
 enum search_policy {
 	SEARCH_ADAPTIVE,
-	SEARCH_PLAIN, /* the baseline of experiments */
+	SEARCH_PLAIN, /* baseline for experiments */
 };
 
 enum server_state {
 	SERVER_ON,
-	SERVER_LEAVING, /* no new work */
+	SERVER_LEAVING, /* gets no new requests */
 };
 
 /**
- * struct market - a row of the sheet "markets"
+ * struct market - row of the sheet "markets"
  */
 struct market {
 	char *name;
@@ -41,9 +42,9 @@
 };
 
 /**
- * struct service - a row of the sheet "services"
+ * struct service - row of the sheet "services"
  *
- * Columns, units and bounds: garnetreach-table(5).
+ * garnetreach-table(5) describes the columns, their units and bounds.
  */
 struct service {
 	char *name;
@@ -58,13 +59,13 @@
 	int64_t slo_latency_ms;
 	double slo_latency_ratio;
 	double slo_coverage_ratio;
-	/* Set by table_init(): rows of the sheet "servers". */
+	/* Set by table_init(): indexes into table.servers. */
 	int *servers;
 	int n_servers;
 };
 
 /**
- * struct backend_server - a row of the sheet "servers"
+ * struct backend_server - row of the sheet "servers"
  */
 struct backend_server {
 	char *name;
@@ -77,12 +78,12 @@
 	int64_t weight;
 	int state;
 	/* Set by table_init(). */
-	int service_index;
-	uint64_t hash; /* of the name */
+	int service_index; /* into table.services */
+	uint64_t hash;	   /* of the name */
 };
 
 /**
- * struct tunables - the sheet "tunables": one value a row
+ * struct tunables - sheet "tunables", which has one value per row
  */
 struct tunables {
 	int64_t lease_ms;
@@ -155,24 +156,27 @@
 #define TABLE_COLUMNS_MAX 32
 
 /**
- * struct table_lines - where the rows of a sheet stand in the canonical text
- * @columns: options the sheet's columns hold, ascending
- * @lines: the cells of each row, as a JSON list
+ * struct table_sheet_layout - columns and rows of a sheet in the canonical text
+ * @columns: index of each column in the sheet's option list, ascending
+ * @n_columns: number of @columns
+ * @rows: offset and length of each row, a JSON list of cells; owned
+ * @n_rows: number of @rows
  */
-struct table_lines {
+struct table_sheet_layout {
 	int columns[TABLE_COLUMNS_MAX];
 	int n_columns;
-	struct table_line {
-		uint32_t at;
+	struct table_row_span {
+		uint32_t offset;
 		uint32_t len;
-	} * lines;
-	int n;
+	} * rows;
+	int n_rows;
 };
 
 /**
- * struct table_change - a row that was set or deleted
- * @name: of the row, owned
- * @cells: JSON list in the order of the sheet's columns, owned; NULL: deleted
+ * struct table_change - row that was set or deleted
+ * @sheet: sheet of the row
+ * @name: name of the row, owned
+ * @cells: JSON list in the order of the sheet's columns, owned; NULL if deleted
  */
 struct table_change {
 	enum table_sheet sheet;
@@ -183,23 +187,26 @@
 struct table_index;
 
 /**
- * struct table - a checked table
- * @revision: the platform's, set by the caller of table_init()
- * @digest: of @text
- * @text: the canonical text, see table_text.h, owned
- * @sheets: its rows; in each sheet the order of the arrays below
- * @set_tunables: rows of the sheet "tunables", as indexes into tunable_rows
- * @index: names to rows
+ * struct table - validated table
+ * @revision: revision on the platform, set by the caller of table_init()
+ * @digest: hash of @text
+ * @text: canonical text, see table_text.h; owned
+ * @len: length of @text
+ * @sheets: position of the rows in @text, in the order of the arrays below
+ * @tunable_ids: rows of the sheet "tunables", as indexes into tunable_rows
+ * @markets: rows of the sheet "markets", as @services and @servers of theirs
+ * @tunables: defaults, overridden by the sheet "tunables"
+ * @index: maps names to rows
  *
- * The rows of each array are sorted by name.
+ * Each array is sorted by name. All memory is owned by the table.
  */
 struct table {
 	uint64_t revision;
 	uint64_t digest;
 	char *text;
 	size_t len;
-	struct table_lines sheets[TABLE_SHEETS];
-	int *set_tunables;
+	struct table_sheet_layout sheets[TABLE_SHEETS];
+	int *tunable_ids;
 	struct market *markets;
 	int n_markets;
 	struct service *services;
@@ -221,10 +228,12 @@
 extern const int n_tunable_rows;
 
 /**
- * table_init() - read and check a whole table
+ * table_init() - parse and validate a table
+ * @table: initialized on success; release with table_finish()
  * @text: JSON with comments; copied
- * @revision: the platform's revision of it
- * @err: names sheet, row and column, and what was expected
+ * @len: length of @text
+ * @revision: revision of @text on the platform
+ * @err: set to the sheet, row and column, and to what was expected there
  *
  * Return: 0; or ERR_SYNTAX, ERR_KEY_UNKNOWN, ERR_KEY_MISSING, ERR_TYPE,
  * ERR_RANGE, ERR_ADDRESS, ERR_DUPLICATE, ERR_REFERENCE with @table finished.
@@ -233,47 +242,62 @@
 	       uint64_t revision, struct error *err);
 
 /**
- * table_init_changed() - a table that differs from another in some rows
- * @table: filled
- * @old: the other table
- * @changes: sorted by sheet and name, each row once
- * @revision: the platform's revision of the new table
- * @err: as of table_init()
+ * table_init_from_changes() - create a table by changing rows of another one
+ * @table: initialized on success; release with table_finish()
+ * @old: table to start from
+ * @changes: sorted by sheet and name, each row at most once
+ * @n: number of @changes
+ * @revision: revision of the new table on the platform
+ * @err: set as by table_init()
  *
- * Costs a copy of the rows rather than a parse of the whole text. The deletion
- * of a row that is not there changes nothing.
+ * Copies the unchanged rows instead of parsing the whole text again. Deleting
+ * a row that does not exist has no effect.
  *
- * Return: as table_init().
+ * Return: see table_init().
  */
-int table_init_changed(struct table *table, const struct table *old,
-		       const struct table_change *changes, int n,
-		       uint64_t revision, struct error *err);
+int table_init_from_changes(struct table *table, const struct table *old,
+			    const struct table_change *changes, int n,
+			    uint64_t revision, struct error *err);
 void table_finish(struct table *table);
 
 /**
- * table_row_name() - name of a row, or of the tunable it sets
+ * table_row_name() - return the name of a row, or of the tunable that it sets
+ * @table: validated table
+ * @sheet: sheet of the row
+ * @row: index of the row
+ *
+ * Return: the name, borrowed from @table.
  */
 const char *table_row_name(const struct table *table, enum table_sheet sheet,
 			   int row);
 
 /**
- * table_row_cells() - cells of a row as a JSON list
+ * table_row_cells() - return the cells of a row as a JSON list
+ * @table: validated table
+ * @sheet: sheet of the row
+ * @row: index of the row
+ *
+ * Return: the cells, borrowed from @table.
  */
 struct str table_row_cells(const struct table *table, enum table_sheet sheet,
 			   int row);
 
 /**
- * table_service() - row of a service by name
+ * table_find_service() - find a service by name
+ * @table: validated table
+ * @name: name to find
  *
  * Return: index into @table->services, or ERR_NO_SERVICE.
  */
-int table_service(const struct table *table, struct str name);
+int table_find_service(const struct table *table, struct str name);
 
 /**
- * table_server() - row of a backend server by name
+ * table_find_server() - find a backend server by name
+ * @table: validated table
+ * @name: name to find
  *
  * Return: index into @table->servers, or ERR_REFERENCE.
  */
-int table_server(const struct table *table, struct str name);
+int table_find_server(const struct table *table, struct str name);
 
 #endif
--- a/table_delta.c
+++ b/table_delta.c
@@ -5,8 +5,9 @@
 
 #include "mem.h"
 
-static void add(struct table_delta *delta, int *cap, enum table_sheet sheet,
-		const char *name, struct str cells)
+static void add_change(struct table_delta *delta, int *cap,
+		       enum table_sheet sheet, const char *name,
+		       struct str cells)
 {
 	struct table_change *change;
 
@@ -20,8 +21,8 @@
 	delta->bytes += strlen(name) + cells.len;
 }
 
-static bool same_columns(const struct table_lines *a,
-			 const struct table_lines *b)
+static bool same_columns(const struct table_sheet_layout *a,
+			 const struct table_sheet_layout *b)
 {
 	return a->n_columns == b->n_columns &&
 	       !memcmp(a->columns, b->columns,
@@ -31,9 +32,9 @@
 static int compare_rows(const struct table *from, int i, const struct table *to,
 			int k, enum table_sheet sheet)
 {
-	if (i == from->sheets[sheet].n)
+	if (i == from->sheets[sheet].n_rows)
 		return 1;
-	if (k == to->sheets[sheet].n)
+	if (k == to->sheets[sheet].n_rows)
 		return -1;
 	return strcmp(table_row_name(from, sheet, i),
 		      table_row_name(to, sheet, k));
@@ -47,16 +48,17 @@
 	int i = 0;
 	int k = 0;
 
-	while (i < from->sheets[sheet].n || k < to->sheets[sheet].n) {
+	while (i < from->sheets[sheet].n_rows || k < to->sheets[sheet].n_rows) {
 		int cmp = compare_rows(from, i, to, k, sheet);
 
 		if (cmp < 0)
-			add(delta, cap, sheet, table_row_name(from, sheet, i),
-			    deleted);
+			add_change(delta, cap, sheet,
+				   table_row_name(from, sheet, i), deleted);
 		else if (cmp > 0 || !str_eq(table_row_cells(from, sheet, i),
 					    table_row_cells(to, sheet, k)))
-			add(delta, cap, sheet, table_row_name(to, sheet, k),
-			    table_row_cells(to, sheet, k));
+			add_change(delta, cap, sheet,
+				   table_row_name(to, sheet, k),
+				   table_row_cells(to, sheet, k));
 		if (cmp <= 0)
 			i++;
 		if (cmp >= 0)
@@ -103,7 +105,7 @@
 
 	if (change->cells)
 		cells = str_from(change->cells);
-	add(delta, cap, change->sheet, change->name, cells);
+	add_change(delta, cap, change->sheet, change->name, cells);
 }
 
 int table_delta_join(struct table_delta *out, const struct table_delta *first,
@@ -149,13 +151,13 @@
 	if (delta->base_revision != from->revision ||
 	    delta->base_digest != from->digest)
 		return ERR_VERSION;
-	ret = table_init_changed(table, from, delta->changes, delta->n,
-				 delta->revision, err);
+	ret = table_init_from_changes(table, from, delta->changes, delta->n,
+				      delta->revision, err);
 	if (ret || table->digest == delta->digest)
 		return ret;
 	table_finish(table);
 	return error_set(err, ERR_PROTOCOL, "table update", NULL,
-			 "the digest announced");
+			 "the announced digest");
 }
 
 static int find_sheet(const char *name)
@@ -203,7 +205,7 @@
 		}
 		if (*row->cells)
 			cells = str_from(row->cells);
-		add(delta, &cap, sheet, row->name, cells);
+		add_change(delta, &cap, sheet, row->name, cells);
 	}
 	if (is_sorted(delta))
 		return 0;
--- a/table_text.c
+++ b/table_text.c
@@ -11,7 +11,7 @@
 	[TABLE_TUNABLES] = "tunables",
 };
 
-static void put(struct table_text *text, struct str s)
+static void append(struct table_text *text, struct str s)
 {
 	if (text->len + s.len + 1 > text->cap) {
 		text->cap = 2 * (text->len + s.len + 1);
@@ -22,45 +22,45 @@
 	text->data[text->len] = '\0';
 }
 
-static void put_name(struct table_text *text, const char *name)
+static void append_quoted(struct table_text *text, const char *name)
 {
-	put(text, STR("\""));
-	put(text, str_from(name));
-	put(text, STR("\""));
+	append(text, STR("\""));
+	append(text, str_from(name));
+	append(text, STR("\""));
 }
 
-void table_text_begin(struct table_text *text, enum table_sheet sheet,
-		      const struct option_spec *columns,
-		      struct table_lines *lines, int n_rows)
+void table_text_begin_sheet(struct table_text *text, enum table_sheet sheet,
+			    const struct option_spec *columns,
+			    struct table_sheet_layout *layout, int n_rows)
 {
 	int i;
 
-	put(text, sheet ? STR(",\n") : STR("{"));
-	put_name(text, table_sheet_names[sheet]);
-	put(text, STR(":{\"columns\":["));
-	for (i = 0; i < lines->n_columns; i++) {
+	append(text, sheet ? STR(",\n") : STR("{"));
+	append_quoted(text, table_sheet_names[sheet]);
+	append(text, STR(":{\"columns\":["));
+	for (i = 0; i < layout->n_columns; i++) {
 		if (i)
-			put(text, STR(","));
-		put_name(text, columns[lines->columns[i]].name);
+			append(text, STR(","));
+		append_quoted(text, columns[layout->columns[i]].name);
 	}
-	put(text, STR("],\"rows\":["));
-	lines->lines = mem_zalloc((size_t)n_rows * sizeof(*lines->lines));
-	lines->n = 0;
+	append(text, STR("],\"rows\":["));
+	layout->rows = mem_zalloc((size_t)n_rows * sizeof(*layout->rows));
+	layout->n_rows = 0;
 }
 
-void table_text_row(struct table_text *text, struct table_lines *lines,
-		    struct str cells)
+void table_text_add_row(struct table_text *text,
+			struct table_sheet_layout *layout, struct str cells)
 {
-	put(text, lines->n ? STR(",\n") : STR("\n"));
-	lines->lines[lines->n].at = (uint32_t)text->len;
-	lines->lines[lines->n].len = (uint32_t)cells.len;
-	lines->n++;
-	put(text, cells);
+	append(text, layout->n_rows ? STR(",\n") : STR("\n"));
+	layout->rows[layout->n_rows].offset = (uint32_t)text->len;
+	layout->rows[layout->n_rows].len = (uint32_t)cells.len;
+	layout->n_rows++;
+	append(text, cells);
 }
 
-void table_text_end(struct table_text *text, enum table_sheet sheet)
+void table_text_end_sheet(struct table_text *text, enum table_sheet sheet)
 {
-	put(text, STR("\n]}"));
+	append(text, STR("\n]}"));
 	if (sheet == TABLE_SHEETS - 1)
-		put(text, STR("}\n"));
+		append(text, STR("}\n"));
 }
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -4,7 +4,7 @@
 #include "table.h"
 #include "unit.h"
 
-static const char good[] =
+static const char valid_text[] =
 	"// a comment\n"
 	"{\"markets\":{\"columns\":[\"name\"],\"rows\":[[\"be\"]]},\n"
 	" \"services\":{\"columns\":[\"name\",\"market\",\"mode\"],\n"
@@ -21,37 +21,37 @@
 	return table_init(table, text, strlen(text), 7, err);
 }
 
-/* The good table with one piece replaced. */
+/* Loads the valid table with one piece of text replaced. */
 static int load_with(const char *from, const char *to, struct error *err)
 {
 	char text[2048];
-	const char *at = strstr(good, from);
+	const char *at = strstr(valid_text, from);
 	struct table table;
 	int ret;
 
-	snprintf(text, sizeof(text), "%.*s%s%s", (int)(at - good), good, to,
-		 at + strlen(from));
+	snprintf(text, sizeof(text), "%.*s%s%s", (int)(at - valid_text),
+		 valid_text, to, at + strlen(from));
 	ret = load(&table, text, err);
 	if (!ret)
 		table_finish(&table);
 	return ret;
 }
 
-static void test_good(void)
+static void test_valid(void)
 {
 	struct table table;
 	struct error err;
 
-	CU_ASSERT_EQUAL_FATAL(load(&table, good, &err), 0);
+	CU_ASSERT_EQUAL_FATAL(load(&table, valid_text, &err), 0);
 	CU_ASSERT_EQUAL(table.n_servers, 2);
 	CU_ASSERT_EQUAL(table.servers[1].slots, 3);
 	CU_ASSERT_EQUAL(table.servers[1].connections, 25);
 	CU_ASSERT_EQUAL(table.services[0].n_servers, 2);
 	CU_ASSERT_EQUAL(table.services[0].mode, SERVICE_COVERAGE);
 	CU_ASSERT_EQUAL(table.tunables.lease_ms, 700);
-	CU_ASSERT_EQUAL(table_service(&table, STR("desk")), 0);
-	CU_ASSERT_EQUAL(table_server(&table, STR("b2")), 1);
-	CU_ASSERT_EQUAL(table_server(&table, STR("b3")), ERR_REFERENCE);
+	CU_ASSERT_EQUAL(table_find_service(&table, STR("desk")), 0);
+	CU_ASSERT_EQUAL(table_find_server(&table, STR("b2")), 1);
+	CU_ASSERT_EQUAL(table_find_server(&table, STR("b3")), ERR_REFERENCE);
 	table_finish(&table);
 }
 
@@ -65,10 +65,10 @@
 }
 
 /*
- * An operator mistypes one cell. The whole table is refused and the message
- * names the sheet, the row and the column, so that the cell is found at once.
+ * An operator mistypes one cell. The whole table must be refused, with a
+ * message that names the sheet, row and column.
  */
-static void test_bad_cells(void)
+static void test_invalid_cells(void)
 {
 	check("9001\",3", "9001\",0", ERR_RANGE, "servers row 2 column slots");
 	check("9001\",3", "9001\",\"x\"", ERR_TYPE,
@@ -136,9 +136,9 @@
 }
 
 static const struct unit_test tests[] = {
-	{"good table", test_good},
-	{"bad cells", test_bad_cells},
-	{"syntax error line", test_syntax_line},
+	{"valid table", test_valid},
+	{"invalid cells", test_invalid_cells},
+	{"line of a syntax error", test_syntax_line},
 	{"settings", test_settings},
 };
 
--- a/tests/test_table_delta.c
+++ b/tests/test_table_delta.c
@@ -8,7 +8,7 @@
 #define ROWS 40
 #define STEPS 200
 
-static struct table make(const struct sheets *sheets, uint64_t revision)
+static struct table make_table(const struct sheets *sheets, uint64_t revision)
 {
 	struct error err = {0};
 	struct table table;
@@ -41,7 +41,8 @@
 		CU_ASSERT_EQUAL(a->servers[i].slots, b->servers[i].slots);
 		CU_ASSERT_EQUAL(a->servers[i].service_index,
 				b->servers[i].service_index);
-		CU_ASSERT_EQUAL(table_server(a, str_from(b->servers[i].name)),
+		CU_ASSERT_EQUAL(table_find_server(a,
+						  str_from(b->servers[i].name)),
 				i);
 	}
 	for (i = 0; i < a->n_services; i++)
@@ -50,9 +51,9 @@
 }
 
 /*
- * Two readers get the same sheet from an editor that saves its rows, columns
- * and comments in another order. Their tables must have one digest: else the
- * fleet would report a conflict for a table that is the same.
+ * Two readers get the same sheet with its rows, columns and comments in a
+ * different order. Their tables must have the same digest; otherwise the fleet
+ * reports a conflict between equal tables.
  */
 static void test_canonical(void)
 {
@@ -62,16 +63,16 @@
 	struct table again;
 
 	sheets_init(&sheets, ROWS);
-	one = make(&sheets, 3);
+	one = make_table(&sheets, 3);
 	sheets.reversed = true;
 	sheets.swapped = true;
-	two = make(&sheets, 3);
+	two = make_table(&sheets, 3);
 	check_same(&one, &two);
 	CU_ASSERT_EQUAL(table_init(&again, one.text, one.len, 3, NULL), 0);
 	check_same(&one, &again);
 	sheets.slots[7]++;
 	table_finish(&two);
-	two = make(&sheets, 3);
+	two = make_table(&sheets, 3);
 	CU_ASSERT_NOT_EQUAL(one.digest, two.digest);
 	table_finish(&one);
 	table_finish(&two);
@@ -90,7 +91,7 @@
 		sheets->lease_ms = rand() % 2 ? 200 + rand() % 9 : 0;
 }
 
-/* Sends a delta through the message that carries it. */
+/* Applies a delta after packing and unpacking its message. */
 static int deliver(const struct table_delta *delta, struct table *to,
 		   const struct table *from)
 {
@@ -116,10 +117,10 @@
 }
 
 /*
- * Rows are set, added, deleted and added again at random. A table that was
- * made by deltas, and by two deltas joined, is the one read as a whole.
+ * Rows are set, added, deleted and added again at random. Applying one delta,
+ * or two joined ones, must produce the same table as parsing the full text.
  */
-static void test_random(void)
+static void test_random_changes(void)
 {
 	struct table_delta first;
 	struct table_delta second;
@@ -135,7 +136,8 @@
 		int k;
 
 		for (k = 0; k < 3; k++) {
-			tables[k] = make(&sheets, 3 * (uint64_t)i + k + 1);
+			tables[k] =
+				make_table(&sheets, 3 * (uint64_t)i + k + 1);
 			change(&sheets);
 		}
 		CU_ASSERT_EQUAL_FATAL(table_delta_init(&first, &tables[0],
@@ -163,8 +165,8 @@
 }
 
 /*
- * A peer's delta does not fit: other base, changed on the way, or a row that
- * breaks a rule. Nothing is taken.
+ * A peer's delta has another base, was corrupted in transit, or contains an
+ * invalid row. It must be refused as a whole.
  */
 static void test_refused(void)
 {
@@ -176,9 +178,9 @@
 	struct table got;
 
 	sheets_init(&sheets, ROWS);
-	from = make(&sheets, 1);
+	from = make_table(&sheets, 1);
 	sheets.slots[3] = 3;
-	to = make(&sheets, 2);
+	to = make_table(&sheets, 2);
 	CU_ASSERT_EQUAL_FATAL(table_delta_init(&delta, &from, &to), 0);
 	CU_ASSERT_EQUAL(delta.n, 1);
 	CU_ASSERT_EQUAL(table_delta_apply(&delta, &got, &to, &err),
@@ -198,8 +200,8 @@
 	sheets_finish(&sheets);
 }
 
-/* Other columns, or most rows changed: the whole text is shorter. */
-static void test_whole_is_better(void)
+/* If most rows change, the full text is sent instead of a delta. */
+static void test_full_text(void)
 {
 	struct table_delta delta;
 	struct sheets sheets;
@@ -208,10 +210,10 @@
 	int i;
 
 	sheets_init(&sheets, ROWS);
-	from = make(&sheets, 1);
+	from = make_table(&sheets, 1);
 	for (i = 0; i < ROWS; i++)
 		sheets.slots[i] = 9;
-	to = make(&sheets, 2);
+	to = make_table(&sheets, 2);
 	CU_ASSERT_EQUAL(table_delta_init(&delta, &from, &to), ERR_TOO_LARGE);
 	table_finish(&from);
 	table_finish(&to);
@@ -219,10 +221,10 @@
 }
 
 static const struct unit_test tests[] = {
-	{"canonical", test_canonical},
-	{"random", test_random},
-	{"refused", test_refused},
-	{"whole is better", test_whole_is_better},
+	{"canonical text", test_canonical},
+	{"random changes", test_random_changes},
+	{"refused deltas", test_refused},
+	{"full text instead of a delta", test_full_text},
 };
 
 UNIT_MAIN("table_delta", tests)
