--- a/list_sync.c
+++ b/list_sync.c
@@ -253,7 +253,7 @@
 	int i;
 
 	for (i = 0; i < n; i++)
-		send_update(sync, sync->peers->own[first + i].instance, from);
+		send_update(sync, sync->peers->local[first + i].instance, from);
 }
 
 /* Takes over a list that is newer. */
--- a/serve.c
+++ b/serve.c
@@ -58,7 +58,7 @@
 {
 	struct instance *instance = arg;
 
-	table_control_heard(&instance->table, peer, beacon->table_revision,
+	table_control_receive_heartbeat(&instance->table, peer, beacon->table_revision,
 			    beacon->table_digest, beacon->table_age_ms);
 }
 
--- a/table_control.c
+++ b/table_control.c
@@ -11,14 +11,14 @@
 #include "log.h"
 #include "mem.h"
 
-#define TICK_MS 50
+#define TICK_PERIOD_MS 50
 
 static void on_platform_answered(void *arg, enum reader_key key, uint64_t id,
 				 const struct platform_answer *answer);
 static void on_platform_part(void *arg, uint64_t id,
 			     const struct platform_answer *answer);
 
-/* What the module wants done. */
+/* Callbacks of table_sync and list_sync. */
 
 static void on_call(void *ctx, const struct reader_call *call)
 {
@@ -90,7 +90,7 @@
 	send_frame(ctx, peer, FRAME_LIST_UPDATE, &message->base);
 }
 
-static void on_list_taken(void *ctx, struct str text)
+static void on_list_updated(void *ctx, struct str text)
 {
 	struct table_control *control = ctx;
 	const struct instance_list *list = list_sync_newest(&control->list);
@@ -104,7 +104,7 @@
 static const struct list_sync_ops list_ops = {
 	.send_request = on_send_list_request,
 	.send_update = on_send_list_update,
-	.taken = on_list_taken,
+	.taken = on_list_updated,
 };
 
 static const struct table_sync_ops sync_ops = {
@@ -117,7 +117,7 @@
 	.instances = on_instances,
 };
 
-/* What the module's decisions mean for the others. */
+/* Publishing the state of table_sync on the blackboard and in metrics. */
 
 static void publish_refusal(struct blackboard *board,
 			    const struct table_sync *sync)
@@ -128,8 +128,8 @@
 	board->table_refused_revision = 0;
 	if (!active)
 		return;
-	board->table_refused = sync->refused.error;
-	board->table_refused_revision = sync->refused.revision;
+	board->table_refused = sync->highest_refusal.error;
+	board->table_refused_revision = sync->highest_refusal.revision;
 }
 
 static void publish_counts(struct counters *counters,
@@ -165,7 +165,7 @@
 	blackboard_changed(board, BLACKBOARD_LIFECYCLE);
 }
 
-/* Events. */
+/* Events from the timer, the platform, peers and the blackboard. */
 
 static void on_timer(evutil_socket_t fd, short what, void *arg)
 {
@@ -186,8 +186,8 @@
 	struct table_control *control = arg;
 	uint64_t stale = control->sync.counts.stale;
 
-	table_sync_answered(&control->sync, key, id, answer);
-	/* This replica may have stopped following, and others not. */
+	table_sync_receive_answer(&control->sync, key, id, answer);
+	/* This replica may have stopped replicating; try another one. */
 	if (control->sync.counts.stale != stale)
 		platform_turn(&control->platform);
 	publish(control);
@@ -198,7 +198,7 @@
 {
 	struct table_control *control = arg;
 
-	table_sync_part(&control->sync, id, answer);
+	table_sync_receive_part(&control->sync, id, answer);
 	publish(control);
 }
 
@@ -207,12 +207,12 @@
 	.part = on_platform_part,
 };
 
-static void take_digest(struct table_control *control, const char *peer,
-			const Peer__TableDigest *message)
+static void receive_digest(struct table_control *control, const char *peer,
+			   const Peer__TableDigest *message)
 {
 	list_sync_heard(&control->list, peer, message->list_revision,
 			message->list_digest);
-	table_sync_digest(&control->sync, peer, message);
+	table_sync_receive_digest(&control->sync, peer, message);
 }
 
 static void on_frame(void *arg, struct peer_link *link, struct frame *frame)
@@ -229,16 +229,18 @@
 				 (const Peer__ListUpdate *)frame->message);
 		break;
 	case FRAME_TABLE_DIGEST:
-		take_digest(control, link->instance,
-			    (const Peer__TableDigest *)frame->message);
+		receive_digest(control, link->instance,
+			       (const Peer__TableDigest *)frame->message);
 		break;
 	case FRAME_TABLE_REQUEST:
-		table_sync_request(&control->sync, link->instance,
-				   (const Peer__TableRequest *)frame->message);
+		table_sync_receive_request(&control->sync, link->instance,
+					   (const Peer__TableRequest *)
+						   frame->message);
 		break;
 	case FRAME_TABLE_UPDATE:
-		table_sync_update(&control->sync, link->instance,
-				  (const Peer__TableUpdate *)frame->message);
+		table_sync_receive_update(&control->sync, link->instance,
+					  (const Peer__TableUpdate *)
+						  frame->message);
 		break;
 	default:
 		return;
@@ -246,10 +248,12 @@
 	publish(control);
 }
 
-void table_control_heard(struct table_control *control, const char *peer,
-			 uint64_t revision, uint64_t digest, uint32_t age_ms)
+void table_control_receive_heartbeat(struct table_control *control,
+				     const char *peer, uint64_t revision,
+				     uint64_t digest, uint32_t age_ms)
 {
-	table_sync_heard(&control->sync, peer, revision, digest, age_ms);
+	table_sync_receive_heartbeat(&control->sync, peer, revision, digest,
+				     age_ms);
 	publish(control);
 }
 
@@ -262,8 +266,11 @@
 	       !strcmp(member->instance, board->settings->instance);
 }
 
-/* Suspects count: a reader that is only slow must not change every time. */
-static void on_fleet(void *arg)
+/*
+ * Members under suspicion are included: otherwise a reader that is merely slow
+ * would be replaced each time.
+ */
+static void on_members_changed(void *arg)
 {
 	struct table_control *control = arg;
 	struct fleet *fleet = &control->board->fleet;
@@ -283,7 +290,7 @@
 	free(members);
 }
 
-static uint64_t draw_seed(void)
+static uint64_t random_seed(void)
 {
 	uint64_t seed;
 
@@ -305,7 +312,7 @@
 void table_control_init(struct table_control *control, struct blackboard *board,
 			struct peers *peers)
 {
-	static const struct timeval period = {0, TICK_MS * 1000};
+	static const struct timeval period = {0, TICK_PERIOD_MS * 1000};
 	const struct settings *settings = board->settings;
 
 	memset(control, 0, sizeof(*control));
@@ -313,15 +320,16 @@
 	control->peers = peers;
 	platform_init(&control->platform, board, &platform_ops, control);
 	table_sync_init(&control->sync, board->clock, settings->instance,
-			settings->data_centre, &sync_ops, control, draw_seed());
+			settings->data_centre, &sync_ops, control,
+			random_seed());
 	list_sync_init(&control->list, board->clock, &control->sync.peers,
 		       &control->sync.reader, &list_ops, control);
 	board->table_sync = &control->sync;
 	add_handler(control);
 	blackboard_watch(board, BLACKBOARD_FLEET, &control->fleet_watch,
-			 on_fleet, control);
+			 on_members_changed, control);
 	blackboard_watch(board, BLACKBOARD_LIFECYCLE, &control->lifecycle_watch,
-			 on_fleet, control);
+			 on_members_changed, control);
 	control->timer =
 		event_new(board->base, -1, EV_PERSIST, on_timer, control);
 	event_add(control->timer, &period);
--- a/table_parts.c
+++ b/table_parts.c
@@ -10,12 +10,12 @@
 #include "mem.h"
 #include "option.h"
 
-/* A longer value is a table: a manifest of all parts is shorter. */
+/* Longer values are tables; a manifest with all parts fits in this. */
 #define MANIFEST_BYTES_MAX (16 << 10)
 #define HEX_DIGITS 16
 
-static struct json_object *manifest_list(struct str text,
-					 struct json_object **root)
+static struct json_object *parse_manifest(struct str text,
+					  struct json_object **root)
 {
 	struct json_object *list = NULL;
 
@@ -30,13 +30,13 @@
 bool table_parts_is_manifest(struct str text)
 {
 	struct json_object *root;
-	bool found = manifest_list(text, &root);
+	bool found = parse_manifest(text, &root);
 
 	json_object_put(root);
 	return found;
 }
 
-static const char *member(struct json_object *object, const char *key)
+static const char *string_member(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
@@ -61,15 +61,15 @@
 		     struct error *err)
 {
 	char subject[ERROR_SUBJECT_SIZE];
-	const char *key = member(value, "key");
+	const char *key = string_member(value, "key");
 
 	snprintf(subject, sizeof(subject), "manifest part %d", i + 1);
 	if (!key || str_copy(part->key, sizeof(part->key), str_from(key)))
 		return error_set(err, ERR_TYPE, subject, key,
 				 "a key of at most 64 bytes");
-	if (!read_digest(member(value, "digest"), &part->digest))
+	if (!read_digest(string_member(value, "digest"), &part->digest))
 		return error_set(err, ERR_TYPE, subject,
-				 member(value, "digest"),
+				 string_member(value, "digest"),
 				 "a digest of 16 hex digits");
 	return 0;
 }
@@ -103,7 +103,7 @@
 		     uint64_t revision, struct error *err)
 {
 	struct json_object *root;
-	struct json_object *list = manifest_list(text, &root);
+	struct json_object *list = parse_manifest(text, &root);
 	int ret;
 
 	memset(parts, 0, sizeof(*parts));
@@ -115,7 +115,7 @@
 	return ret;
 }
 
-static struct table_part *next_part(const struct table_parts *parts)
+static struct table_part *first_missing_part(const struct table_parts *parts)
 {
 	int i;
 
@@ -150,9 +150,9 @@
 		reuse_part(parts, &parts->parts[i], old);
 }
 
-const char *table_parts_key(const struct table_parts *parts)
+const char *table_parts_next_key(const struct table_parts *parts)
 {
-	const struct table_part *part = next_part(parts);
+	const struct table_part *part = first_missing_part(parts);
 
 	return part ? part->key : NULL;
 }
@@ -160,7 +160,7 @@
 int table_parts_add(struct table_parts *parts, struct str text,
 		    struct error *err)
 {
-	struct table_part *part = next_part(parts);
+	struct table_part *part = first_missing_part(parts);
 	char digest[HEX_DIGITS + 1];
 
 	if (str_hash(text) != part->digest) {
@@ -180,12 +180,13 @@
 char *table_parts_text(const struct table_parts *parts)
 {
 	char *text = mem_zalloc(parts->len + 1);
-	size_t at = 0;
+	size_t offset = 0;
 	int i;
 
 	for (i = 0; i < parts->n; i++) {
-		memcpy(text + at, parts->parts[i].text, parts->parts[i].len);
-		at += parts->parts[i].len;
+		memcpy(text + offset, parts->parts[i].text,
+		       parts->parts[i].len);
+		offset += parts->parts[i].len;
 	}
 	return text;
 }
--- a/table_peers.c
+++ b/table_peers.c
@@ -27,14 +27,14 @@
 
 void table_peers_finish(struct table_peers *peers)
 {
-	free_peers(peers->own, peers->n_own);
-	free_peers(peers->far, peers->n_far);
+	free_peers(peers->local, peers->n_local);
+	free_peers(peers->remote, peers->n_remote);
 	free(peers->self);
 	free(peers->data_centre);
 	memset(peers, 0, sizeof(*peers));
 }
 
-/* Best first; the name breaks ties. */
+/* Highest score first; the name breaks ties. */
 static int compare_peers(const void *a, const void *b)
 {
 	const struct table_peer *x = a;
@@ -45,7 +45,7 @@
 	return strcmp(x->instance, y->instance);
 }
 
-static struct table_peer make_peer(struct str instance, struct str dc)
+static struct table_peer new_peer(struct str instance, struct str dc)
 {
 	return (struct table_peer){
 		.score = reader_score(instance),
@@ -54,56 +54,56 @@
 	};
 }
 
-static void add_own(struct table_peers *peers, int *cap, struct str instance)
+static void add_local(struct table_peers *peers, int *cap, struct str instance)
 {
-	MEM_GROW(peers->own, peers->n_own, *cap);
-	peers->own[peers->n_own++] =
-		make_peer(instance, str_from(peers->data_centre));
+	MEM_GROW(peers->local, peers->n_local, *cap);
+	peers->local[peers->n_local++] =
+		new_peer(instance, str_from(peers->data_centre));
 }
 
-static void add_far(struct table_peers *peers, int *cap,
-		    const struct table_member *member)
+static void add_remote(struct table_peers *peers, int *cap,
+		       const struct table_member *member)
 {
 	struct table_peer peer =
-		make_peer(member->instance, member->data_centre);
+		new_peer(member->instance, member->data_centre);
 	struct table_peer old;
 	int i;
 
-	for (i = 0; i < peers->n_far; i++) {
-		if (strcmp(peers->far[i].data_centre, peer.data_centre))
+	for (i = 0; i < peers->n_remote; i++) {
+		if (strcmp(peers->remote[i].data_centre, peer.data_centre))
 			continue;
-		old = peers->far[i];
+		old = peers->remote[i];
 		if (compare_peers(&peer, &old) < 0) {
-			peers->far[i] = peer;
+			peers->remote[i] = peer;
 			peer = old;
 		}
 		free(peer.instance);
 		free(peer.data_centre);
 		return;
 	}
-	MEM_GROW(peers->far, peers->n_far, *cap);
-	peers->far[peers->n_far++] = peer;
+	MEM_GROW(peers->remote, peers->n_remote, *cap);
+	peers->remote[peers->n_remote++] = peer;
 }
 
 static int find_rank(const struct table_peers *peers)
 {
 	int i;
 
-	for (i = 0; i < peers->n_own; i++) {
-		if (!strcmp(peers->own[i].instance, peers->self))
+	for (i = 0; i < peers->n_local; i++) {
+		if (!strcmp(peers->local[i].instance, peers->self))
 			break;
 	}
 	return i;
 }
 
-static void clear(struct table_peers *peers)
+static void clear_peers(struct table_peers *peers)
 {
-	free_peers(peers->own, peers->n_own);
-	free_peers(peers->far, peers->n_far);
-	peers->own = NULL;
-	peers->n_own = 0;
-	peers->far = NULL;
-	peers->n_far = 0;
+	free_peers(peers->local, peers->n_local);
+	free_peers(peers->remote, peers->n_remote);
+	peers->local = NULL;
+	peers->n_local = 0;
+	peers->remote = NULL;
+	peers->n_remote = 0;
 	peers->n_others = 0;
 }
 
@@ -111,12 +111,12 @@
 		     const struct table_member *members, int n)
 {
 	bool self_leaving = false;
-	int own_cap = 0;
-	int far_cap = 0;
+	int local_cap = 0;
+	int remote_cap = 0;
 	int i;
 
-	clear(peers);
-	peers->known = true;
+	clear_peers(peers);
+	peers->members_known = true;
 	for (i = 0; i < n; i++) {
 		if (str_eq_text(members[i].instance, peers->self)) {
 			self_leaving = members[i].leaving;
@@ -126,18 +126,18 @@
 		if (members[i].leaving)
 			continue;
 		if (str_eq_text(members[i].data_centre, peers->data_centre))
-			add_own(peers, &own_cap, members[i].instance);
+			add_local(peers, &local_cap, members[i].instance);
 		else
-			add_far(peers, &far_cap, &members[i]);
+			add_remote(peers, &remote_cap, &members[i]);
 	}
 	if (!self_leaving)
-		add_own(peers, &own_cap, str_from(peers->self));
-	if (peers->n_own)
-		qsort(peers->own, (size_t)peers->n_own, sizeof(*peers->own),
-		      compare_peers);
-	if (peers->n_far)
-		qsort(peers->far, (size_t)peers->n_far, sizeof(*peers->far),
-		      compare_peers);
+		add_local(peers, &local_cap, str_from(peers->self));
+	if (peers->n_local)
+		qsort(peers->local, (size_t)peers->n_local,
+		      sizeof(*peers->local), compare_peers);
+	if (peers->n_remote)
+		qsort(peers->remote, (size_t)peers->n_remote,
+		      sizeof(*peers->remote), compare_peers);
 	peers->rank = find_rank(peers);
 }
 
@@ -147,8 +147,8 @@
 	int n;
 
 	*first = peers->rank * fanout + 1;
-	if (peers->rank == peers->n_own || *first >= peers->n_own)
+	if (peers->rank == peers->n_local || *first >= peers->n_local)
 		return 0;
-	n = peers->n_own - *first;
+	n = peers->n_local - *first;
 	return n < fanout ? n : fanout;
 }
--- a/table_status.c
+++ b/table_status.c
@@ -14,15 +14,16 @@
 		evbuffer_add_printf(out, "%" PRId64, age / USEC_PER_MSEC);
 }
 
-static void add_doubt(struct evbuffer *out, const struct table_sync *sync)
+static void add_confirmation(struct evbuffer *out,
+			     const struct table_sync *sync)
 {
-	enum table_doubt doubt = table_sync_doubt(sync);
+	enum table_confirmation confirmation = table_sync_confirmation(sync);
 
 	evbuffer_add_printf(out, ",\"confirmed\":%s",
-			    doubt == TABLE_CONFIRMED ? "true" : "false");
-	if (doubt != TABLE_CONFIRMED)
+			    confirmation == TABLE_CONFIRMED ? "true" : "false");
+	if (confirmation != TABLE_CONFIRMED)
 		evbuffer_add_printf(out, ",\"reason\":\"%s\"",
-				    table_doubt_names[doubt]);
+				    table_confirmation_names[confirmation]);
 }
 
 void table_status_add_brief(struct evbuffer *out, const struct table_sync *sync)
@@ -30,7 +31,7 @@
 	evbuffer_add_printf(out, "{\"revision\":%" PRIu64 ",\"age_ms\":",
 			    sync->in_force->revision);
 	add_age(out, sync);
-	add_doubt(out, sync);
+	add_confirmation(out, sync);
 	evbuffer_add(out, "}", 1);
 }
 
@@ -47,13 +48,13 @@
 			    "\",\"age_ms\":",
 			    table->revision, table->digest);
 	add_age(out, sync);
-	add_doubt(out, sync);
+	add_confirmation(out, sync);
 	evbuffer_add_printf(out,
 			    ",\"reader\":%s,\"reader_rank\":%d,"
 			    "\"platform_revision\":%" PRIu64
 			    ",\"platform_failures\":%d}",
 			    reader_watches(&sync->reader) ? "true" : "false",
-			    sync->reader.rank, sync->platform_shown,
+			    sync->reader.rank, sync->platform_revision,
 			    sync->reader.watches[READER_TABLE].failures);
 }
 
--- a/table_status.h
+++ b/table_status.h
@@ -1,4 +1,4 @@
-/* The table's state as JSON, for answers and status. */
+/* Table state as JSON, for search answers and the status page. */
 #ifndef TABLE_STATUS_H
 #define TABLE_STATUS_H
 
@@ -7,21 +7,27 @@
 struct evbuffer;
 
 /**
- * table_status_add_brief() - the object "table" of an answer to a search
+ * table_status_add_brief() - write the object "table" of a search answer
+ * @out: appended to
+ * @sync: must have a table in force
  */
 void table_status_add_brief(struct evbuffer *out,
 			    const struct table_sync *sync);
 
 /**
- * table_status_add() - the object "table" of the status page
+ * table_status_add() - write the object "table" of the status page
+ * @out: appended to
+ * @sync: state to write
  *
- * "null" without a table; alarms and refusals are told by
- * table_status_add_alarms() in any case.
+ * Writes "null" if there is no table. Alarms, including the one for a refused
+ * table, are written by table_status_add_alarms() in any case.
  */
 void table_status_add(struct evbuffer *out, const struct table_sync *sync);
 
 /**
- * table_status_add_alarms() - the list of raised alarms
+ * table_status_add_alarms() - write the list of active alarms
+ * @out: appended to
+ * @sync: state to write
  */
 void table_status_add_alarms(struct evbuffer *out,
 			     const struct table_sync *sync);
--- a/table_sync.c
+++ b/table_sync.c
@@ -5,31 +5,32 @@
 
 #include "log.h"
 
-/* How often a new instance asks some peers for their revision. */
-#define HELLO_PERIOD MSEC(500)
+/* Interval at which a new instance asks some peers for their revision. */
+#define START_QUERY_PERIOD_USEC MSEC(500)
 
-/* The start. */
+/* Startup. */
 
-/* Peers of the own data centre first, then the first of each other. */
-static const char *candidate(const struct table_sync *sync, int i)
+/* Members of this data centre come first, then one of each other one. */
+static const char *start_peer(const struct table_sync *sync, int i)
 {
 	const struct table_peers *peers = &sync->peers;
 
-	if (i < peers->n_own)
-		return peers->own[i].instance;
-	return peers->far[i - peers->n_own].instance;
+	if (i < peers->n_local)
+		return peers->local[i].instance;
+	return peers->remote[i - peers->n_local].instance;
 }
 
-static void say_hello(struct table_sync *sync)
+static void query_start_peers(struct table_sync *sync)
 {
-	int n = sync->peers.n_own + sync->peers.n_far;
+	int n = sync->peers.n_local + sync->peers.n_remote;
 	int64_t left = sync->reader.tunables->table_start_peers;
 	int first = (int)reader_random(&sync->reader, n);
 	int i;
 
-	sync->next_hello = clock_now(sync->clock) + HELLO_PERIOD;
+	sync->next_start_query =
+		clock_now(sync->clock) + START_QUERY_PERIOD_USEC;
 	for (i = 0; i < n && left; i++) {
-		const char *peer = candidate(sync, (first + i) % n);
+		const char *peer = start_peer(sync, (first + i) % n);
 
 		if (!strcmp(peer, sync->peers.self))
 			continue;
@@ -38,22 +39,26 @@
 	}
 }
 
-/* Until the platform's list came, the fleet may seem to be this one alone. */
-static bool heard_enough(const struct table_sync *sync)
+/*
+ * Requires the platform's list of instances, because without it the fleet may
+ * seem to consist of this instance alone.
+ */
+static bool has_enough_answers(const struct table_sync *sync)
 {
 	const struct reader_watch *watches = sync->reader.watches;
-	int64_t need = sync->reader.tunables->table_start_peers;
+	int64_t n_needed = sync->reader.tunables->table_start_peers;
 
-	if (need > sync->peers.n_others)
-		need = sync->peers.n_others;
-	return sync->peers.known && sync->n_heard >= need &&
+	if (n_needed > sync->peers.n_others)
+		n_needed = sync->peers.n_others;
+	return sync->peers.members_known && sync->n_start_peers >= n_needed &&
 	       watches[READER_TABLE].answered &&
 	       watches[READER_INSTANCES].answered;
 }
 
 /*
- * Against a new instance that serves by an old table: one stale replica of the
- * platform, or one peer that was cut off, must not decide alone.
+ * Prevents a new instance from serving with an old table: a single stale
+ * replica of the platform, or a single peer that was partitioned, must not be
+ * the only source.
  */
 static void check_start(struct table_sync *sync)
 {
@@ -62,14 +67,17 @@
 
 	if (sync->serving || !sync->in_force)
 		return;
-	if (!late && (!heard_enough(sync) || table_sync_is_overtaken(sync)))
+	if (!late &&
+	    (!has_enough_answers(sync) || table_sync_is_overtaken(sync)))
 		return;
 	sync->serving = true;
 	reader_set_starting(&sync->reader, false);
 	LOG_INFO("table_start_over",
 		 LOG_U64("revision", table_sync_revision(sync)),
-		 LOG_TEXT("state", table_doubt_names[table_sync_doubt(sync)]),
-		 LOG_I64("peers_heard", sync->n_heard));
+		 LOG_TEXT("state",
+			  table_confirmation_names[table_sync_confirmation(
+				  sync)]),
+		 LOG_I64("peers_heard", sync->n_start_peers));
 }
 
 int table_sync_ready(const struct table_sync *sync)
@@ -77,7 +85,7 @@
 	return sync->serving ? 0 : ERR_NOT_RUN;
 }
 
-/* Time. */
+/* Timed actions. */
 
 static void check_confirmation(struct table_sync *sync)
 {
@@ -93,15 +101,16 @@
 		table_sync_clear_alarm(sync, TABLE_ALARM_UNCONFIRMED);
 }
 
-static void make_calls(struct table_sync *sync)
+static void call_platform(struct table_sync *sync)
 {
 	struct reader_watch *watch = &sync->reader.watches[READER_TABLE];
 	struct reader_call call;
 
 	watch->after = table_sync_revision(sync);
-	if (sync->platform_refused > watch->after)
-		watch->after = sync->platform_refused;
-	sync->reader.unseen = sync->platform_shown < table_sync_revision(sync);
+	if (sync->platform_refused_revision > watch->after)
+		watch->after = sync->platform_refused_revision;
+	sync->reader.unseen =
+		sync->platform_revision < table_sync_revision(sync);
 	while (reader_next(&sync->reader, &call)) {
 		sync->counts.calls++;
 		sync->ops->call(sync->ctx, &call);
@@ -109,41 +118,41 @@
 }
 
 /*
- * Against lost pushes: each instance compares revisions with a random one of
- * its data centre, and a reader also with the first of another one.
+ * Repairs lost pushes: each instance compares revisions with a random member of
+ * its data centre, and a reader also with the first member of another one.
  */
-static void compare(struct table_sync *sync)
+static void exchange_digests(struct table_sync *sync)
 {
 	int64_t period = MSEC(sync->reader.tunables->table_digest_ms);
 	const struct table_peers *peers = &sync->peers;
 	int64_t now = clock_now(sync->clock);
 	int64_t i;
 
-	if (now < sync->next_compare)
+	if (now < sync->next_digest_exchange)
 		return;
-	sync->next_compare =
+	sync->next_digest_exchange =
 		now + period / 2 + reader_random(&sync->reader, period);
-	i = reader_random(&sync->reader, peers->n_own);
-	if (peers->n_own && i != peers->rank)
-		table_sync_send_digest(sync, peers->own[i].instance, true);
-	i = reader_random(&sync->reader, peers->n_far);
-	if (peers->n_far && reader_watches(&sync->reader))
-		table_sync_send_digest(sync, peers->far[i].instance, true);
+	i = reader_random(&sync->reader, peers->n_local);
+	if (peers->n_local && i != peers->rank)
+		table_sync_send_digest(sync, peers->local[i].instance, true);
+	i = reader_random(&sync->reader, peers->n_remote);
+	if (peers->n_remote && reader_watches(&sync->reader))
+		table_sync_send_digest(sync, peers->remote[i].instance, true);
 }
 
 void table_sync_tick(struct table_sync *sync)
 {
 	int64_t now = clock_now(sync->clock);
 
-	sync->settled_at = sync->last_tick;
+	sync->processed_until = sync->last_tick;
 	sync->last_tick = now;
 	check_start(sync);
 	check_confirmation(sync);
-	make_calls(sync);
+	call_platform(sync);
 	table_sync_pull(sync);
-	compare(sync);
-	if (!sync->serving && now >= sync->next_hello)
-		say_hello(sync);
+	exchange_digests(sync);
+	if (!sync->serving && now >= sync->next_start_query)
+		query_start_peers(sync);
 }
 
 void table_sync_set_members(struct table_sync *sync,
@@ -152,8 +161,8 @@
 	struct table_peers *peers = &sync->peers;
 
 	table_peers_set(peers, members, n);
-	reader_set_rank(&sync->reader, peers->rank, peers->n_own,
-			peers->rank == peers->n_own);
+	reader_set_rank(&sync->reader, peers->rank, peers->n_local,
+			peers->rank == peers->n_local);
 }
 
 void table_sync_init(struct table_sync *sync, const struct clock *clock,
@@ -169,7 +178,7 @@
 	sync->confirmed_at = -1;
 	sync->started_at = now;
 	sync->last_tick = now;
-	sync->settled_at = now;
+	sync->processed_until = now;
 	option_set_defaults(tunable_rows, n_tunable_rows, &sync->defaults);
 	reader_init(&sync->reader, clock, &sync->defaults, seed);
 	table_peers_init(&sync->peers, instance, data_centre);
--- a/table_sync_peers.c
+++ b/table_sync_peers.c
@@ -5,22 +5,25 @@
 
 #include "log.h"
 
-/* Only a reader knows by itself when the platform is no longer behind. */
+/*
+ * The alarm "platform behind" of a reader ends only by an answer of the
+ * platform itself; that of others by a peer's confirmation.
+ */
 static void confirm_by_peer(struct table_sync *sync, uint32_t age_ms)
 {
-	int64_t at = sync->settled_at - MSEC(age_ms - 1);
+	int64_t at = sync->processed_until - MSEC(age_ms - 1);
 
 	if (!age_ms)
 		return;
 	table_sync_confirm(sync, at);
-	if (at > sync->behind_at && !reader_watches(&sync->reader))
-		table_sync_clear_behind(sync);
+	if (at > sync->platform_behind_at && !reader_watches(&sync->reader))
+		table_sync_clear_platform_behind(sync);
 }
 
 static void fill_refused(const struct table_sync *sync,
 			 Peer__TableRefused *message)
 {
-	const struct table_refusal *refused = &sync->refused;
+	const struct table_refusal *refused = &sync->highest_refusal;
 
 	peer__table_refused__init(message);
 	message->revision = refused->revision;
@@ -41,18 +44,19 @@
 	message.ask = ask;
 	message.list_revision = sync->list_revision;
 	message.list_digest = sync->list_digest;
-	if (sync->refused.revision > message.revision) {
+	if (sync->highest_refusal.revision > message.revision) {
 		fill_refused(sync, &refused);
 		message.refused = &refused;
 	}
 	sync->ops->send_digest(sync->ctx, peer, &message);
 }
 
-static void send_request(struct table_sync *sync, const char *peer, bool whole)
+static void send_request(struct table_sync *sync, const char *peer,
+			 bool is_full_text)
 {
 	Peer__TableRequest message = PEER__TABLE_REQUEST__INIT;
 
-	if (sync->in_force && !whole) {
+	if (sync->in_force && !is_full_text) {
 		message.have_revision = sync->in_force->revision;
 		message.have_digest = sync->in_force->digest;
 	}
@@ -70,7 +74,7 @@
 	table_delta_write_finish(&message);
 }
 
-static void send_whole(struct table_sync *sync, const char *peer)
+static void send_full_text(struct table_sync *sync, const char *peer)
 {
 	Peer__TableUpdate message = PEER__TABLE_UPDATE__INIT;
 
@@ -78,7 +82,7 @@
 	message.digest = sync->in_force->digest;
 	message.text.data = (uint8_t *)sync->in_force->text;
 	message.text.len = sync->in_force->len;
-	sync->counts.whole_sent++;
+	sync->counts.full_sent++;
 	sync->ops->send_update(sync->ctx, peer, &message);
 }
 
@@ -93,7 +97,7 @@
 		       : NULL;
 }
 
-static void push_to(struct table_sync *sync, const char *peer)
+static void push_update(struct table_sync *sync, const char *peer)
 {
 	const struct table_delta *delta = last_delta(sync);
 
@@ -104,8 +108,9 @@
 		table_sync_send_digest(sync, peer, false);
 }
 
-static void push_down(struct table_sync *sync,
-		      void (*push)(struct table_sync *sync, const char *peer))
+static void push_to_children(struct table_sync *sync,
+			     void (*push)(struct table_sync *sync,
+					  const char *peer))
 {
 	int fanout = (int)sync->reader.tunables->table_fanout;
 	int first;
@@ -113,7 +118,7 @@
 	int i;
 
 	for (i = 0; i < n; i++)
-		push(sync, sync->peers.own[first + i].instance);
+		push(sync, sync->peers.local[first + i].instance);
 }
 
 static void push_digest(struct table_sync *sync, const char *peer)
@@ -121,24 +126,24 @@
 	table_sync_send_digest(sync, peer, false);
 }
 
-void table_sync_put_in_force(struct table_sync *sync, const struct table *newer,
-			     const char *source)
+void table_sync_replace_and_push(struct table_sync *sync,
+				 const struct table *newer, const char *source)
 {
-	table_sync_take(sync, newer, source);
-	push_down(sync, push_to);
+	table_sync_replace(sync, newer, source);
+	push_to_children(sync, push_update);
 }
 
-static void note_refused(struct table_sync *sync,
-			 const struct table_refusal *refusal)
+static void report_refusal(struct table_sync *sync,
+			   const struct table_refusal *refusal)
 {
-	if (table_sync_remember_refused(sync, refusal))
-		push_down(sync, push_digest);
+	if (table_sync_set_highest_refusal(sync, refusal))
+		push_to_children(sync, push_digest);
 }
 
 /*
- * Against a loop in which an invalid table is read again and again: what was
- * refused is remembered by revision and digest. Another content under the same
- * revision, or a higher revision, is looked at.
+ * Remembers refused tables by revision and digest, so that an invalid table is
+ * not parsed again and again. Another content under the same revision, or a
+ * higher revision, is checked.
  */
 void table_sync_refuse(struct table_sync *sync, const char *source,
 		       uint64_t revision, uint64_t digest,
@@ -157,54 +162,54 @@
 		  LOG_TEXT("expected", err->expected ? err->expected : ""),
 		  LOG_I64("line", err->line), LOG_TEXT("source", source),
 		  LOG_U64("in_force", table_sync_revision(sync)));
-	note_refused(sync, &refusal);
+	report_refusal(sync, &refusal);
 }
 
 /*
- * Against a data centre whose readers don't reach the platform: one that does
- * tells the first reader of each other data centre, which pulls the change and
- * pushes it down its own tree.
+ * Keeps data centres up to date whose readers cannot reach the platform: a
+ * reader that can notifies the first reader of each other data centre, which
+ * pulls the change and pushes it down its own tree.
  */
-void table_sync_push_from_platform(struct table_sync *sync)
+void table_sync_notify_data_centres(struct table_sync *sync)
 {
 	int i;
 
-	if (sync->peers.rank && sync->peers.n_own)
-		table_sync_send_digest(sync, sync->peers.own[0].instance,
+	if (sync->peers.rank && sync->peers.n_local)
+		table_sync_send_digest(sync, sync->peers.local[0].instance,
 				       false);
-	for (i = 0; i < sync->peers.n_far; i++)
-		table_sync_send_digest(sync, sync->peers.far[i].instance,
+	for (i = 0; i < sync->peers.n_remote; i++)
+		table_sync_send_digest(sync, sync->peers.remote[i].instance,
 				       false);
 }
 
-static void hear_refused(struct table_sync *sync, const char *peer,
-			 const Peer__TableRefused *message)
+static void receive_refusal(struct table_sync *sync, const char *peer,
+			    const Peer__TableRefused *message)
 {
 	struct table_refusal refusal = {.revision = message->revision};
 
-	if (message->revision <= sync->refused.revision)
+	if (message->revision <= sync->highest_refusal.revision)
 		return;
 	error_set(&refusal.error, message->code, message->subject,
 		  message->value, NULL);
 	refusal.error.line = (int)message->line;
 	str_copy(refusal.from, sizeof(refusal.from), str_from(peer));
-	note_refused(sync, &refusal);
+	report_refusal(sync, &refusal);
 }
 
-static void hear_of(struct table_sync *sync, const char *peer)
+static void count_start_peer(struct table_sync *sync, const char *peer)
 {
 	uint64_t hash = str_hash(str_from(peer));
 	int i;
 
-	for (i = 0; i < sync->n_heard; i++) {
-		if (sync->heard[i] == hash)
+	for (i = 0; i < sync->n_start_peers; i++) {
+		if (sync->start_peers[i] == hash)
 			return;
 	}
-	if (sync->n_heard < TABLE_SYNC_START_PEERS_MAX)
-		sync->heard[sync->n_heard++] = hash;
+	if (sync->n_start_peers < TABLE_SYNC_START_PEERS_MAX)
+		sync->start_peers[sync->n_start_peers++] = hash;
 }
 
-static void set_name(char *dst, const char *name)
+static void set_peer(char *dst, const char *name)
 {
 	str_copy(dst, TABLE_SYNC_PEER_SIZE, str_from(name));
 }
@@ -218,91 +223,91 @@
 }
 
 /*
- * The push is usually on its way when a heartbeat tells of a new revision, so
- * it is pulled only after a moment. A row of new revisions does not move the
- * moment.
+ * A push is usually in flight when a heartbeat announces a new revision, so the
+ * pull is delayed. Further revisions do not extend the delay.
  */
-static void want(struct table_sync *sync, const char *peer, uint64_t revision,
-		 uint64_t digest)
+static void schedule_pull(struct table_sync *sync, const char *peer,
+			  uint64_t revision, uint64_t digest)
 {
-	struct table_want *w = &sync->want;
-	bool waiting = w->revision && !w->asked;
+	struct table_pull *pull = &sync->pull;
+	bool waiting = pull->revision && !pull->requested;
 
-	if (revision < w->revision ||
+	if (revision < pull->revision ||
 	    table_sync_is_refused(sync, revision, digest))
 		return;
-	if (revision == w->revision) {
-		if (strcmp(peer, w->peer))
-			set_name(w->other, peer);
+	if (revision == pull->revision) {
+		if (strcmp(peer, pull->peer))
+			set_peer(pull->fallback, peer);
 		return;
 	}
 	if (!waiting)
-		w->at = clock_now(sync->clock) + pull_delay(sync);
-	w->revision = revision;
-	w->digest = digest;
-	w->asked = false;
-	w->whole = false;
-	w->other[0] = '\0';
-	set_name(w->peer, peer);
+		pull->next_at = clock_now(sync->clock) + pull_delay(sync);
+	pull->revision = revision;
+	pull->digest = digest;
+	pull->requested = false;
+	pull->needs_full_text = false;
+	pull->fallback[0] = '\0';
+	set_peer(pull->peer, peer);
 }
 
-static void ask(struct table_sync *sync)
+static void send_pull(struct table_sync *sync)
 {
-	struct table_want *w = &sync->want;
+	struct table_pull *pull = &sync->pull;
 
-	w->asked = true;
-	w->at = clock_now(sync->clock) +
-		MSEC(sync->reader.tunables->table_pull_timeout_ms);
-	send_request(sync, w->peer, w->whole);
+	pull->requested = true;
+	pull->next_at = clock_now(sync->clock) +
+			MSEC(sync->reader.tunables->table_pull_timeout_ms);
+	send_request(sync, pull->peer, pull->needs_full_text);
 }
 
 void table_sync_pull(struct table_sync *sync)
 {
-	struct table_want *w = &sync->want;
+	struct table_pull *pull = &sync->pull;
 
-	if (!w->revision || clock_now(sync->clock) < w->at)
+	if (!pull->revision || clock_now(sync->clock) < pull->next_at)
 		return;
-	if (!w->asked) {
-		ask(sync);
+	if (!pull->requested) {
+		send_pull(sync);
 		return;
 	}
 	sync->counts.pull_timeouts++;
-	if (!w->other[0]) {
-		/* The next heartbeat tells of it again. */
-		memset(w, 0, sizeof(*w));
+	if (!pull->fallback[0]) {
+		/* The next heartbeat announces it again. */
+		memset(pull, 0, sizeof(*pull));
 		return;
 	}
-	set_name(w->peer, w->other);
-	w->other[0] = '\0';
-	ask(sync);
+	set_peer(pull->peer, pull->fallback);
+	pull->fallback[0] = '\0';
+	send_pull(sync);
 }
 
-void table_sync_heard(struct table_sync *sync, const char *peer,
-		      uint64_t revision, uint64_t digest, uint32_t age_ms)
+void table_sync_receive_heartbeat(struct table_sync *sync, const char *peer,
+				  uint64_t revision, uint64_t digest,
+				  uint32_t age_ms)
 {
-	hear_of(sync, peer);
-	switch (table_sync_judge(sync, revision, digest)) {
-	case STANDING_NEWER:
-		want(sync, peer, revision, digest);
+	count_start_peer(sync, peer);
+	switch (table_sync_compare(sync, revision, digest)) {
+	case REVISION_NEWER:
+		schedule_pull(sync, peer, revision, digest);
 		break;
-	case STANDING_SAME:
+	case REVISION_SAME:
 		confirm_by_peer(sync, age_ms);
 		break;
-	case STANDING_CONFLICT:
-		table_sync_note_conflict(sync, peer, digest);
+	case REVISION_CONFLICT:
+		table_sync_report_conflict(sync, peer, digest);
 		break;
-	case STANDING_STALE:
+	case REVISION_STALE:
 		break;
 	}
 }
 
-void table_sync_digest(struct table_sync *sync, const char *peer,
-		       const Peer__TableDigest *message)
+void table_sync_receive_digest(struct table_sync *sync, const char *peer,
+			       const Peer__TableDigest *message)
 {
-	table_sync_heard(sync, peer, message->revision, message->digest,
-			 message->age_ms);
+	table_sync_receive_heartbeat(sync, peer, message->revision,
+				     message->digest, message->age_ms);
 	if (message->refused)
-		hear_refused(sync, peer, message->refused);
+		receive_refusal(sync, peer, message->refused);
 	if (message->ask || message->revision < table_sync_revision(sync) ||
 	    message->list_revision < sync->list_revision)
 		table_sync_send_digest(sync, peer, false);
@@ -323,7 +328,11 @@
 	return NULL;
 }
 
-/* Return: whether the kept differences lead from there to here. */
+/*
+ * Combines the deltas from the given table to the one in force.
+ *
+ * Return: whether the history has them and they are at most half the text.
+ */
 static bool join_deltas(const struct table_sync *sync, uint64_t revision,
 			uint64_t digest, struct table_delta *out)
 {
@@ -347,8 +356,8 @@
 	return false;
 }
 
-void table_sync_request(struct table_sync *sync, const char *peer,
-			const Peer__TableRequest *message)
+void table_sync_receive_request(struct table_sync *sync, const char *peer,
+				const Peer__TableRequest *message)
 {
 	struct table_delta delta;
 
@@ -360,11 +369,11 @@
 			&delta))
 		send_delta(sync, peer, &delta);
 	else
-		send_whole(sync, peer);
+		send_full_text(sync, peer);
 	table_delta_finish(&delta);
 }
 
-static int take_delta(struct table_sync *sync, const Peer__TableUpdate *message,
+static int read_delta(struct table_sync *sync, const Peer__TableUpdate *message,
 		      struct table *table, struct error *err)
 {
 	struct table_delta delta;
@@ -381,8 +390,8 @@
 	return ret;
 }
 
-static int take_whole(const Peer__TableUpdate *message, struct table *table,
-		      struct error *err)
+static int read_full_text(const Peer__TableUpdate *message, struct table *table,
+			  struct error *err)
 {
 	int ret = table_init(table, (const char *)message->text.data,
 			     message->text.len, message->revision, err);
@@ -391,74 +400,76 @@
 		return ret;
 	table_finish(table);
 	return error_set(err, ERR_PROTOCOL, "table update", NULL,
-			 "the digest announced");
+			 "the announced digest");
 }
 
-/* Asks the sender of an update that could not be used for a better one. */
-static void ask_sender(struct table_sync *sync, const char *peer,
-		       const Peer__TableUpdate *message, bool whole)
+/* Requests another update from the sender of one that cannot be applied. */
+static void pull_from_sender(struct table_sync *sync, const char *peer,
+			     const Peer__TableUpdate *message,
+			     bool is_full_text)
 {
-	struct table_want *w = &sync->want;
+	struct table_pull *pull = &sync->pull;
 
-	if (w->asked && w->revision >= message->revision && w->whole >= whole)
+	if (pull->requested && pull->revision >= message->revision &&
+	    pull->needs_full_text >= is_full_text)
 		return;
-	if (message->revision >= w->revision) {
-		w->revision = message->revision;
-		w->digest = message->digest;
+	if (message->revision >= pull->revision) {
+		pull->revision = message->revision;
+		pull->digest = message->digest;
 	}
-	w->whole = whole;
-	set_name(w->peer, peer);
-	ask(sync);
+	pull->needs_full_text = is_full_text;
+	set_peer(pull->peer, peer);
+	send_pull(sync);
 }
 
-static int update_failed(struct table_sync *sync, const char *peer,
-			 const Peer__TableUpdate *message, int code,
-			 const struct error *err)
+static int handle_update_error(struct table_sync *sync, const char *peer,
+			       const Peer__TableUpdate *message, int code,
+			       const struct error *err)
 {
-	bool whole = !message->base_revision;
+	bool is_full_text = !message->base_revision;
 
 	if (code == ERR_VERSION) {
-		ask_sender(sync, peer, message, false);
+		pull_from_sender(sync, peer, message, false);
 		return code;
 	}
-	/* Differences that don't give the announced table: get the whole. */
-	if (code == ERR_PROTOCOL && !whole) {
+	/* The delta did not produce the announced table: get the full text. */
+	if (code == ERR_PROTOCOL && !is_full_text) {
 		LOG_WARN("table_delta_failed", LOG_TEXT("peer", peer),
 			 LOG_U64("revision", message->revision));
-		ask_sender(sync, peer, message, true);
+		pull_from_sender(sync, peer, message, true);
 		return code;
 	}
 	table_sync_refuse(sync, peer, message->revision, message->digest, err);
-	if (sync->want.revision == message->revision)
-		memset(&sync->want, 0, sizeof(sync->want));
+	if (sync->pull.revision == message->revision)
+		memset(&sync->pull, 0, sizeof(sync->pull));
 	return code;
 }
 
-int table_sync_update(struct table_sync *sync, const char *peer,
-		      const Peer__TableUpdate *message)
+int table_sync_receive_update(struct table_sync *sync, const char *peer,
+			      const Peer__TableUpdate *message)
 {
-	bool whole = !message->base_revision;
+	bool is_full_text = !message->base_revision;
 	struct error err = {0};
 	struct table table;
 	int ret;
 
-	hear_of(sync, peer);
-	switch (table_sync_judge(sync, message->revision, message->digest)) {
-	case STANDING_CONFLICT:
-		table_sync_note_conflict(sync, peer, message->digest);
+	count_start_peer(sync, peer);
+	switch (table_sync_compare(sync, message->revision, message->digest)) {
+	case REVISION_CONFLICT:
+		table_sync_report_conflict(sync, peer, message->digest);
 		return ERR_CONFLICT;
-	case STANDING_NEWER:
+	case REVISION_NEWER:
 		break;
 	default:
 		return ERR_STALE;
 	}
 	if (table_sync_is_refused(sync, message->revision, message->digest))
 		return ERR_STALE;
-	ret = whole ? take_whole(message, &table, &err)
-		    : take_delta(sync, message, &table, &err);
+	ret = is_full_text ? read_full_text(message, &table, &err)
+			   : read_delta(sync, message, &table, &err);
 	if (ret)
-		return update_failed(sync, peer, message, ret, &err);
-	sync->counts.by_delta += !whole;
-	table_sync_put_in_force(sync, &table, peer);
+		return handle_update_error(sync, peer, message, ret, &err);
+	sync->counts.by_delta += !is_full_text;
+	table_sync_replace_and_push(sync, &table, peer);
 	return 0;
 }
--- a/table_sync_platform.c
+++ b/table_sync_platform.c
@@ -7,28 +7,29 @@
 #include "log.h"
 #include "mem.h"
 
-static void set_behind(struct table_sync *sync, uint64_t revision)
+static void set_platform_behind(struct table_sync *sync, uint64_t revision)
 {
 	sync->counts.stale++;
 	sync->reader.behind = true;
-	sync->behind_at = clock_now(sync->clock);
+	sync->platform_behind_at = clock_now(sync->clock);
 	table_sync_raise_alarm(sync, TABLE_ALARM_PLATFORM_BEHIND, revision);
 }
 
 /*
- * Against an answer that waited in a socket while the process was stopped: it
- * tells what the platform had then, not now. All that had come in before
- * settled_at was handled by then, so this came later.
+ * An answer may have waited in a socket while the process was stopped, so it
+ * need not show what the platform has now. Everything received before
+ * processed_until was processed by then, so this answer was received later.
  */
 static void confirm_by_platform(struct table_sync *sync)
 {
 	int64_t sent_at = sync->reader.watches[READER_TABLE].sent_at;
 
-	table_sync_confirm(sync, sync->settled_at > sent_at ? sync->settled_at
-							    : sent_at);
+	table_sync_confirm(sync, sync->processed_until > sent_at
+					 ? sync->processed_until
+					 : sent_at);
 }
 
-static void check_text(struct table_sync *sync, struct str text,
+static void apply_text(struct table_sync *sync, struct str text,
 		       uint64_t revision, uint64_t raw_digest)
 {
 	struct error err = {0};
@@ -38,37 +39,37 @@
 		table_sync_refuse(sync, "platform", revision, raw_digest, &err);
 		return;
 	}
-	switch (table_sync_judge(sync, revision, table.digest)) {
-	case STANDING_NEWER:
-		table_sync_put_in_force(sync, &table, "platform");
+	switch (table_sync_compare(sync, revision, table.digest)) {
+	case REVISION_NEWER:
+		table_sync_replace_and_push(sync, &table, "platform");
 		sync->raw_digest = raw_digest;
-		table_sync_push_from_platform(sync);
+		table_sync_notify_data_centres(sync);
 		return;
-	case STANDING_SAME:
+	case REVISION_SAME:
 		sync->raw_digest = raw_digest;
 		break;
-	case STANDING_CONFLICT:
-		table_sync_note_conflict(sync, "platform", table.digest);
+	case REVISION_CONFLICT:
+		table_sync_report_conflict(sync, "platform", table.digest);
 		break;
-	case STANDING_STALE:
+	case REVISION_STALE:
 		break;
 	}
 	table_finish(&table);
 }
 
 /*
- * A refused table above the one in force confirms that one: there is nothing
- * newer that is valid.
+ * A refused table with a higher revision also confirms the one in force:
+ * nothing newer is valid.
  */
 static void confirm_by_value(struct table_sync *sync, uint64_t revision)
 {
-	table_sync_clear_behind(sync);
-	sync->platform_refused =
+	table_sync_clear_platform_behind(sync);
+	sync->platform_refused_revision =
 		revision > table_sync_revision(sync) ? revision : 0;
 	confirm_by_platform(sync);
 }
 
-/* Parts that came stay, so that only those that changed are read next time. */
+/* Keeps the fetched parts, so that only changed ones are read next time. */
 void table_sync_stop_parts(struct table_sync *sync)
 {
 	if (!sync->parts)
@@ -81,10 +82,10 @@
 
 static void fetch_next_part(struct table_sync *sync)
 {
-	sync->part_id++;
+	sync->part_call_id++;
 	sync->counts.calls++;
-	sync->ops->fetch_part(sync->ctx, table_parts_key(sync->parts),
-			      sync->part_id);
+	sync->ops->fetch_part(sync->ctx, table_parts_next_key(sync->parts),
+			      sync->part_call_id);
 }
 
 static void finish_call(struct table_sync *sync, enum reader_key key,
@@ -109,14 +110,14 @@
 	table_sync_stop_parts(sync);
 	table_sync_clear_alarm(sync, TABLE_ALARM_PARTS);
 	if (revision >= table_sync_revision(sync)) {
-		check_text(sync, text, revision, sync->parts_digest);
+		apply_text(sync, text, revision, sync->manifest_digest);
 		confirm_by_value(sync, revision);
 	}
 	free((char *)text.data);
-	finish_call(sync, READER_TABLE, sync->parts_call_id, &done);
+	finish_call(sync, READER_TABLE, sync->manifest_call_id, &done);
 }
 
-/* Return: whether the call goes on with the parts. */
+/* Return: whether the call continues with reading parts. */
 static bool start_parts(struct table_sync *sync, uint64_t call_id,
 			const struct platform_answer *answer)
 {
@@ -132,19 +133,19 @@
 		table_sync_stop_parts(sync);
 		return false;
 	}
-	sync->parts_call_id = call_id;
-	sync->parts_digest = raw_digest;
+	sync->manifest_call_id = call_id;
+	sync->manifest_digest = raw_digest;
 	table_parts_reuse(sync->parts, &sync->last_parts);
-	if (table_parts_key(sync->parts))
+	if (table_parts_next_key(sync->parts))
 		fetch_next_part(sync);
 	else
 		parts_complete(sync);
 	return true;
 }
 
-/* Return: whether the call goes on with the parts. */
-static bool take_value(struct table_sync *sync, uint64_t id,
-		       const struct platform_answer *answer)
+/* Return: whether the call continues with reading parts. */
+static bool handle_value(struct table_sync *sync, uint64_t id,
+			 const struct platform_answer *answer)
 {
 	uint64_t raw_digest = str_hash(answer->text);
 	uint64_t revision = answer->revision;
@@ -152,27 +153,28 @@
 		     raw_digest == sync->raw_digest;
 
 	if (revision < table_sync_revision(sync)) {
-		set_behind(sync, revision);
+		set_platform_behind(sync, revision);
 		return false;
 	}
-	sync->platform_shown = revision;
+	sync->platform_revision = revision;
 	known = known || table_sync_is_refused(sync, revision, raw_digest);
 	if (!known && table_parts_is_manifest(answer->text) &&
 	    start_parts(sync, id, answer))
 		return true;
 	if (!known && !table_sync_is_refused(sync, revision, raw_digest))
-		check_text(sync, answer->text, revision, raw_digest);
+		apply_text(sync, answer->text, revision, raw_digest);
 	confirm_by_value(sync, revision);
 	return false;
 }
 
 /*
- * "Nothing newer" confirms only the revision that was asked about: if a peer
- * gave a newer one meanwhile, the platform that said so lags. It is asked only
- * about a revision that it has shown, see must_verify() in reader.c: one that
- * lost it says the same.
+ * "Nothing newer" confirms only the revision that the call was sent with: if a
+ * peer sent a newer one meanwhile, this replica of the platform lags. The call
+ * is conditional only on a revision that the platform has returned before, see
+ * must_verify() in reader.c, because a platform that lost the revision answers
+ * the same.
  */
-static void take_nothing_newer(struct table_sync *sync)
+static void handle_nothing_newer(struct table_sync *sync)
 {
 	const struct reader_watch *watch = &sync->reader.watches[READER_TABLE];
 
@@ -182,34 +184,35 @@
 	confirm_by_platform(sync);
 }
 
-static void take_instances(struct table_sync *sync,
-			   const struct platform_answer *answer)
+static void handle_instances(struct table_sync *sync,
+			     const struct platform_answer *answer)
 {
 	sync->reader.watches[READER_INSTANCES].after = answer->revision;
 	sync->ops->instances(sync->ctx, answer->text, answer->revision);
 }
 
-void table_sync_answered(struct table_sync *sync, enum reader_key key,
-			 uint64_t id, const struct platform_answer *answer)
+void table_sync_receive_answer(struct table_sync *sync, enum reader_key key,
+			       uint64_t id,
+			       const struct platform_answer *answer)
 {
 	bool parts = false;
 
 	if (!reader_awaits(&sync->reader, key, id))
 		return;
 	if (!answer->code && answer->newer && key == READER_INSTANCES)
-		take_instances(sync, answer);
+		handle_instances(sync, answer);
 	else if (!answer->code && answer->newer)
-		parts = take_value(sync, id, answer);
+		parts = handle_value(sync, id, answer);
 	else if (!answer->code && key == READER_TABLE)
-		take_nothing_newer(sync);
+		handle_nothing_newer(sync);
 	if (!parts)
 		finish_call(sync, key, id, answer);
 }
 
 /*
- * Against a table mixed of two: the manifest was replaced while its parts were
- * read, so that one is gone or not the one it names. Nothing is taken, and the
- * manifest is read again.
+ * Prevents a table that mixes parts of two revisions: if the manifest is
+ * replaced while its parts are fetched, a part is missing or has another
+ * digest. No table is applied then, and the manifest is read again.
  */
 static void parts_failed(struct table_sync *sync, const char *key, int code)
 {
@@ -220,26 +223,26 @@
 	LOG_ERROR("table_part_failed", LOG_U64("revision", revision),
 		  LOG_TEXT("key", key), LOG_TEXT("error", error_name(code)));
 	table_sync_stop_parts(sync);
-	finish_call(sync, READER_TABLE, sync->parts_call_id, &failed);
+	finish_call(sync, READER_TABLE, sync->manifest_call_id, &failed);
 }
 
-void table_sync_part(struct table_sync *sync, uint64_t id,
-		     const struct platform_answer *answer)
+void table_sync_receive_part(struct table_sync *sync, uint64_t id,
+			     const struct platform_answer *answer)
 {
 	int code = answer->code;
 	struct error err = {0};
 	const char *key;
 
-	if (!sync->parts || id != sync->part_id)
+	if (!sync->parts || id != sync->part_call_id)
 		return;
-	key = table_parts_key(sync->parts);
+	key = table_parts_next_key(sync->parts);
 	if (code == ERR_KEY_MISSING || (!code && !answer->newer))
 		code = ERR_PART;
 	if (!code)
 		code = table_parts_add(sync->parts, answer->text, &err);
 	if (code)
 		parts_failed(sync, key, code);
-	else if (table_parts_key(sync->parts))
+	else if (table_parts_next_key(sync->parts))
 		fetch_next_part(sync);
 	else
 		parts_complete(sync);
--- a/table_sync_state.c
+++ b/table_sync_state.c
@@ -1,4 +1,4 @@
-/* Which table is in force, how sure that is, and what was refused. */
+/* Table in force and its confirmation, alarms and refused revisions. */
 #define LOG_MODULE "table_sync"
 #include "table_sync_private.h"
 
@@ -15,13 +15,13 @@
 	[TABLE_ALARM_UNCONFIRMED] = "table_unconfirmed",
 };
 
-const char *const table_doubt_names[] = {
+const char *const table_confirmation_names[] = {
 	[TABLE_CONFIRMED] = "confirmed",
 	[TABLE_NONE] = "no_table",
-	[TABLE_UNHEARD] = "never_confirmed",
-	[TABLE_OLD] = "confirmation_old",
+	[TABLE_NEVER_CONFIRMED] = "never_confirmed",
+	[TABLE_CONFIRMATION_OLD] = "confirmation_old",
 	[TABLE_OVERTAKEN] = "overtaken",
-	[TABLE_PLATFORM_LOWER] = "platform_behind",
+	[TABLE_PLATFORM_BEHIND] = "platform_behind",
 };
 
 uint64_t table_sync_revision(const struct table_sync *sync)
@@ -29,15 +29,15 @@
 	return sync->in_force ? sync->in_force->revision : 0;
 }
 
-enum standing table_sync_judge(const struct table_sync *sync, uint64_t revision,
-			       uint64_t digest)
+enum revision_relation table_sync_compare(const struct table_sync *sync,
+					  uint64_t revision, uint64_t digest)
 {
 	if (revision > table_sync_revision(sync))
-		return STANDING_NEWER;
+		return REVISION_NEWER;
 	if (revision < table_sync_revision(sync) || !sync->in_force)
-		return STANDING_STALE;
-	return digest == sync->in_force->digest ? STANDING_SAME
-						: STANDING_CONFLICT;
+		return REVISION_STALE;
+	return digest == sync->in_force->digest ? REVISION_SAME
+						: REVISION_CONFLICT;
 }
 
 bool table_sync_raise_alarm(struct table_sync *sync, enum table_alarm alarm,
@@ -71,19 +71,19 @@
 		 LOG_U64("in_force", table_sync_revision(sync)));
 }
 
-void table_sync_clear_behind(struct table_sync *sync)
+void table_sync_clear_platform_behind(struct table_sync *sync)
 {
 	sync->reader.behind = false;
 	table_sync_clear_alarm(sync, TABLE_ALARM_PLATFORM_BEHIND);
 }
 
 /*
- * What stays in force is what was in force: of two tables with one revision
- * neither is newer, and a switch between them could repeat for ever. The next
- * higher revision ends it everywhere.
+ * On a conflict the table in force stays: neither of two tables with the same
+ * revision is newer, and instances could switch between them for ever. The next
+ * higher revision resolves the conflict everywhere.
  */
-void table_sync_note_conflict(struct table_sync *sync, const char *source,
-			      uint64_t digest)
+void table_sync_report_conflict(struct table_sync *sync, const char *source,
+				uint64_t digest)
 {
 	if (sync->alarms[TABLE_ALARM_CONFLICT].active &&
 	    sync->conflict_digest == digest)
@@ -122,28 +122,28 @@
 
 bool table_sync_is_overtaken(const struct table_sync *sync)
 {
-	return sync->want.revision > table_sync_revision(sync);
+	return sync->pull.revision > table_sync_revision(sync);
 }
 
-enum table_doubt table_sync_doubt(const struct table_sync *sync)
+enum table_confirmation table_sync_confirmation(const struct table_sync *sync)
 {
 	int64_t bound = MSEC(sync->reader.tunables->table_confirm_ms);
 
 	if (!sync->in_force)
 		return TABLE_NONE;
 	if (sync->reader.behind)
-		return TABLE_PLATFORM_LOWER;
+		return TABLE_PLATFORM_BEHIND;
 	if (table_sync_is_overtaken(sync))
 		return TABLE_OVERTAKEN;
 	if (sync->confirmed_at < 0)
-		return TABLE_UNHEARD;
+		return TABLE_NEVER_CONFIRMED;
 	if (table_sync_age(sync) > bound)
-		return TABLE_OLD;
+		return TABLE_CONFIRMATION_OLD;
 	return TABLE_CONFIRMED;
 }
 
-static void keep_delta(struct table_sync *sync, const struct table *from,
-		       const struct table *to)
+static void add_history(struct table_sync *sync, const struct table *from,
+			const struct table *to)
 {
 	struct table_delta *slot = &sync->history[sync->next_history];
 
@@ -158,22 +158,22 @@
 	uint64_t revision = table_sync_revision(sync);
 
 	table_sync_clear_alarm(sync, TABLE_ALARM_CONFLICT);
-	if (sync->refused.revision <= revision)
+	if (sync->highest_refusal.revision <= revision)
 		table_sync_clear_alarm(sync, TABLE_ALARM_REFUSED);
 	if (sync->alarms[TABLE_ALARM_PARTS].revision <= revision)
 		table_sync_clear_alarm(sync, TABLE_ALARM_PARTS);
-	if (sync->want.revision <= revision)
-		memset(&sync->want, 0, sizeof(sync->want));
+	if (sync->pull.revision <= revision)
+		memset(&sync->pull, 0, sizeof(sync->pull));
 }
 
-void table_sync_take(struct table_sync *sync, const struct table *newer,
-		     const char *source)
+void table_sync_replace(struct table_sync *sync, const struct table *newer,
+			const char *source)
 {
 	struct table *table = mem_zalloc(sizeof(*table));
 	struct table *old = sync->in_force;
 
 	*table = *newer;
-	keep_delta(sync, old, table);
+	add_history(sync, old, table);
 	sync->in_force = table;
 	sync->raw_digest = 0;
 	sync->in_force_at = clock_now(sync->clock);
@@ -199,13 +199,13 @@
 	return false;
 }
 
-bool table_sync_remember_refused(struct table_sync *sync,
-				 const struct table_refusal *refusal)
+bool table_sync_set_highest_refusal(struct table_sync *sync,
+				    const struct table_refusal *refusal)
 {
 	if (refusal->revision <= table_sync_revision(sync) ||
-	    refusal->revision < sync->refused.revision)
+	    refusal->revision < sync->highest_refusal.revision)
 		return false;
-	sync->refused = *refusal;
+	sync->highest_refusal = *refusal;
 	return table_sync_raise_alarm(sync, TABLE_ALARM_REFUSED,
 				      refusal->revision);
 }
--- a/tests/test_list_sync.c
+++ b/tests/test_list_sync.c
@@ -213,7 +213,7 @@
 
 static struct node *reader_of(struct net *net)
 {
-	return &net->nodes[index_of(net->nodes[0].peers.own[0].instance)];
+	return &net->nodes[index_of(net->nodes[0].peers.local[0].instance)];
 }
 
 /* A list of @n rows in which the row @changed differs by @revision. */
--- a/tests/test_table_sync.c
+++ b/tests/test_table_sync.c
@@ -10,13 +10,13 @@
 #define DATA_CENTRES 3
 #define ROWS 30
 #define SEED 7
-/* Longest until a change is in force everywhere, in these small fleets. */
-#define SPREAD_MS 7000
+/* Longest time until all instances of these small fleets have a change. */
+#define PROPAGATION_MS 7000
 #define HOUR_MS 3600000
 
 /*
- * The baseline: every instance reads the platform each second and asks any
- * peer that has another table for it; the last write seen wins.
+ * Baseline policy: every instance reads the platform each second and requests
+ * the table from any peer that has a different one; the last one seen wins.
  */
 struct naive {
 	struct sim *sim;
@@ -170,7 +170,7 @@
 	.age_ms = naive_age_ms,
 };
 
-/* A fleet with table 10 in force everywhere. */
+/* A simulated fleet in which revision 10 is in force everywhere. */
 struct world {
 	struct sim sim;
 	struct sheets sheets;
@@ -182,7 +182,8 @@
 	sim_init(&world->sim, policy, NODES, DATA_CENTRES, SEED);
 	sim_publish_sheets(&world->sim, &world->sheets, 10);
 	sim_start_all(&world->sim);
-	CU_ASSERT_TRUE_FATAL(sim_run_until(&world->sim, 10, SPREAD_MS) >= 0);
+	CU_ASSERT_TRUE_FATAL(sim_run_until(&world->sim, 10, PROPAGATION_MS) >=
+			     0);
 	sim_run(&world->sim, 3000);
 }
 
@@ -199,9 +200,9 @@
 	return sim_publish_sheets(&world->sim, &world->sheets, revision);
 }
 
-static bool spreads(struct world *world, uint64_t revision)
+static bool reaches_all(struct world *world, uint64_t revision)
 {
-	return sim_run_until(&world->sim, revision, SPREAD_MS) >= 0;
+	return sim_run_until(&world->sim, revision, PROPAGATION_MS) >= 0;
 }
 
 static int count_alarm(struct sim *sim, enum table_alarm alarm)
@@ -215,18 +216,18 @@
 	return count;
 }
 
-static int count_doubt(struct sim *sim, enum table_doubt doubt)
+static int count_confirmation(struct sim *sim, enum table_confirmation state)
 {
 	int count = 0;
 	int i;
 
 	for (i = 0; i < sim->n; i++)
 		count += sim->nodes[i].alive &&
-			 table_sync_doubt(sim_sync(sim, i)) == doubt;
+			 table_sync_confirmation(sim_sync(sim, i)) == state;
 	return count;
 }
 
-/* The first instance that is, or is not, a reader. */
+/* Returns the first instance that is, or is not, a reader. */
 static int find_reader(struct sim *sim, bool reader)
 {
 	int i;
@@ -239,8 +240,8 @@
 }
 
 /*
- * Nothing fails. Each change is in force everywhere, by differences, only the
- * readers watch the platform, and all instances know the table is the newest.
+ * Without faults each change must reach all instances as a delta, only readers
+ * poll the platform, and every instance has its table confirmed.
  */
 static void test_spread(void)
 {
@@ -252,11 +253,11 @@
 	world_init(&world, &sim_table_sync);
 	for (revision = 11; revision < 20; revision++) {
 		publish(&world, revision);
-		/* By the push: a comparison would take seconds. */
+		/* Only a push is that fast: digests take seconds. */
 		CU_ASSERT_TRUE(sim_run_until(&world.sim, revision, 300) >= 0);
 	}
 	sim_run(&world.sim, 10000);
-	CU_ASSERT_EQUAL(count_doubt(&world.sim, TABLE_CONFIRMED), NODES);
+	CU_ASSERT_EQUAL(count_confirmation(&world.sim, TABLE_CONFIRMED), NODES);
 	for (i = 0; i < NODES; i++) {
 		struct table_sync *sync = sim_sync(&world.sim, i);
 
@@ -266,16 +267,16 @@
 	}
 	calls = world.sim.platform.calls;
 	sim_run(&world.sim, 60000);
-	/* Two readers, two keys, waits of 8 to 10 s, three data centres. */
+	/* Two readers, two keys, long polls of 8 to 10 s, three centres. */
 	CU_ASSERT_TRUE(world.sim.platform.calls - calls <= 2 * 2 * 8 * 3);
 	CU_ASSERT_EQUAL(world.sim.reverts, 0);
 	world_finish(&world);
 }
 
 /*
- * An operator mistypes a cell. Callers must notice nothing: the table is
- * refused whole, every instance says which cell it is, the old table stays,
- * it isn't read again and again, and the corrected one is taken at once.
+ * An operator mistypes a cell. Callers must not be affected: the whole table is
+ * refused, every instance reports the cell and keeps the old table, the invalid
+ * one is not read repeatedly, and the corrected one is applied at once.
  */
 static void test_invalid(void)
 {
@@ -289,14 +290,14 @@
 	sim_publish_sheets(&world.sim, &world.sheets, 11);
 	sim_run(&world.sim, 300);
 	CU_ASSERT_EQUAL(count_alarm(&world.sim, TABLE_ALARM_REFUSED), NODES);
-	sim_run(&world.sim, SPREAD_MS);
+	sim_run(&world.sim, PROPAGATION_MS);
 	CU_ASSERT_EQUAL(sim_count(&world.sim, 10), NODES);
 	CU_ASSERT_EQUAL(count_alarm(&world.sim, TABLE_ALARM_REFUSED), NODES);
-	CU_ASSERT_EQUAL(count_doubt(&world.sim, TABLE_CONFIRMED), NODES);
+	CU_ASSERT_EQUAL(count_confirmation(&world.sim, TABLE_CONFIRMED), NODES);
 	sync = sim_sync(&world.sim, find_reader(&world.sim, false));
-	CU_ASSERT_EQUAL(sync->refused.revision, 11);
-	CU_ASSERT_EQUAL(sync->refused.error.code, ERR_RANGE);
-	CU_ASSERT_STRING_EQUAL(sync->refused.error.subject,
+	CU_ASSERT_EQUAL(sync->highest_refusal.revision, 11);
+	CU_ASSERT_EQUAL(sync->highest_refusal.error.code, ERR_RANGE);
+	CU_ASSERT_STRING_EQUAL(sync->highest_refusal.error.subject,
 			       "servers row 5 column slots");
 	sync = sim_sync(&world.sim, find_reader(&world.sim, true));
 	calls = world.sim.platform.bytes;
@@ -304,7 +305,7 @@
 	sim_run(&world.sim, 60000);
 	CU_ASSERT_EQUAL(sync->counts.refused, refused);
 	CU_ASSERT_EQUAL(world.sim.platform.bytes, calls);
-	/* After a failure it is read again, but not checked again. */
+	/* After a failed call it is read again, but not parsed again. */
 	world.sim.platform.down = true;
 	sim_show(&world.sim, world.sim.platform.shown, -1);
 	sim_run(&world.sim, 5000);
@@ -314,7 +315,7 @@
 	CU_ASSERT_EQUAL(sync->counts.refused, refused);
 	world.sheets.slots[4] = 2;
 	publish(&world, 12);
-	CU_ASSERT_TRUE(spreads(&world, 12));
+	CU_ASSERT_TRUE(reaches_all(&world, 12));
 	CU_ASSERT_EQUAL(count_alarm(&world.sim, TABLE_ALARM_REFUSED), 0);
 	world_finish(&world);
 }
@@ -332,9 +333,9 @@
 }
 
 /*
- * A reader's connection ends at a replica of the platform that stopped
- * following, for an hour. Then the replica comes back. The higher revision
- * stays in force all the time, and the readers report the lower one.
+ * Readers are connected to a replica of the platform that stopped replicating
+ * for a long time and then recovers. The higher revision must stay in force,
+ * and the readers report the lower one until the replica has caught up.
  */
 static uint64_t run_stale(const struct sim_policy *policy, bool checked)
 {
@@ -345,7 +346,7 @@
 	world_init(&world, policy);
 	old = world.sim.platform.shown;
 	publish(&world, 11);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	sim_show(&world.sim, old, -1);
 	sim_run(&world.sim, checked ? HOUR_MS / 4 : 20000);
 	if (checked) {
@@ -358,7 +359,7 @@
 		CU_ASSERT_EQUAL(count_alarm(&world.sim,
 					    TABLE_ALARM_PLATFORM_BEHIND),
 				0);
-		CU_ASSERT_EQUAL(count_doubt(&world.sim, TABLE_CONFIRMED),
+		CU_ASSERT_EQUAL(count_confirmation(&world.sim, TABLE_CONFIRMED),
 				NODES);
 	}
 	reverts = world.sim.reverts;
@@ -373,9 +374,9 @@
 }
 
 /*
- * The platform is restored from a backup: revision 14 is lost and it shows 11
- * again. Meanwhile all instances but one are replaced. The fleet keeps 14 and
- * says that the platform is behind, until operators are above 14.
+ * The platform is restored from a backup: revision 14 is lost and it returns 11
+ * again. Then all instances but one are replaced. The fleet must keep 14 and
+ * raise the alarm "platform behind" until a revision above 14 is published.
  */
 static void test_restored(void)
 {
@@ -385,29 +386,29 @@
 	world_init(&world, &sim_table_sync);
 	backup = publish(&world, 11);
 	publish(&world, 14);
-	CU_ASSERT_TRUE(spreads(&world, 14));
+	CU_ASSERT_TRUE(reaches_all(&world, 14));
 	world.sim.platform.down = true;
 	sim_show(&world.sim, -1, -1);
 	sim_run(&world.sim, 60000);
 	world.sim.platform.down = false;
 	sim_show(&world.sim, backup, -1);
 	replace_all_but(&world.sim, 5);
-	CU_ASSERT_TRUE(spreads(&world, 14));
+	CU_ASSERT_TRUE(reaches_all(&world, 14));
 	sim_run(&world.sim, 60000);
 	CU_ASSERT_EQUAL(sim_count(&world.sim, 14), NODES);
 	CU_ASSERT_TRUE(count_alarm(&world.sim, TABLE_ALARM_PLATFORM_BEHIND) >=
 		       2 * DATA_CENTRES);
-	CU_ASSERT_TRUE(count_doubt(&world.sim, TABLE_PLATFORM_LOWER) >=
+	CU_ASSERT_TRUE(count_confirmation(&world.sim, TABLE_PLATFORM_BEHIND) >=
 		       2 * DATA_CENTRES);
-	/* "Nothing newer than 14" from such a platform confirms nothing. */
-	CU_ASSERT_EQUAL(count_doubt(&world.sim, TABLE_CONFIRMED), 0);
+	/* "Nothing newer than 14" from this platform confirms nothing. */
+	CU_ASSERT_EQUAL(count_confirmation(&world.sim, TABLE_CONFIRMED), 0);
 	world.sheets.lease_ms = 1234;
 	publish(&world, 12);
-	sim_run(&world.sim, SPREAD_MS);
+	sim_run(&world.sim, PROPAGATION_MS);
 	CU_ASSERT_EQUAL(sim_count(&world.sim, 14), NODES);
 	publish(&world, 15);
-	CU_ASSERT_TRUE(spreads(&world, 15));
-	sim_run(&world.sim, SPREAD_MS);
+	CU_ASSERT_TRUE(reaches_all(&world, 15));
+	sim_run(&world.sim, PROPAGATION_MS);
 	CU_ASSERT_EQUAL(count_alarm(&world.sim, TABLE_ALARM_PLATFORM_BEHIND),
 			0);
 	CU_ASSERT_EQUAL(world.sim.reverts, 0);
@@ -415,11 +416,11 @@
 }
 
 /*
- * The platform is down for half a minute and comes back from a backup. Its
- * answer to a watch, nothing newer, looks as ever: it has to be noticed at
- * once, not at the next whole read minutes later.
+ * The platform is down for half a minute and is restored from a backup. It
+ * answers long polls with "nothing newer" as before. The lost revision must be
+ * detected at once, not at the next unconditional read minutes later.
  */
-static void test_restored_quietly(void)
+static void test_restored_same_answers(void)
 {
 	struct world world;
 	int backup;
@@ -427,7 +428,7 @@
 	world_init(&world, &sim_table_sync);
 	backup = world.sim.platform.shown;
 	publish(&world, 11);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	world.sim.platform.down = true;
 	sim_show(&world.sim, backup, -1);
 	sim_run(&world.sim, 30000);
@@ -440,10 +441,10 @@
 }
 
 /*
- * Two replicas of the platform answer in turn, one of them a revision behind.
- * Calls must not see limits jump to and fro.
+ * Two replicas of the platform answer alternately, one of them a revision
+ * behind. Instances must not switch back and forth between the revisions.
  */
-static uint64_t run_flapping(const struct sim_policy *policy)
+static uint64_t run_alternating(const struct sim_policy *policy)
 {
 	struct world world;
 	uint64_t reverts;
@@ -453,7 +454,7 @@
 	old = world.sim.platform.shown;
 	publish(&world, 11);
 	sim_show(&world.sim, world.sim.platform.shown, old);
-	CU_ASSERT_TRUE(policy == &naive_policy || spreads(&world, 11));
+	CU_ASSERT_TRUE(policy == &naive_policy || reaches_all(&world, 11));
 	sim_run(&world.sim, 60000);
 	CU_ASSERT_TRUE(policy == &naive_policy ||
 		       sim_count(&world.sim, 11) == NODES);
@@ -462,16 +463,16 @@
 	return reverts;
 }
 
-static void test_flapping(void)
+static void test_alternating_replicas(void)
 {
-	CU_ASSERT_EQUAL(run_flapping(&sim_table_sync), 0);
-	CU_ASSERT_NOT_EQUAL(run_flapping(&naive_policy), 0);
+	CU_ASSERT_EQUAL(run_alternating(&sim_table_sync), 0);
+	CU_ASSERT_NOT_EQUAL(run_alternating(&naive_policy), 0);
 }
 
 /*
- * After a repair by hand the platform has two contents under revision 11, one
- * a replica. Each instance keeps the one it had, both alarm, and revision 12
- * ends it everywhere.
+ * After a manual repair the replicas of the platform have different contents
+ * under revision 11. Each instance must keep the one it has and raise an alarm;
+ * revision 12 resolves the conflict everywhere.
  */
 static void test_conflict(void)
 {
@@ -484,13 +485,13 @@
 	for (i = 0; i < NODES; i++)
 		sim->nodes[i].group = i % DATA_CENTRES == 0;
 	publish(&world, 11);
-	sim_run(sim, SPREAD_MS);
+	sim_run(sim, PROPAGATION_MS);
 	left = sim_count(sim, 11);
 	CU_ASSERT_TRUE(left > 0 && left < NODES);
 	sim->platform.group = 1;
 	world.sheets.lease_ms = 4321;
 	publish(&world, 11);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	for (i = 0; i < NODES; i++)
 		sim->nodes[i].group = 1;
 	sim_run(sim, 60000);
@@ -498,11 +499,11 @@
 	CU_ASSERT_EQUAL(sim_sync(sim, 0)->in_force->tunables.lease_ms, 4321);
 	CU_ASSERT_EQUAL(sim_sync(sim, 1)->in_force->tunables.lease_ms, 2000);
 	CU_ASSERT_EQUAL(sim_sync(sim, 1)->counts.in_force, 2);
-	/* Heartbeats repeat it, the alarm does not. */
+	/* Each heartbeat shows the conflict again; it is counted once. */
 	for (i = 0; i < NODES; i++)
 		CU_ASSERT_TRUE(sim_sync(sim, i)->counts.conflicts <= 1);
 	publish(&world, 12);
-	CU_ASSERT_TRUE(spreads(&world, 12));
+	CU_ASSERT_TRUE(reaches_all(&world, 12));
 	CU_ASSERT_EQUAL(count_alarm(sim, TABLE_ALARM_CONFLICT), 0);
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	for (i = 1; i < NODES; i++)
@@ -512,10 +513,10 @@
 }
 
 /*
- * One data centre is cut off from the others and from the platform while
- * three changes are made, and serves by its last table, saying its age. When
- * the partition heals it has the newest within seconds, and no instance takes
- * the older table from it.
+ * One data centre is partitioned from the others and from the platform during
+ * three changes. It serves with its last table and reports that it is old. When
+ * the partition heals it must get the newest table within seconds, and no
+ * instance may apply its older one.
  */
 static uint64_t run_partition(const struct sim_policy *policy)
 {
@@ -535,13 +536,14 @@
 	sim_run(sim, 40000);
 	CU_ASSERT_EQUAL(sim_count(sim, 10), NODES / DATA_CENTRES);
 	CU_ASSERT_TRUE(naive ||
-		       count_doubt(sim, TABLE_OLD) == NODES / DATA_CENTRES);
-	/* The peers meet again, the platform is down by now. */
+		       count_confirmation(sim, TABLE_CONFIRMATION_OLD) ==
+			       NODES / DATA_CENTRES);
+	/* The partition heals, but now the platform is down. */
 	sim->platform.down = true;
 	for (i = 0; i < NODES; i++)
 		sim->nodes[i].group = 0;
 	sim->nodes[0].group = 0;
-	CU_ASSERT_TRUE(naive || spreads(&world, 13));
+	CU_ASSERT_TRUE(naive || reaches_all(&world, 13));
 	sim_run(sim, 10000);
 	reverts = sim->reverts;
 	world_finish(&world);
@@ -554,9 +556,9 @@
 }
 
 /*
- * A new instance starts while the platform's replica is stale and some peers
- * were cut off with an old table. It must not serve by either: it waits until
- * it heard from enough peers, and takes the highest.
+ * A new instance starts while the platform's replica is stale and answers
+ * before any peer. It must not serve with the stale table, but wait for enough
+ * peers and apply the highest revision.
  */
 static void test_new_instance(void)
 {
@@ -569,7 +571,7 @@
 	world_init(&world, &sim_table_sync);
 	old = sim->platform.shown;
 	publish(&world, 11);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	sim_show(sim, old, -1);
 	/* The platform answers before any peer does. */
 	sim->peer_delay = MSEC(200);
@@ -578,19 +580,19 @@
 	sim_start(sim, 5);
 	sync = sim_sync(sim, 5);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), ERR_NOT_RUN);
-	for (i = 0; i < SPREAD_MS && table_sync_ready(sync); i++)
+	for (i = 0; i < PROPAGATION_MS && table_sync_ready(sync); i++)
 		sim_run(sim, 1);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), 0);
 	CU_ASSERT_EQUAL(sync->in_force->revision, 11);
 	world_finish(&world);
 }
 
-static const struct reader_watch *watch_of(const struct table_sync *sync)
+static const struct reader_watch *table_watch(const struct table_sync *sync)
 {
 	return &sync->reader.watches[READER_TABLE];
 }
 
-/* The platform's answer to the call that waits, which was sent nowhere. */
+/* Answers the pending call of an instance that cannot reach the platform. */
 static void answer_call(struct sim *sim, int node, int version)
 {
 	const struct sim_version *from = &sim->platform.versions[version];
@@ -601,14 +603,14 @@
 	};
 	struct table_sync *sync = sim_sync(sim, node);
 
-	table_sync_answered(sync, READER_TABLE, watch_of(sync)->call_id,
-			    &answer);
+	table_sync_receive_answer(sync, READER_TABLE,
+				  table_watch(sync)->call_id, &answer);
 }
 
 /*
- * An instance is replaced while the platform shows an old table. The table
- * comes before the list of instances, so that the new one knows only itself,
- * waits for no peer, and searches go by a table that was replaced long ago.
+ * An instance is replaced while the platform returns an old table. It receives
+ * the table before the list of instances, so it knows no peers. It must not
+ * conclude that there are none to wait for and serve with the old table.
  */
 static void test_new_instance_knows_only_itself(void)
 {
@@ -622,7 +624,7 @@
 	world_init(&world, &sim_table_sync);
 	old = sim->platform.shown;
 	publish(&world, 11);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	sim_show(sim, old, -1);
 	sim->silent_pings = true;
 	sim_stop(sim, 5);
@@ -632,25 +634,25 @@
 	self.instance = str_from(sim->nodes[5].name);
 	self.data_centre = str_from(sim->nodes[5].data_centre);
 	table_sync_set_members(sync, &self, 1);
-	for (i = 0; i < SPREAD_MS && !watch_of(sync)->busy; i++)
+	for (i = 0; i < PROPAGATION_MS && !table_watch(sync)->busy; i++)
 		sim_run(sim, 1);
 	answer_call(sim, 5, old);
 	table_sync_tick(sync);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(sync->in_force);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), ERR_NOT_RUN);
-	/* The list comes. */
+	/* The list of instances arrives. */
 	sim->nodes[5].no_platform = false;
 	sim_set_members(sim);
-	sim_run(sim, SPREAD_MS);
+	sim_run(sim, PROPAGATION_MS);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), 0);
 	CU_ASSERT_EQUAL(sync->in_force->revision, 11);
 	world_finish(&world);
 }
 
 /*
- * A new instance that reaches only a stale platform serves after a bound with
- * the best it has, and says that it is unconfirmed. One that reaches nobody
- * doesn't serve.
+ * A new instance that reaches neither the platform nor a peer must not serve.
+ * One that reaches a single peer, which cannot reach the platform either,
+ * serves after a time limit and reports its table as unconfirmed.
  */
 static void test_new_instance_alone(void)
 {
@@ -660,26 +662,26 @@
 
 	world_init(&world, &sim_table_sync);
 	publish(&world, 11);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	sim->nodes[5].group = 2;
 	sim_stop(sim, 5);
 	sim_start(sim, 5);
 	sync = sim_sync(sim, 5);
 	sim_run(sim, 30000);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), ERR_NOT_RUN);
-	CU_ASSERT_EQUAL(table_sync_doubt(sync), TABLE_NONE);
-	/* One peer is reached, which has no way to the platform either. */
+	CU_ASSERT_EQUAL(table_sync_confirmation(sync), TABLE_NONE);
+	/* Now it reaches one peer, which cannot reach the platform either. */
 	sim->nodes[8].group = 2;
-	sim_run(sim, SPREAD_MS);
+	sim_run(sim, PROPAGATION_MS);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), 0);
 	CU_ASSERT_EQUAL(sync->in_force->revision, 11);
 	sim_run(sim, 40000);
-	CU_ASSERT_EQUAL(table_sync_doubt(sync), TABLE_OLD);
+	CU_ASSERT_EQUAL(table_sync_confirmation(sync), TABLE_CONFIRMATION_OLD);
 	CU_ASSERT_TRUE(sync->alarms[TABLE_ALARM_UNCONFIRMED].active);
 	world_finish(&world);
 }
 
-static uint64_t calls_of_others(struct sim *sim)
+static uint64_t calls_of_non_readers(struct sim *sim)
 {
 	uint64_t calls = 0;
 	int i;
@@ -692,9 +694,9 @@
 }
 
 /*
- * The platform is down for an hour. The table stays, its age shows, calls on
- * the platform stay few. A change that was made meanwhile is in force within
- * seconds of the platform being back.
+ * The platform is down for an hour. The table must stay in force and be
+ * reported as old, and calls on the platform must stay few. A change made
+ * meanwhile is in force within seconds after the platform is back.
  */
 static void test_down(void)
 {
@@ -708,26 +710,26 @@
 	sim_show(sim, sim->platform.shown, -1);
 	sim_run(sim, 60000);
 	CU_ASSERT_EQUAL(sim_count(sim, 10), NODES);
-	CU_ASSERT_EQUAL(count_doubt(sim, TABLE_OLD), NODES);
+	CU_ASSERT_EQUAL(count_confirmation(sim, TABLE_CONFIRMATION_OLD), NODES);
 	calls = sim->platform.calls;
-	others = calls_of_others(sim);
+	others = calls_of_non_readers(sim);
 	sim_run(sim, HOUR_MS);
 	calls = sim->platform.calls - calls;
-	others = calls_of_others(sim) - others;
-	/* Two readers, two keys, a pause of 2 to 4 s. */
+	others = calls_of_non_readers(sim) - others;
+	/* Two readers, two keys, a backoff of 2 to 4 s. */
 	CU_ASSERT_TRUE(calls - others <= DATA_CENTRES * 2 * 2 * 1800);
-	/* Of all others in a data centre one in 10 s on average. */
+	/* One call per 10 s on average from all others of a data centre. */
 	CU_ASSERT_TRUE(others <= DATA_CENTRES * 360 * 3 / 2);
 	publish(&world, 11);
 	sim->platform.down = false;
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	world_finish(&world);
 }
 
 /*
- * The platform's budget of calls is used up: it answers 429 with a time. No
- * instance calls again before.
+ * The platform's call budget is used up and it answers 429 with a retry time.
+ * No instance may call again before that.
  */
 static void test_budget(void)
 {
@@ -749,8 +751,8 @@
 }
 
 /*
- * Every pushed update and every pull for a while is lost. The revision in the
- * heartbeats shows the instances that they lack one, and they pull it.
+ * All pushes and pulls are lost for a while. Instances must learn of the newer
+ * revision from heartbeats and pull it.
  */
 static void test_lost_push(void)
 {
@@ -766,16 +768,16 @@
 	CU_ASSERT_EQUAL(reached, 2 * DATA_CENTRES);
 	sim->push_loss = 0.1;
 	sim->loss = 0.3;
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	publish(&world, 12);
-	CU_ASSERT_TRUE(spreads(&world, 12));
+	CU_ASSERT_TRUE(reaches_all(&world, 12));
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	world_finish(&world);
 }
 
 /*
- * A data centre's readers lose the platform, nothing else fails. It still gets
- * each change within seconds, from the other data centres.
+ * Only the connection of one data centre to the platform fails. It must get
+ * each change from the other data centres.
  */
 static void test_readers_cut(void)
 {
@@ -795,21 +797,22 @@
 	world_finish(&world);
 }
 
-/* The instance of that rank in the data centre of the first one. */
-static int ranked(struct sim *sim, int rank)
+/* Returns the instance with a rank in the data centre of node 0. */
+static int node_of_rank(struct sim *sim, int rank)
 {
 	int i = 0;
 
 	while (!sim->nodes[i].alive)
 		i += DATA_CENTRES;
-	return atoi(sim_sync(sim, i)->peers.own[rank].instance +
+	return atoi(sim_sync(sim, i)->peers.local[rank].instance +
 		    strlen("node-"));
 }
 
 /*
- * The first reader of a data centre crashes and nobody has noticed yet: the
- * tree has lost its top. The change still gets to all others in seconds. Then
- * the second crashes too, membership notices, and two others read.
+ * The first reader of a data centre, the root of its tree, crashes before
+ * membership detects it. A change must still reach all others within seconds.
+ * Then the second reader crashes, membership detects both, and two other
+ * instances become readers.
  */
 static void test_readers_crash(void)
 {
@@ -819,24 +822,26 @@
 	int first;
 
 	world_init(&world, &sim_table_sync);
-	first = ranked(sim, 0);
-	second = ranked(sim, 1);
+	first = node_of_rank(sim, 0);
+	second = node_of_rank(sim, 1);
 	sim_stop(sim, first);
 	publish(&world, 11);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	sim_stop(sim, second);
 	sim_set_members(sim);
 	publish(&world, 12);
-	CU_ASSERT_TRUE(spreads(&world, 12));
-	CU_ASSERT_TRUE(reader_watches(&sim_sync(sim, ranked(sim, 0))->reader));
-	CU_ASSERT_TRUE(reader_watches(&sim_sync(sim, ranked(sim, 1))->reader));
+	CU_ASSERT_TRUE(reaches_all(&world, 12));
+	CU_ASSERT_TRUE(
+		reader_watches(&sim_sync(sim, node_of_rank(sim, 0))->reader));
+	CU_ASSERT_TRUE(
+		reader_watches(&sim_sync(sim, node_of_rank(sim, 1))->reader));
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	world_finish(&world);
 }
 
 /*
- * All instances are replaced one by one while the platform is down. None of
- * the new ones has a disk: the table lives on in their peers.
+ * All instances are replaced one by one while the platform is down. New
+ * instances have no stored state and must get the table from their peers.
  */
 static void test_rolling_replacement(void)
 {
@@ -846,7 +851,7 @@
 
 	world_init(&world, &sim_table_sync);
 	publish(&world, 11);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	sim->platform.down = true;
 	sim_show(sim, sim->platform.shown, -1);
 	for (i = 0; i < NODES; i++) {
@@ -858,14 +863,15 @@
 	}
 	sim->platform.down = false;
 	publish(&world, 12);
-	CU_ASSERT_TRUE(spreads(&world, 12));
+	CU_ASSERT_TRUE(reaches_all(&world, 12));
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	world_finish(&world);
 }
 
 /*
- * Two operators save at the same time: revisions 11 to 14 come within a few
- * milliseconds. The last is in force everywhere, no instance goes back.
+ * Two operators save at the same time: revisions 11 to 14 arrive within a few
+ * milliseconds. The last one must be in force everywhere, and no instance may
+ * go back to a lower one.
  */
 static void test_race(void)
 {
@@ -877,17 +883,17 @@
 		publish(&world, revision);
 		sim_run(&world.sim, 3);
 	}
-	CU_ASSERT_TRUE(spreads(&world, 14));
+	CU_ASSERT_TRUE(reaches_all(&world, 14));
 	CU_ASSERT_EQUAL(world.sim.reverts, 0);
 	world_finish(&world);
 }
 
 /*
- * An instance is paused for 30 s while the table changes. When it wakes, it
- * handles heartbeats and answers from before the pause: it must not call its
- * table confirmed by them, and must have the new one within seconds.
+ * An instance is paused for 30 s while the table changes. When it resumes, it
+ * processes heartbeats and answers from before the pause. They must not confirm
+ * its table, and it must get the new one within seconds.
  */
-static void test_pause(void)
+static void test_paused_instance(void)
 {
 	struct world world;
 	struct sim *sim = &world.sim;
@@ -907,15 +913,14 @@
 	sim->push_loss = 0;
 	sim->platform.down = false;
 	publish(&world, 11);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	world_finish(&world);
 }
 
 /*
- * The table is too large for one value and comes in parts. While a reader
- * reads them, the next table is published and the old parts are deleted. No
- * instance may have rows of both.
+ * A table in several parts is replaced by the next one, and its parts deleted,
+ * while a reader fetches them. No instance may apply a mix of both tables.
  */
 static struct world *parts_world;
 
@@ -943,9 +948,9 @@
 	sim->platform.on_part = replace_parts;
 	world.sheets.slots[0] = 9;
 	sim_publish_parts(sim, &world.sheets, 11, 3);
-	CU_ASSERT_TRUE(spreads(&world, 12));
+	CU_ASSERT_TRUE(reaches_all(&world, 12));
 	CU_ASSERT_EQUAL(sim_count(sim, 11), 0);
-	/* The changed part, the last, differs from its digest. */
+	/* Corrupts the last part, which is the changed one. */
 	world.sheets.lease_ms = 1999;
 	sim_publish_parts(sim, &world.sheets, 13, 3);
 	part = &sim->platform
@@ -955,15 +960,15 @@
 	CU_ASSERT_EQUAL(sim_count(sim, 12), NODES);
 	CU_ASSERT_TRUE(count_alarm(sim, TABLE_ALARM_PARTS) > 0);
 	part->text[part->len - 1] = '\n';
-	CU_ASSERT_TRUE(spreads(&world, 13));
+	CU_ASSERT_TRUE(reaches_all(&world, 13));
 	CU_ASSERT_EQUAL(count_alarm(sim, TABLE_ALARM_PARTS), 0);
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	world_finish(&world);
 }
 
 /*
- * A large table in ten parts, of which a change touches one: each reader reads
- * the manifest and that part, not the whole table again.
+ * One of the ten parts of a table changes. Each reader must fetch only that
+ * part besides the manifest.
  */
 static void test_changed_part(void)
 {
@@ -973,18 +978,17 @@
 
 	world_init(&world, &sim_table_sync);
 	sim_publish_parts(sim, &world.sheets, 11, 10);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	calls = sim->platform.part_calls;
 	world.sheets.slots[ROWS / 2] = 9;
 	sim_publish_parts(sim, &world.sheets, 12, 10);
-	CU_ASSERT_TRUE(spreads(&world, 12));
+	CU_ASSERT_TRUE(reaches_all(&world, 12));
 	sim_run(sim, 1000);
 	CU_ASSERT_EQUAL(sim->platform.part_calls - calls, 2 * DATA_CENTRES);
 	world_finish(&world);
 }
 
-/* All faults at random, in many runs: never a revert, and one table at last. */
-static void stir(struct world *world, uint64_t *revision)
+static void inject_fault(struct world *world, uint64_t *revision)
 {
 	struct sim *sim = &world->sim;
 	int node = (int)sim_random(sim, sim->n);
@@ -1006,7 +1010,7 @@
 		platform->down = !platform->down;
 		break;
 	case 5:
-		/* One at a time, so that the highest is never lost. */
+		/* One at a time, so that the highest revision survives. */
 		sim_stop(sim, node);
 		sim_start(sim, node);
 		break;
@@ -1033,6 +1037,10 @@
 	sim->platform.down = false;
 }
 
+/*
+ * Random combinations of all faults, in many runs. No instance may go back to a
+ * lower revision, and all have the same table in the end.
+ */
 static void test_random_faults(void)
 {
 	uint64_t seed;
@@ -1045,7 +1053,7 @@
 		world_init(&world, &sim_table_sync);
 		world.sim.random = seed;
 		for (i = 0; i < 60; i++) {
-			stir(&world, &revision);
+			inject_fault(&world, &revision);
 			sim_run(&world.sim, sim_random(&world.sim, 2000));
 		}
 		heal(&world.sim);
@@ -1057,10 +1065,10 @@
 }
 
 /*
- * The call that a reader waits for is never answered: its connection went
- * silent. It calls again, and takes no late answer for the new call's.
+ * A call on the platform is never answered, because its connection hangs. The
+ * reader must call again and ignore a late answer to the first call.
  */
-static void test_silent_call(void)
+static void test_unanswered_call(void)
 {
 	struct platform_answer late = {.newer = true, .revision = 9};
 	struct world world;
@@ -1076,14 +1084,14 @@
 	sim->nodes[node].no_platform = true;
 	sim_run(sim, 20000);
 	CU_ASSERT_NOT_EQUAL(sync->reader.watches[READER_TABLE].call_id, id);
-	table_sync_answered(sync, READER_TABLE, id, &late);
+	table_sync_receive_answer(sync, READER_TABLE, id, &late);
 	CU_ASSERT_FALSE(sync->reader.behind);
 	world_finish(&world);
 }
 
 /*
- * A peer that was paused sends on what it had: an older table, whole and as
- * rows, and one that isn't what it announces. None of them is taken.
+ * A peer sends an older table, as full text and as a delta, and one whose
+ * digest does not match. None of them may be applied.
  */
 static void test_old_update(void)
 {
@@ -1099,22 +1107,22 @@
 	update.digest = table->digest;
 	update.text.data = (uint8_t *)table->text;
 	update.text.len = table->len;
-	CU_ASSERT_EQUAL(table_sync_update(sync, "node-0003", &update),
+	CU_ASSERT_EQUAL(table_sync_receive_update(sync, "node-0003", &update),
 			ERR_STALE);
 	update.base_revision = 8;
-	CU_ASSERT_EQUAL(table_sync_update(sync, "node-0003", &update),
+	CU_ASSERT_EQUAL(table_sync_receive_update(sync, "node-0003", &update),
 			ERR_STALE);
 	update.base_revision = 0;
 	update.revision = 11;
 	update.digest++;
-	CU_ASSERT_EQUAL(table_sync_update(sync, "node-0003", &update),
+	CU_ASSERT_EQUAL(table_sync_receive_update(sync, "node-0003", &update),
 			ERR_PROTOCOL);
-	/* Refused once, it is not looked at again. */
-	CU_ASSERT_EQUAL(table_sync_update(sync, "node-0003", &update),
+	/* A refused update is not parsed again. */
+	CU_ASSERT_EQUAL(table_sync_receive_update(sync, "node-0003", &update),
 			ERR_STALE);
 	CU_ASSERT_EQUAL(sync->in_force->revision, 10);
 	publish(&world, 11);
-	CU_ASSERT_TRUE(spreads(&world, 11));
+	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	world_finish(&world);
 }
 
@@ -1123,31 +1131,31 @@
 	{"invalid table", test_invalid},
 	{"stale platform", test_stale},
 	{"restored from a backup", test_restored},
-	{"restored from a backup, quietly", test_restored_quietly},
-	{"flapping platform", test_flapping},
+	{"restored from a backup, same answers", test_restored_same_answers},
+	{"alternating replicas of the platform", test_alternating_replicas},
 	{"same revision, other content", test_conflict},
 	{"partition", test_partition},
 	{"new instance", test_new_instance},
 	{"new instance knows only itself", test_new_instance_knows_only_itself},
 	{"new instance alone", test_new_instance_alone},
-	{"platform down an hour", test_down},
-	{"platform's budget", test_budget},
+	{"platform down for an hour", test_down},
+	{"platform's call budget", test_budget},
 	{"lost push", test_lost_push},
-	{"readers cut off", test_readers_cut},
+	{"readers cut off from the platform", test_readers_cut},
 	{"readers crash", test_readers_crash},
 	{"rolling replacement", test_rolling_replacement},
 	{"old update", test_old_update},
 	{"race of two changes", test_race},
-	{"pause", test_pause},
-	{"parts", test_parts},
+	{"paused instance", test_paused_instance},
+	{"table replaced while its parts are read", test_parts},
 	{"changed part", test_changed_part},
-	{"silent call", test_silent_call},
+	{"call without an answer", test_unanswered_call},
 	{"random faults", test_random_faults},
 };
 
 int main(void)
 {
-	/* Thousands of expected alarms. */
+	/* The tests raise thousands of alarms, which would be logged. */
 	log_init(LOG_LEVEL_ERROR + 1, NULL);
 	return unit_main("table_sync", tests,
 			 (int)(sizeof(tests) / sizeof(*tests)));
