--- a/home.c
+++ b/home.c
@@ -491,7 +491,7 @@
 			   half_life(home));
 	if (!code) {
 		learn_latency(server, latency);
-		slot_queue_served(&server->queue, latency);
+		slot_queue_record_time(&server->queue, latency);
 		metric_histogram_add(
 			&home->board->counters.server_time.histogram, latency);
 	}
--- a/home_net.c
+++ b/home_net.c
@@ -331,7 +331,7 @@
 
 	(void)fd;
 	(void)what;
-	if (link->probing || !server_pool_is_cut(&link->pool)) {
+	if (link->probing || !server_pool_is_disconnected(&link->pool)) {
 		end_lost(link, link->probing);
 		return;
 	}
@@ -531,7 +531,8 @@
 {
 	(void)arg;
 	if (job->handle)
-		server_pool_give_up(&link_of(job->server)->pool, job->handle);
+		server_pool_close_stalled(&link_of(job->server)->pool,
+					  job->handle);
 }
 
 static void cancel_job(void *arg, struct home_job *job)
@@ -855,7 +856,7 @@
 			 sync_servers, net);
 	blackboard_watch(board, BLACKBOARD_CATALOG, &net->catalog_watch,
 			 on_catalog, net);
-	blackboard_watch(board, BLACKBOARD_USE, &net->use_watch, report_use,
+	blackboard_watch(board, BLACKBOARD_USAGE, &net->use_watch, report_use,
 			 net);
 	on_poll(-1, 0, net);
 }
--- a/table_control.c
+++ b/table_control.c
@@ -74,7 +74,8 @@
 {
 	struct table_control *control = ctx;
 
-	if (list_sync_platform(&control->list, text, revision) == ERR_SYNTAX)
+	if (list_sync_platform_list(&control->list, text, revision) ==
+	    ERR_SYNTAX)
 		LOG_WARN("instances_bad", LOG_U64("revision", revision));
 }
 
@@ -98,7 +99,7 @@
 	control->sync.list_revision = list->revision;
 	control->sync.list_digest = list->digest;
 	if (!instances_apply(&control->board->listed, text))
-		blackboard_changed(control->board, BLACKBOARD_INSTANCES);
+		blackboard_notify(control->board, BLACKBOARD_INSTANCES);
 }
 
 static const struct list_sync_ops list_ops = {
@@ -162,7 +163,7 @@
 	if (board->lifecycle != LIFECYCLE_STARTING || table_sync_ready(sync))
 		return;
 	board->lifecycle = LIFECYCLE_SERVING;
-	blackboard_changed(board, BLACKBOARD_LIFECYCLE);
+	blackboard_notify(board, BLACKBOARD_LIFECYCLE);
 }
 
 /* Events from the timer, the platform, peers and the blackboard. */
@@ -210,8 +211,8 @@
 static void receive_digest(struct table_control *control, const char *peer,
 			   const Peer__TableDigest *message)
 {
-	list_sync_heard(&control->list, peer, message->list_revision,
-			message->list_digest);
+	list_sync_peer_revision(&control->list, peer, message->list_revision,
+				message->list_digest);
 	table_sync_receive_digest(&control->sync, peer, message);
 }
 
