--- a/list_sync.c
+++ b/list_sync.c
@@ -259,7 +259,7 @@
 	int i;
 
 	for (i = 0; i < n; i++)
-		send_update(sync, sync->peers->own[first + i].instance, from);
+		send_update(sync, sync->peers->local[first + i].instance, from);
 }
 
 /* Makes @list the newest and takes ownership of its rows. */
