--- a/gateway.c
+++ b/gateway.c
@@ -280,7 +280,8 @@
 	if (!settings->n_seeds)
 		return;
 	evutil_secure_rng_get_bytes(&random_value, sizeof(random_value));
-	store_schedule_joins(&gateway->sync, (double)random_value / UINT16_MAX);
+	store_schedule_delay_start(&gateway->sync,
+				   (double)random_value / UINT16_MAX);
 }
 
 int gateway_init(struct gateway *gateway, struct event_base *base,
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -436,8 +436,9 @@
 		memcpy(candidate->instance, member->instance, FLEET_NAME_SIZE);
 		memcpy(candidate->data_centre, member->data_centre,
 		       FLEET_NAME_SIZE);
-		candidate->region = regions_of(&fleet->config.settings->regions,
-					       member->data_centre);
+		candidate->region =
+			regions_find(&fleet->config.settings->regions,
+				     member->data_centre);
 		candidate->home = !fleet->config.sync->routes ||
 				  route_set_allows(fleet->config.sync->routes,
 						   host, candidate->region);
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -173,8 +173,8 @@
 	const struct gateway_settings *settings = gateway->settings;
 
 	return region_set_allows(&route->regions,
-				 regions_of(&settings->regions,
-					    settings->data_centre));
+				 regions_find(&settings->regions,
+					      settings->data_centre));
 }
 
 /*
--- a/table_sync.c
+++ b/table_sync.c
@@ -136,7 +136,7 @@
 	if (peers->n_local && i != peers->rank)
 		table_sync_send_digest(sync, peers->local[i].instance, true);
 	i = reader_random(&sync->reader, peers->n_remote);
-	if (peers->n_remote && reader_watches(&sync->reader))
+	if (peers->n_remote && reader_is_watching(&sync->reader))
 		table_sync_send_digest(sync, peers->remote[i].instance, true);
 }
 
--- a/table_sync_platform.c
+++ b/table_sync_platform.c
@@ -91,8 +91,8 @@
 static void finish_call(struct table_sync *sync, enum reader_key key,
 			uint64_t id, const struct platform_answer *answer)
 {
-	reader_done(&sync->reader, key, id, answer->code, answer->newer,
-		    answer->retry_after_ms);
+	reader_call_done(&sync->reader, key, id, answer->code, answer->newer,
+			 answer->retry_after_ms);
 	if (answer->code)
 		LOG_WARN("platform_call_failed",
 			 LOG_TEXT("error", error_name(answer->code)),
@@ -197,7 +197,7 @@
 {
 	bool parts = false;
 
-	if (!reader_awaits(&sync->reader, key, id))
+	if (!reader_is_current_call(&sync->reader, key, id))
 		return;
 	if (!answer->code && answer->newer && key == READER_INSTANCES)
 		handle_instances(sync, answer);
--- a/tests/test_store_order.c
+++ b/tests/test_store_order.c
@@ -143,10 +143,10 @@
 	world_init(&world);
 	world_list_servers(&world);
 	hear(&world, "c", 10);
-	store_sync_begin_whole(&world.sync);
+	store_sync_begin_snapshot(&world.sync);
 	hear_listed(&world, "a", 1);
 	hear_listed(&world, "b", 2);
-	store_sync_end_whole(&world.sync, 20);
+	store_sync_end_snapshot(&world.sync, 20);
 	confirm(&world, STORE_SERVERS, 20);
 	world_pass(&world, 2400);
 	CU_ASSERT(!world_knows(&world, "c"));
--- a/tests/test_table_sync.c
+++ b/tests/test_table_sync.c
@@ -233,7 +233,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		if (reader_watches(&sim_sync(sim, i)->reader) == reader)
+		if (reader_is_watching(&sim_sync(sim, i)->reader) == reader)
 			return i;
 	}
 	return -1;
@@ -262,7 +262,7 @@
 		struct table_sync *sync = sim_sync(&world.sim, i);
 
 		CU_ASSERT_EQUAL(table_sync_ready(sync), 0);
-		if (!reader_watches(&sync->reader))
+		if (!reader_is_watching(&sync->reader))
 			CU_ASSERT_TRUE(sync->counts.by_delta >= 8);
 	}
 	calls = world.sim.platform.calls;
@@ -687,7 +687,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		if (!reader_watches(&sim_sync(sim, i)->reader))
+		if (!reader_is_watching(&sim_sync(sim, i)->reader))
 			calls += sim_sync(sim, i)->counts.calls;
 	}
 	return calls;
@@ -831,10 +831,10 @@
 	sim_set_members(sim);
 	publish(&world, 12);
 	CU_ASSERT_TRUE(reaches_all(&world, 12));
-	CU_ASSERT_TRUE(
-		reader_watches(&sim_sync(sim, node_of_rank(sim, 0))->reader));
-	CU_ASSERT_TRUE(
-		reader_watches(&sim_sync(sim, node_of_rank(sim, 1))->reader));
+	CU_ASSERT_TRUE(reader_is_watching(
+		&sim_sync(sim, node_of_rank(sim, 0))->reader));
+	CU_ASSERT_TRUE(reader_is_watching(
+		&sim_sync(sim, node_of_rank(sim, 1))->reader));
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	world_finish(&world);
 }
--- a/view_apply.c
+++ b/view_apply.c
@@ -65,7 +65,7 @@
 
 	if (!text->len)
 		return 0;
-	ret = store_sync_take_routes(share->sync, document, "peer");
+	ret = store_sync_apply_routes(share->sync, document, "peer");
 	return ret == ERR_STALE ? 0 : ret;
 }
 
@@ -98,11 +98,11 @@
 	if (message->servers_age_ms == UINT32_MAX)
 		return 0;
 	if (message->whole)
-		store_sync_begin_whole(share->sync);
+		store_sync_begin_snapshot(share->sync);
 	for (i = 0; i < n; i++)
 		apply_row(share, servers[i], message->whole);
 	if (message->whole)
-		store_sync_end_whole(share->sync, message->servers_at);
+		store_sync_end_snapshot(share->sync, message->servers_at);
 	else if (feed->fresh_at < 0 || feed->at < message->servers_from)
 		return ERR_VERSION;
 	store_sync_confirm(share->sync, STORE_SERVERS, message->servers_at,
--- a/view_share.c
+++ b/view_share.c
@@ -91,8 +91,8 @@
 		if (!strcmp(share->members[i].instance, share->instance))
 			share->rank = i;
 	}
-	store_sync_set_patience(share->sync, max_view_age(share->rank),
-				share->rank);
+	store_sync_set_max_view_age(share->sync, max_view_age(share->rank),
+				    share->rank);
 }
 
 void view_share_set_members(struct view_share *share, const struct fleet *fleet)
