--- a/answer.c
+++ b/answer.c
@@ -382,9 +382,9 @@
 			home->draining ? "true" : "false");
 	}
 	evbuffer_add_printf(out, "],\"versions\":[");
-	for (i = 0; i < s->n_held; i++)
+	for (i = 0; i < s->n_versions; i++)
 		evbuffer_add_printf(out, "%s%" PRIu64, i ? "," : "",
-				    s->held[i].version);
+				    s->versions[i].version);
 	evbuffer_add(out, "]", 1);
 }
 
--- a/catalog.c
+++ b/catalog.c
@@ -14,13 +14,13 @@
 	catalog->clock = clock;
 }
 
-struct catalog_map *catalog_map_hold(struct catalog_map *map)
+struct catalog_map *catalog_map_ref(struct catalog_map *map)
 {
 	map->refs++;
 	return map;
 }
 
-void catalog_map_release(struct catalog *catalog, struct catalog_map *map)
+void catalog_map_unref(struct catalog *catalog, struct catalog_map *map)
 {
 	if (--map->refs)
 		return;
@@ -29,14 +29,14 @@
 	free(map);
 }
 
-struct catalog_instance *catalog_instance_hold(struct catalog_instance *inst)
+struct catalog_instance *catalog_instance_ref(struct catalog_instance *inst)
 {
 	inst->refs++;
 	return inst;
 }
 
-void catalog_instance_release(struct catalog *catalog,
-			      struct catalog_instance *inst)
+void catalog_instance_unref(struct catalog *catalog,
+			    struct catalog_instance *inst)
 {
 	if (--inst->refs)
 		return;
@@ -44,14 +44,14 @@
 	free(inst);
 }
 
-static struct catalog_instance *put_instance(struct catalog *catalog,
-					     struct str name)
+static struct catalog_instance *get_or_add_instance(struct catalog *catalog,
+						    struct str name)
 {
 	struct catalog_instance *inst;
 
 	HASH_FIND(hh, catalog->instances, name.data, name.len, inst);
 	if (inst)
-		return catalog_instance_hold(inst);
+		return catalog_instance_ref(inst);
 	inst = mem_zalloc(sizeof(*inst));
 	inst->refs = 1;
 	inst->hash = str_hash(name);
@@ -60,47 +60,48 @@
 	return inst;
 }
 
-struct catalog_server *catalog_server_hold(struct catalog_server *server)
+struct catalog_server *catalog_server_ref(struct catalog_server *server)
 {
 	server->refs++;
 	return server;
 }
 
-static void release_held(struct catalog *catalog, struct catalog_held *held,
-			 int n)
+static void release_versions(struct catalog *catalog,
+			     struct catalog_server_version *held, int n)
 {
 	int i;
 
 	for (i = 0; i < n; i++) {
 		if (held[i].map)
-			catalog_map_release(catalog, held[i].map);
-		free(held[i].here);
+			catalog_map_unref(catalog, held[i].map);
+		free(held[i].shards);
 	}
 }
 
-static void clear_held(struct catalog *catalog, struct catalog_server *server)
+static void clear_versions(struct catalog *catalog,
+			   struct catalog_server *server)
 {
-	release_held(catalog, server->held, server->n_held);
-	server->n_held = 0;
+	release_versions(catalog, server->versions, server->n_versions);
+	server->n_versions = 0;
 }
 
-void catalog_server_release(struct catalog *catalog,
-			    struct catalog_server *server)
+void catalog_server_unref(struct catalog *catalog,
+			  struct catalog_server *server)
 {
 	if (--server->refs)
 		return;
-	clear_held(catalog, server);
+	clear_versions(catalog, server);
 	HASH_DEL(catalog->servers, server);
 	free(server);
 }
 
-/* A home's reference to the server goes with it: @server may be freed. */
+/* Drops the home's reference to the server, which may free @server. */
 static void remove_home(struct catalog *catalog, struct catalog_server *server,
 			struct catalog_home *home)
 {
-	catalog_instance_release(catalog, home->instance);
+	catalog_instance_unref(catalog, home->instance);
 	*home = server->homes[--server->n_homes];
-	catalog_server_release(catalog, server);
+	catalog_server_unref(catalog, server);
 }
 
 static void clear_placements(struct catalog *catalog,
@@ -109,7 +110,7 @@
 	int i;
 
 	for (i = 0; i < service->n_placements; i++) {
-		catalog_map_release(catalog, service->placements[i].map);
+		catalog_map_unref(catalog, service->placements[i].map);
 		free(service->placements[i].first);
 		free(service->placements[i].servers);
 	}
@@ -133,16 +134,16 @@
 	}
 	HASH_ITER (hh, catalog->servers, server, next_server) {
 		while (server->n_homes)
-			catalog_instance_release(
+			catalog_instance_unref(
 				catalog,
 				server->homes[--server->n_homes].instance);
 		server->refs = 1;
-		catalog_server_release(catalog, server);
+		catalog_server_unref(catalog, server);
 	}
 }
 
-static struct catalog_service *put_service(struct catalog *catalog,
-					   struct str name)
+static struct catalog_service *get_or_add_service(struct catalog *catalog,
+						  struct str name)
 {
 	struct catalog_service *service;
 
@@ -165,9 +166,10 @@
 	return service;
 }
 
-static void mark_dirty(struct catalog *catalog, const char *service)
+static void invalidate_placements(struct catalog *catalog, const char *service)
 {
-	clear_placements(catalog, put_service(catalog, str_from(service)));
+	clear_placements(catalog,
+			 get_or_add_service(catalog, str_from(service)));
 }
 
 static struct catalog_server *find_server(const struct catalog *catalog,
@@ -179,21 +181,21 @@
 	return server;
 }
 
-static void set_row(struct catalog *catalog, struct catalog_server *server,
-		    const struct backend_server *row)
+static void apply_row(struct catalog *catalog, struct catalog_server *server,
+		      const struct backend_server *row)
 {
 	int64_t weight = row->state == SERVER_ON ? row->weight : -1;
 
 	if (strcmp(server->service, row->service)) {
-		mark_dirty(catalog, server->service);
-		clear_held(catalog, server);
+		invalidate_placements(catalog, server->service);
+		clear_versions(catalog, server);
 		str_copy(server->service, sizeof(server->service),
 			 str_from(row->service));
 	}
 	if (server->weight == weight)
 		return;
 	server->weight = weight;
-	mark_dirty(catalog, server->service);
+	invalidate_placements(catalog, server->service);
 }
 
 static struct catalog_server *add_server(struct catalog *catalog,
@@ -208,8 +210,9 @@
 	return server;
 }
 
-/* The catalog's own reference goes with the row of the table. */
-static void drop_missing(struct catalog *catalog, const struct table *table)
+/* Drops the reference that stands for the table's row. */
+static void remove_missing_servers(struct catalog *catalog,
+				   const struct table *table)
 {
 	struct catalog_server *server;
 	struct catalog_server *next;
@@ -218,10 +221,10 @@
 		if (!server->in_table ||
 		    table_server(table, str_from(server->name)) >= 0)
 			continue;
-		mark_dirty(catalog, server->service);
+		invalidate_placements(catalog, server->service);
 		server->in_table = false;
 		server->weight = -1;
-		catalog_server_release(catalog, server);
+		catalog_server_unref(catalog, server);
 	}
 }
 
@@ -229,7 +232,7 @@
 {
 	int i;
 
-	drop_missing(catalog, table);
+	remove_missing_servers(catalog, table);
 	for (i = 0; i < table->n_servers; i++) {
 		const struct backend_server *row = &table->servers[i];
 		struct catalog_server *server =
@@ -239,8 +242,8 @@
 			server = add_server(catalog, str_from(row->name),
 					    str_from(row->service));
 		if (!server->in_table)
-			catalog_server_hold(server)->in_table = true;
-		set_row(catalog, server, row);
+			catalog_server_ref(server)->in_table = true;
+		apply_row(catalog, server, row);
 	}
 }
 
@@ -256,7 +259,7 @@
 	return NULL;
 }
 
-void catalog_drop_home(struct catalog *catalog, struct str instance)
+void catalog_remove_instance(struct catalog *catalog, struct str instance)
 {
 	struct catalog_server *server;
 	struct catalog_server *next;
@@ -266,7 +269,7 @@
 
 		if (!home)
 			continue;
-		mark_dirty(catalog, server->service);
+		invalidate_placements(catalog, server->service);
 		remove_home(catalog, server, home);
 	}
 }
@@ -285,12 +288,8 @@
 	return find_map(catalog, digest);
 }
 
-/*
- * The old list is let go last: it may have the only reference to a map that is
- * in the new one too. Without the map the service would have no snapshot until
- * the home sent it again.
- */
-static bool has_digest(const struct catalog_held *held, int n, uint64_t digest)
+static bool has_digest(const struct catalog_server_version *held, int n,
+		       uint64_t digest)
 {
 	int i;
 
@@ -301,53 +300,63 @@
 	return false;
 }
 
-/* A server that held something took up another map: a move has begun. */
-static void note_arrivals(struct catalog *catalog,
-			  const struct catalog_server *server,
-			  const struct catalog_held *old, int n_old)
+/*
+ * Records that a server which held versions before now holds a new map: a
+ * rollout has begun. The first report of a server does not count.
+ */
+static void note_new_map(struct catalog *catalog,
+			 const struct catalog_server *server,
+			 const struct catalog_server_version *old, int n_old)
 {
 	struct catalog_service *service =
-		put_service(catalog, str_from(server->service));
+		get_or_add_service(catalog, str_from(server->service));
 	int i;
 
-	for (i = 0; i < server->n_held && n_old; i++) {
-		if (has_digest(old, n_old, server->held[i].digest))
+	for (i = 0; i < server->n_versions && n_old; i++) {
+		if (has_digest(old, n_old, server->versions[i].digest))
 			continue;
-		service->arrived = server->held[i].digest;
-		service->arrived_at = clock_now(catalog->clock);
+		service->new_map_digest = server->versions[i].digest;
+		service->new_map_at = clock_now(catalog->clock);
 	}
 }
 
-static void take_held(struct catalog *catalog, struct catalog_server *server,
-		      const Peer__ServerState *state)
+/*
+ * The old list is released last: it may have the only reference to a map that
+ * is in the new list too. Without the map the service would have no snapshot
+ * until the home sent the map again.
+ */
+static void apply_versions(struct catalog *catalog,
+			   struct catalog_server *server,
+			   const Peer__ServerState *state)
 {
-	struct catalog_held old[CATALOG_VERSIONS_MAX];
-	int n_old = server->n_held;
+	struct catalog_server_version old[CATALOG_VERSIONS_MAX];
+	int n_old = server->n_versions;
 	size_t i;
 
-	memcpy(old, server->held, sizeof(old));
-	server->n_held = 0;
+	memcpy(old, server->versions, sizeof(old));
+	server->n_versions = 0;
 	for (i = 0; i < state->n_held; i++) {
 		const Peer__Held *in = state->held[i];
-		struct catalog_held *held = &server->held[server->n_held++];
+		struct catalog_server_version *held =
+			&server->versions[server->n_versions++];
 
 		held->version = in->version;
 		held->digest = in->map_digest;
 		held->map = find_map(catalog, in->map_digest);
 		if (held->map)
-			catalog_map_hold(held->map);
-		held->n_here = (int)in->n_here;
-		held->here = mem_zalloc(in->n_here * sizeof(*held->here));
+			catalog_map_ref(held->map);
+		held->n_shards = (int)in->n_here;
+		held->shards = mem_zalloc(in->n_here * sizeof(*held->shards));
 		if (in->n_here)
-			memcpy(held->here, in->here,
-			       in->n_here * sizeof(*held->here));
+			memcpy(held->shards, in->here,
+			       in->n_here * sizeof(*held->shards));
 	}
-	note_arrivals(catalog, server, old, n_old);
-	release_held(catalog, old, n_old);
+	note_new_map(catalog, server, old, n_old);
+	release_versions(catalog, old, n_old);
 }
 
-static void take_home(struct catalog *catalog, struct catalog_server *server,
-		      struct str instance, const Peer__ServerState *state)
+static void apply_home(struct catalog *catalog, struct catalog_server *server,
+		       struct str instance, const Peer__ServerState *state)
 {
 	struct catalog_home *home = find_home(server, instance);
 
@@ -355,8 +364,8 @@
 		return;
 	if (!home) {
 		home = &server->homes[server->n_homes++];
-		home->instance = put_instance(catalog, instance);
-		catalog_server_hold(server);
+		home->instance = get_or_add_instance(catalog, instance);
+		catalog_server_ref(server);
 	}
 	home->slots = state->slots;
 	home->in_flight = state->in_flight;
@@ -366,8 +375,8 @@
 	home->cold = state->cold;
 }
 
-static void drop_share(struct catalog *catalog, struct catalog_server *server,
-		       struct str instance)
+static void remove_share(struct catalog *catalog, struct catalog_server *server,
+			 struct str instance)
 {
 	struct catalog_home *home;
 
@@ -376,7 +385,7 @@
 	home = find_home(server, instance);
 	if (!home)
 		return;
-	mark_dirty(catalog, server->service);
+	invalidate_placements(catalog, server->service);
 	remove_home(catalog, server, home);
 }
 
@@ -392,24 +401,24 @@
 		return ERR_PROTOCOL;
 	server = find_server(catalog, str_from(state->server));
 	if (!state->slots) {
-		drop_share(catalog, server, instance);
+		remove_share(catalog, server, instance);
 		return 0;
 	}
 	/*
-	 * The home may work from a newer table, and speaks only on a change:
-	 * what it says is kept for the row that will come, without any weight
-	 * until then. Else the server had no home here for good.
+	 * The home may have a newer table, and pushes a state only on a change.
+	 * The state is kept for the row that will follow, with no weight until
+	 * then; if it were dropped, the server would never get a home here.
 	 */
 	if (!server)
 		server = add_server(catalog, str_from(state->server),
 				    str_from(state->service));
 	if (strcmp(server->service, state->service))
 		return 0;
-	take_home(catalog, server, instance, state);
-	/* A home that cannot reach the server has nothing to say of it. */
+	apply_home(catalog, server, instance, state);
+	/* A home that cannot reach the server does not know its versions. */
 	if (state->reachable)
-		take_held(catalog, server, state);
-	mark_dirty(catalog, server->service);
+		apply_versions(catalog, server, state);
+	invalidate_placements(catalog, server->service);
 	return 0;
 }
 
@@ -427,8 +436,11 @@
 	return hash;
 }
 
-/* Every point once, and a total that does not wrap: answers state it. */
-static int check_cover(const Peer__Map *message)
+/*
+ * Shards must cover every point exactly once. The total must not overflow, as
+ * answers report coverage as a share of it.
+ */
+static int check_shards(const Peer__Map *message)
 {
 	uint32_t next = 0;
 	uint64_t total = 0;
@@ -465,26 +477,28 @@
 
 		shard->lo = (uint16_t)message->shards[i]->shard->lo;
 		shard->hi = (uint16_t)message->shards[i]->shard->hi;
-		shard->held = message->shards[i]->held;
-		map->total += shard->held;
+		shard->n_records = message->shards[i]->held;
+		map->total += shard->n_records;
 	}
 	HASH_ADD(hh, catalog->maps, digest, sizeof(map->digest), map);
 	return map;
 }
 
-/* Join a new map to the servers that say they hold it. */
-static void link_map(struct catalog *catalog, struct catalog_map *map)
+/* Sets the map in the servers that reported its digest before it arrived. */
+static void link_map_to_servers(struct catalog *catalog,
+				struct catalog_map *map)
 {
 	struct catalog_server *server;
 	struct catalog_server *next;
 	int i;
 
 	HASH_ITER (hh, catalog->servers, server, next) {
-		for (i = 0; i < server->n_held; i++) {
-			struct catalog_held *held = &server->held[i];
+		for (i = 0; i < server->n_versions; i++) {
+			struct catalog_server_version *held =
+				&server->versions[i];
 
 			if (held->digest == map->digest && !held->map)
-				held->map = catalog_map_hold(map);
+				held->map = catalog_map_ref(map);
 		}
 	}
 }
@@ -494,7 +508,7 @@
 	struct catalog_map *map;
 
 	if (strlen(message->service) >= CATALOG_NAME_SIZE ||
-	    check_cover(message))
+	    check_shards(message))
 		return ERR_PROTOCOL;
 	if (catalog_map_digest(str_from(message->service), message->version,
 			       message->shards,
@@ -502,10 +516,10 @@
 		return ERR_PROTOCOL;
 	if (find_map(catalog, message->digest))
 		return 0;
-	map = catalog_map_hold(add_map(catalog, message));
-	link_map(catalog, map);
-	mark_dirty(catalog, map->service);
-	catalog_map_release(catalog, map);
+	map = catalog_map_ref(add_map(catalog, message));
+	link_map_to_servers(catalog, map);
+	invalidate_placements(catalog, map->service);
+	catalog_map_unref(catalog, map);
 	return 0;
 }
 
@@ -514,7 +528,7 @@
 	return home->slots && home->reachable && !home->draining;
 }
 
-static bool usable(const struct catalog_server *server)
+static bool has_usable_home(const struct catalog_server *server)
 {
 	int i;
 
@@ -528,8 +542,8 @@
 }
 
 static struct catalog_placement *
-placement_of(const struct catalog_service *service,
-	     const struct catalog_map *map)
+find_placement(const struct catalog_service *service,
+	       const struct catalog_map *map)
 {
 	int i;
 
@@ -540,14 +554,21 @@
 	return NULL;
 }
 
-/* Two passes over the servers: count the candidates of each shard, fill in. */
-struct builder {
+/**
+ * struct placement_builder - rebuilds the placements of a service
+ * @catalog: borrowed
+ * @service: whose placements are built
+ * @filling: second pass over the servers: fills in the servers of each shard,
+ *	     which the first pass counts
+ */
+struct placement_builder {
 	struct catalog *catalog;
 	struct catalog_service *service;
 	bool filling;
 };
 
-static void add_placement(struct builder *builder, struct catalog_map *map)
+static void add_placement(struct placement_builder *builder,
+			  struct catalog_map *map)
 {
 	struct catalog_service *service = builder->service;
 	struct catalog_placement *placement;
@@ -557,26 +578,27 @@
 					  (size_t)n * sizeof(*placement));
 	placement = &service->placements[service->n_placements++];
 	memset(placement, 0, sizeof(*placement));
-	placement->map = catalog_map_hold(map);
+	placement->map = catalog_map_ref(map);
 	placement->first = mem_zalloc((size_t)(map->n_shards + 2) *
 				      sizeof(*placement->first));
 }
 
-static void visit_held(struct builder *builder, struct catalog_server *server,
-		       const struct catalog_held *held)
+static void visit_version(struct placement_builder *builder,
+			  struct catalog_server *server,
+			  const struct catalog_server_version *held)
 {
 	struct catalog_placement *placement;
 	int i;
 
-	if (!placement_of(builder->service, held->map))
+	if (!find_placement(builder->service, held->map))
 		add_placement(builder, held->map);
-	placement = placement_of(builder->service, held->map);
-	for (i = 0; i < held->n_here; i++) {
-		uint32_t shard = held->here[i];
+	placement = find_placement(builder->service, held->map);
+	for (i = 0; i < held->n_shards; i++) {
+		uint32_t shard = held->shards[i];
 
 		if (shard >= (uint32_t)held->map->n_shards)
 			continue;
-		/* first[i + 1] is the fill mark of shard i, see build(). */
+		/* first[i + 1] is the fill position of shard i: build(). */
 		if (builder->filling)
 			placement->servers[placement->first[shard + 1]++] =
 				server;
@@ -585,7 +607,7 @@
 	}
 }
 
-static void visit_servers(struct builder *builder)
+static void visit_servers(struct placement_builder *builder)
 {
 	struct catalog_server *server;
 	struct catalog_server *next;
@@ -593,16 +615,17 @@
 
 	HASH_ITER (hh, builder->catalog->servers, server, next) {
 		if (strcmp(server->service, builder->service->name) ||
-		    !usable(server))
+		    !has_usable_home(server))
 			continue;
-		for (i = 0; i < server->n_held; i++) {
-			if (server->held[i].map)
-				visit_held(builder, server, &server->held[i]);
+		for (i = 0; i < server->n_versions; i++) {
+			if (server->versions[i].map)
+				visit_version(builder, server,
+					      &server->versions[i]);
 		}
 	}
 }
 
-static void sum_counts(struct catalog_placement *placement)
+static void counts_to_offsets(struct catalog_placement *placement)
 {
 	int n = placement->map->n_shards;
 	int i;
@@ -619,32 +642,34 @@
 
 	for (i = 0; i < placement->map->n_shards; i++) {
 		if (placement->first[i + 1] > placement->first[i])
-			placement->covered += placement->map->shards[i].held;
+			placement->covered +=
+				placement->map->shards[i].n_records;
 	}
 }
 
 /*
- * After counting, first[i + 2] is the number of candidates of shard i; summed
- * up, first[i + 1] is where they start; filling moves it to where they end.
+ * After the first pass first[i + 2] is the number of servers of shard i. The
+ * prefix sum makes first[i + 1] the start of shard i in the array, and the
+ * second pass advances it to the end, so that first[i] is the start.
  */
 static void build(struct catalog *catalog, struct catalog_service *service)
 {
-	struct builder builder = {catalog, service, false};
+	struct placement_builder builder = {catalog, service, false};
 	int i;
 
 	clear_placements(catalog, service);
 	service->dirty = false;
 	visit_servers(&builder);
 	for (i = 0; i < service->n_placements; i++)
-		sum_counts(&service->placements[i]);
+		counts_to_offsets(&service->placements[i]);
 	builder.filling = true;
 	visit_servers(&builder);
 	for (i = 0; i < service->n_placements; i++)
 		sum_covered(&service->placements[i]);
 }
 
-static struct catalog_service *built_service(struct catalog *catalog,
-					     struct str name)
+static struct catalog_service *get_built_service(struct catalog *catalog,
+						 struct str name)
 {
 	struct catalog_service *service;
 
@@ -654,10 +679,11 @@
 	return service;
 }
 
-const struct catalog_placement *catalog_best(struct catalog *catalog,
-					     struct str service_name)
+const struct catalog_placement *catalog_best_placement(struct catalog *catalog,
+						       struct str service_name)
 {
-	struct catalog_service *service = built_service(catalog, service_name);
+	struct catalog_service *service =
+		get_built_service(catalog, service_name);
 	const struct catalog_placement *best = NULL;
 	double best_ratio = -1;
 	int i;
@@ -680,11 +706,11 @@
 	return best;
 }
 
-const struct catalog_placement *catalog_at(struct catalog *catalog,
-					   const struct catalog_map *map)
+const struct catalog_placement *
+catalog_find_placement(struct catalog *catalog, const struct catalog_map *map)
 {
 	struct catalog_service *service =
-		built_service(catalog, str_from(map->service));
+		get_built_service(catalog, str_from(map->service));
 
-	return service ? placement_of(service, map) : NULL;
+	return service ? find_placement(service, map) : NULL;
 }
--- a/entry_net.c
+++ b/entry_net.c
@@ -161,7 +161,7 @@
 
 	if (!link->outgoing)
 		return;
-	catalog_drop_home(&net->board->catalog, str_from(link->instance));
+	catalog_remove_instance(&net->board->catalog, str_from(link->instance));
 	blackboard_changed(net->board, BLACKBOARD_CATALOG);
 	searches_home_lost(&net->searches, str_from(link->instance));
 	arm(net);
--- a/home_net.c
+++ b/home_net.c
@@ -254,8 +254,8 @@
 				     str_from(link->server->service));
 	int64_t now = clock_now(board->clock);
 
-	if (!service || !service->arrived || holds(link, service->arrived) ||
-	    now - service->arrived_at > MOVE_RECENT_US ||
+	if (!service || !service->new_map_digest || holds(link, service->new_map_digest) ||
+	    now - service->new_map_at > MOVE_RECENT_US ||
 	    now - link->asked_at < ASK_AGAIN_US)
 		return;
 	ask_holdings(link);
--- a/run_net.c
+++ b/run_net.c
@@ -120,7 +120,7 @@
 {
 	struct run_net *net = ctx;
 	const struct catalog_placement *placement =
-		catalog_best(&net->board->catalog, service);
+		catalog_best_placement(&net->board->catalog, service);
 	const struct catalog_server *server;
 	int shard;
 
--- a/search.c
+++ b/search.c
@@ -44,8 +44,8 @@
 	for (i = 0; i < search->n_parts; i++) {
 		struct search_part *part = &search->parts[i];
 
-		catalog_server_release(search_catalog(search), part->server);
-		catalog_instance_release(search_catalog(search), part->home);
+		catalog_server_unref(search_catalog(search), part->server);
+		catalog_instance_unref(search_catalog(search), part->home);
 		free(part->shards);
 	}
 	search->n_parts = 0;
@@ -59,7 +59,7 @@
 		HASH_DEL(searches->by_id, search);
 	clear_parts(search);
 	if (search->map)
-		catalog_map_release(search_catalog(search), search->map);
+		catalog_map_unref(search_catalog(search), search->map);
 	free(search->parts);
 	free(search->shards);
 	merge_finish(&search->merge);
@@ -156,8 +156,8 @@
 		catalog_find_service(search_catalog(search),
 				     str_from(search->request.service));
 
-	return service && service->arrived &&
-	       search_now(search) - service->arrived_at < MOVE_RECENT_US;
+	return service && service->new_map_digest &&
+	       search_now(search) - service->new_map_at < MOVE_RECENT_US;
 }
 
 /*
@@ -185,7 +185,7 @@
 
 static void take_map(struct search *search, struct catalog_map *map)
 {
-	search->map = catalog_map_hold(map);
+	search->map = catalog_map_ref(map);
 	search->shards =
 		mem_zalloc((size_t)map->n_shards * sizeof(*search->shards));
 	search->n_open = map->n_shards;
@@ -203,7 +203,7 @@
 	clear_parts(search);
 	merge_finish(&search->merge);
 	free(search->shards);
-	catalog_map_release(search_catalog(search), search->map);
+	catalog_map_unref(search_catalog(search), search->map);
 	search->map = NULL;
 }
 
@@ -221,7 +221,7 @@
 static const struct catalog_placement *better_snapshot(struct search *search)
 {
 	const struct catalog_placement *best =
-		catalog_best(search_catalog(search),
+		catalog_best_placement(search_catalog(search),
 			     str_from(search->request.service));
 	double ratio;
 
@@ -233,11 +233,11 @@
 
 static void restart(struct search *search, struct catalog_map *map)
 {
-	catalog_map_hold(map);
+	catalog_map_ref(map);
 	drop_map(search);
 	search_trace_restart(search);
 	take_map(search, map);
-	catalog_map_release(search_catalog(search), map);
+	catalog_map_unref(search_catalog(search), map);
 	enter(search);
 	search->moved_until = 0;
 	search->n_restarts++;
@@ -351,7 +351,7 @@
 		poison_fingerprint(str_from(service->name),
 				   str_from(search->request.where),
 				   (uint64_t)search->request.mode);
-	best = catalog_best(&board->catalog, str_from(service->name));
+	best = catalog_best_placement(&board->catalog, str_from(service->name));
 	if (!best)
 		return ERR_NO_SNAPSHOT;
 	take_map(search, best->map);
--- a/search_result.c
+++ b/search_result.c
@@ -52,7 +52,7 @@
 			 const Backend__ShardPartial *partial)
 {
 	if (partial->status != BACKEND__SHARD_STATUS__SHARD_OK ||
-	    partial->held != search->map->shards[index].held)
+	    partial->held != search->map->shards[index].n_records)
 		return ERR_NOT_HELD;
 	if (partial->count > partial->held ||
 	    partial->n_records > partial->count || !is_sorted(partial))
--- a/search_trace.c
+++ b/search_trace.c
@@ -55,7 +55,7 @@
 
 		if (search->shards[i].state != SEARCH_SHARD_ANSWERED)
 			trace_summary_miss(summary, search->shards[i].code,
-					   shard->lo, shard->hi, shard->held);
+					   shard->lo, shard->hi, shard->n_records);
 	}
 }
 
--- a/tests/test_catalog.c
+++ b/tests/test_catalog.c
@@ -7,7 +7,7 @@
 
 static const struct catalog_placement *best(struct path_board *path)
 {
-	return catalog_best(&path->board.catalog, STR(PATH_SERVICE));
+	return catalog_best_placement(&path->board.catalog, STR(PATH_SERVICE));
 }
 
 static void test_coverage_counts_reachable_records(void)
@@ -26,8 +26,8 @@
 	path_board_finish(&path);
 }
 
-/* A state of a map that is not fetched yet adds nothing, until it comes. */
-static void test_map_may_come_after_the_state(void)
+/* A state whose map was not fetched yet counts only once the map arrives. */
+static void test_map_may_arrive_after_the_state(void)
 {
 	struct path_held held = {1, 2, "01"};
 	struct path_board path;
@@ -42,8 +42,8 @@
 }
 
 /*
- * A new snapshot version is rolled out server by server. Callers would see
- * coverage drop to half in the middle of it if the newest version always won.
+ * A new snapshot version is rolled out server by server. If the newest version
+ * always won, coverage would drop to half in the middle of the rollout.
  */
 static void test_rollout_does_not_lower_coverage(void)
 {
@@ -80,9 +80,9 @@
 }
 
 /*
- * A home pushes the state of a service's only server twice in a row. If the
- * map went with the first state, callers would be told that there is no
- * snapshot until the home sent it again.
+ * A home pushes the state of a service's only server several times in a row.
+ * If the map were freed with the first state, callers would be told that there
+ * is no snapshot until the home sent the map again.
  */
 static void test_repeated_state_keeps_the_map(void)
 {
@@ -99,7 +99,7 @@
 	path_board_finish(&path);
 }
 
-static void test_homes_come_and_go(void)
+static void test_homes_are_added_and_removed(void)
 {
 	struct path_held held = {1, 1, "0"};
 	struct path_board path;
@@ -107,25 +107,25 @@
 	path_board_init(&path, 1);
 	path_put(&path, "h1", "b1", 1, 1, "0");
 	path_put(&path, "h2", "b1", 1, 1, "0");
-	catalog_drop_home(&path.board.catalog, STR("h1"));
+	catalog_remove_instance(&path.board.catalog, STR("h1"));
 	CU_ASSERT_EQUAL(best(&path)->covered, PATH_HELD);
-	/* h2 gives its share up. */
+	/* h2 has no slots any more. */
 	path_put_state(&path, "h2", "b1", 0, &held, 1);
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
 	path_put_state(&path, "h1", "b1", 1, &held, 1);
 	CU_ASSERT_EQUAL(best(&path)->covered, PATH_HELD);
-	catalog_drop_home(&path.board.catalog, STR("h1"));
-	catalog_drop_home(&path.board.catalog, STR("h1"));
+	catalog_remove_instance(&path.board.catalog, STR("h1"));
+	catalog_remove_instance(&path.board.catalog, STR("h1"));
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
 	path_board_finish(&path);
 }
 
 /*
- * Callers of a service that was just added are told that there is no snapshot,
- * for good. The home got the new table first and said once what it holds; an
- * entry without the row forgot that, and a home speaks again only on a change.
+ * Callers of a service that was just added were told for good that there is no
+ * snapshot. The home had the new table first and pushed the state once; an
+ * entry without the row dropped it, and homes push again only on a change.
  */
-static void test_state_may_come_before_the_table(void)
+static void test_state_may_arrive_before_the_table(void)
 {
 	struct path_board path;
 
@@ -138,8 +138,8 @@
 	path_board_finish(&path);
 }
 
-/* A row is deleted and comes back before its home has seen either. */
-static void test_row_comes_back_while_its_home_stays(void)
+/* A row is deleted and added again before its home has seen either change. */
+static void test_row_is_added_again_while_its_home_stays(void)
 {
 	struct path_board path;
 
@@ -163,7 +163,7 @@
 	path_put(&path, "h2", "b2", 1, 1, "0");
 	path_put_state(&path, "h1", "b2", 0, &held, 1);
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.servers), 2);
-	catalog_drop_home(&path.board.catalog, STR("h2"));
+	catalog_remove_instance(&path.board.catalog, STR("h2"));
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.servers), 1);
 	CU_ASSERT_PTR_NULL(path.board.catalog.maps);
 	path_put_state(&path, "h1", "b2", 0, &held, 1);
@@ -171,15 +171,15 @@
 	path_board_finish(&path);
 }
 
-static int put_changed(struct path_board *path, void (*change)(Peer__Map *),
-		       bool sign)
+static int put_altered_map(struct path_board *path, void (*change)(Peer__Map *),
+			   bool fix_digest)
 {
 	Peer__Map map;
 	int ret;
 
 	path_map_init(&map, 1, 3);
 	change(&map);
-	if (sign)
+	if (fix_digest)
 		map.digest =
 			catalog_map_digest(str_from(map.service), map.version,
 					   map.shards, map.n_shards);
@@ -208,7 +208,7 @@
 	map->shards[2]->shard->hi += CATALOG_POINTS;
 }
 
-static void turn_round(Peer__Map *map)
+static void reverse_range(Peer__Map *map)
 {
 	map->shards[1]->shard->hi = map->shards[1]->shard->lo - 1;
 }
@@ -249,50 +249,55 @@
 	struct path_board path;
 
 	path_board_init(&path, 1);
-	CU_ASSERT_EQUAL(put_changed(&path, leave_gap, true), ERR_PROTOCOL);
-	CU_ASSERT_EQUAL(put_changed(&path, overlap, true), ERR_PROTOCOL);
-	CU_ASSERT_EQUAL(put_changed(&path, end_early, true), ERR_PROTOCOL);
-	CU_ASSERT_EQUAL(put_changed(&path, end_late, true), ERR_PROTOCOL);
-	CU_ASSERT_EQUAL(put_changed(&path, turn_round, true), ERR_PROTOCOL);
-	CU_ASSERT_EQUAL(put_changed(&path, swap, true), ERR_PROTOCOL);
-	CU_ASSERT_EQUAL(put_changed(&path, omit_range, false), ERR_PROTOCOL);
-	CU_ASSERT_EQUAL(put_changed(&path, change_held, false), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(put_altered_map(&path, leave_gap, true), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(put_altered_map(&path, overlap, true), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(put_altered_map(&path, end_early, true), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(put_altered_map(&path, end_late, true), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(put_altered_map(&path, reverse_range, true),
+			ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(put_altered_map(&path, swap, true), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(put_altered_map(&path, omit_range, false),
+			ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(put_altered_map(&path, change_held, false),
+			ERR_PROTOCOL);
 	CU_ASSERT_PTR_NULL(path.board.catalog.maps);
 	path_board_finish(&path);
 }
 
 /*
- * A server counts its records wrongly, and the sum of a map wraps round to a
- * small number. Answers would state more than full coverage.
+ * A server counts its records wrongly, and the sum of a map overflows to a
+ * small number. Answers would report more than full coverage.
  */
-static void test_total_must_not_wrap(void)
+static void test_total_must_not_overflow(void)
 {
 	struct path_board path;
 
 	path_board_init(&path, 1);
-	CU_ASSERT_EQUAL(put_changed(&path, overflow, true), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(put_altered_map(&path, overflow, true), ERR_PROTOCOL);
 	path_board_finish(&path);
 }
 
 /*
- * A peer sends a map of a service whose name is longer than any of the table.
- * Cut to size it would not be found again, and each message would add another.
+ * A peer sends a map of a service whose name is longer than the table allows.
+ * A truncated name would not be found again, and each message would add another
+ * service.
  */
 static void test_long_service_name_is_refused(void)
 {
 	struct path_board path;
 
 	path_board_init(&path, 1);
-	CU_ASSERT_EQUAL(put_changed(&path, lengthen_name, true), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(put_altered_map(&path, lengthen_name, true),
+			ERR_PROTOCOL);
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.services), 1);
 	path_board_finish(&path);
 }
 
 /*
  * An operator deletes a server's row while a search waits for its answer. The
- * search's pointer must stay good, and the server take no new work.
+ * search's pointer must stay valid, and the server must get no new work.
  */
-static void test_server_leaves_the_table_while_held(void)
+static void test_server_is_removed_while_referenced(void)
 {
 	struct catalog *catalog;
 	struct catalog_server *server;
@@ -301,46 +306,46 @@
 	path_board_init(&path, 2);
 	catalog = &path.board.catalog;
 	path_put(&path, "h1", "b1", 1, 1, "0");
-	server = catalog_server_hold(best(&path)->servers[0]);
+	server = catalog_server_ref(best(&path)->servers[0]);
 	path_set_servers(&path, 2, 1);
 	CU_ASSERT_STRING_EQUAL(server->name, "b1");
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
-	/* The home's word of it may come after the table. */
+	/* The home's state may arrive after the table. */
 	path_put(&path, "h1", "b1", 1, 1, "0");
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
-	/* The row comes back, and then the home's word. */
+	/* The row is added again, then the home pushes its state. */
 	path_set_servers(&path, 1, 2);
 	path_put(&path, "h1", "b1", 1, 1, "0");
 	CU_ASSERT_EQUAL_FATAL(best(&path) != NULL, true);
 	CU_ASSERT_PTR_EQUAL(best(&path)->servers[0], server);
 	path_set_servers(&path, 2, 1);
-	catalog_server_release(catalog, server);
+	catalog_server_unref(catalog, server);
 	CU_ASSERT_EQUAL(HASH_COUNT(catalog->servers), 2);
-	catalog_drop_home(catalog, STR("h1"));
+	catalog_remove_instance(catalog, STR("h1"));
 	CU_ASSERT_EQUAL(HASH_COUNT(catalog->servers), 1);
 	path_board_finish(&path);
 }
 
-/* A search that runs keeps its map though all replicas moved on. */
-static void test_map_stays_while_held(void)
+/* A running search keeps its map after all replicas got a newer version. */
+static void test_map_stays_while_referenced(void)
 {
 	struct catalog_map *map;
 	struct path_board path;
 
 	path_board_init(&path, 1);
 	path_put(&path, "h1", "b1", 1, 2, "01");
-	map = catalog_map_hold(best(&path)->map);
+	map = catalog_map_ref(best(&path)->map);
 	path_put(&path, "h1", "b1", 2, 3, "012");
 	path_put(&path, "h1", "b1", 2, 3, "012");
 	CU_ASSERT_EQUAL(map->n_shards, 2);
-	CU_ASSERT_PTR_NULL(catalog_at(&path.board.catalog, map));
+	CU_ASSERT_PTR_NULL(catalog_find_placement(&path.board.catalog, map));
 	CU_ASSERT_EQUAL(best(&path)->map->version, 2);
-	catalog_map_release(&path.board.catalog, map);
+	catalog_map_unref(&path.board.catalog, map);
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.maps), 1);
 	path_board_finish(&path);
 }
 
-static void test_shards_out_of_the_map_are_skipped(void)
+static void test_shards_outside_the_map_are_skipped(void)
 {
 	struct path_board path;
 
@@ -373,27 +378,27 @@
 static const struct unit_test tests[] = {
 	{"coverage counts reachable records",
 	 test_coverage_counts_reachable_records},
-	{"map may come after the state", test_map_may_come_after_the_state},
+	{"map may arrive after the state", test_map_may_arrive_after_the_state},
 	{"rollout does not lower coverage",
 	 test_rollout_does_not_lower_coverage},
-	{"newest of equally covered", test_newest_of_equally_covered},
+	{"newest of equally covered versions", test_newest_of_equally_covered},
 	{"repeated state keeps the map", test_repeated_state_keeps_the_map},
-	{"homes come and go", test_homes_come_and_go},
-	{"state may come before the table",
-	 test_state_may_come_before_the_table},
-	{"row comes back while its home stays",
-	 test_row_comes_back_while_its_home_stays},
+	{"homes are added and removed", test_homes_are_added_and_removed},
+	{"state may arrive before the table",
+	 test_state_may_arrive_before_the_table},
+	{"row is added again while its home stays",
+	 test_row_is_added_again_while_its_home_stays},
 	{"server without row and home is forgotten",
 	 test_server_without_row_and_home_is_forgotten},
-	{"maps that do not cover are refused",
+	{"maps that do not cover the key space are refused",
 	 test_maps_that_do_not_cover_are_refused},
-	{"total must not wrap", test_total_must_not_wrap},
+	{"total must not overflow", test_total_must_not_overflow},
 	{"long service name is refused", test_long_service_name_is_refused},
-	{"server leaves the table while held",
-	 test_server_leaves_the_table_while_held},
-	{"map stays while held", test_map_stays_while_held},
-	{"shards out of the map are skipped",
-	 test_shards_out_of_the_map_are_skipped},
+	{"server is removed from the table while referenced",
+	 test_server_is_removed_while_referenced},
+	{"map stays while referenced", test_map_stays_while_referenced},
+	{"shards outside the map are skipped",
+	 test_shards_outside_the_map_are_skipped},
 	{"too many versions are refused", test_too_many_versions_are_refused},
 };
 
