--- a/directory.c
+++ b/directory.c
@@ -1,141 +1,151 @@
 #include "directory.h"
 
 /*
- * Callers pick one of the addresses at random. With fewer instances in their
- * own data centre, all are named: the loss of one must not leave them with
- * none until they ask again.
+ * Callers pick one of the addresses at random. With fewer instances than this
+ * in their data centre they get those of the whole region: the loss of one must
+ * not leave them without any until they ask again.
  */
-#define OWN_LEAST 2
+#define LOCAL_INSTANCES_MIN 2
 /*
- * A sharded request costs its entry much: on a machine with a quarter of the
- * processor time it would be late. Where machines are unequal, those with less
- * than this share of the largest take no callers while a larger one lives.
+ * A sharded request takes much processor time on its entry: on a machine with a
+ * quarter of the capacity it would be late. Machines with less than this share
+ * of the largest one's capacity get no callers while a larger one is ready.
  */
-#define LARGE_SHARE 0.6
+#define LARGE_CAPACITY_RATIO 0.6
 
-bool directory_is_large(uint32_t capacity, uint32_t most)
+bool directory_is_large(uint32_t capacity, uint32_t max_capacity)
 {
-	return capacity >= LARGE_SHARE * most;
+	return capacity >= LARGE_CAPACITY_RATIO * max_capacity;
 }
 
-/* Where the instances are that a caller may be named, from near to far. */
-enum reach {
-	REACH_DATA_CENTRE,
-	REACH_REGION,
-	REACH_HOMES,
-	REACH_ALL,
+/* Which instances are considered for a caller, from near to far. */
+enum scope {
+	SCOPE_DATA_CENTRE,
+	SCOPE_REGION,
+	SCOPE_ALLOWED_REGIONS,
+	SCOPE_ALL,
 };
 
-struct caller_place {
+struct caller_location {
 	struct str data_centre;
 	struct str region;
 };
 
 static bool is_within(const struct directory_candidate *candidate,
-		      const struct caller_place *place, enum reach reach)
+		      const struct caller_location *location, enum scope scope)
 {
-	switch (reach) {
-	case REACH_DATA_CENTRE:
-		return str_eq_text(place->data_centre, candidate->data_centre);
-	case REACH_REGION:
-		return str_eq_text(place->region, candidate->region);
-	case REACH_HOMES:
-		return candidate->home;
+	switch (scope) {
+	case SCOPE_DATA_CENTRE:
+		return str_eq_text(location->data_centre,
+				   candidate->data_centre);
+	case SCOPE_REGION:
+		return str_eq_text(location->region, candidate->region);
+	case SCOPE_ALLOWED_REGIONS:
+		return candidate->region_allowed;
 	default:
 		return true;
 	}
 }
 
-/* Large is a matter of those that a caller may be named at all. */
-static uint32_t most_capacity(const struct directory_candidate *candidates,
-			      int n, const struct caller_place *place,
-			      enum reach reach)
+/*
+ * The greatest capacity among the ready instances in @scope, at least those of
+ * the caller's region.
+ */
+static uint32_t find_max_capacity(const struct directory_candidate *candidates,
+				  int n, const struct caller_location *location,
+				  enum scope scope)
 {
-	uint32_t most = 0;
+	uint32_t max_capacity = 0;
 	int i;
 
-	if (reach == REACH_DATA_CENTRE)
-		reach = REACH_REGION;
+	if (scope == SCOPE_DATA_CENTRE)
+		scope = SCOPE_REGION;
 	for (i = 0; i < n; i++) {
-		if (candidates[i].ready && candidates[i].capacity > most &&
-		    is_within(&candidates[i], place, reach))
-			most = candidates[i].capacity;
+		if (candidates[i].ready &&
+		    candidates[i].capacity > max_capacity &&
+		    is_within(&candidates[i], location, scope))
+			max_capacity = candidates[i].capacity;
 	}
-	return most;
+	return max_capacity;
 }
 
 static int choose(const struct directory_candidate *candidates, int n,
-		  const struct caller_place *place, enum reach reach, int max,
-		  int *out)
+		  const struct caller_location *location, enum scope scope,
+		  int max, int *out)
 {
-	uint32_t most = most_capacity(candidates, n, place, reach);
+	uint32_t max_capacity =
+		find_max_capacity(candidates, n, location, scope);
 	int chosen = 0;
 	int i;
 
 	for (i = 0; i < n && chosen < max; i++) {
 		if (candidates[i].ready &&
-		    directory_is_large(candidates[i].capacity, most) &&
-		    is_within(&candidates[i], place, reach))
+		    directory_is_large(candidates[i].capacity, max_capacity) &&
+		    is_within(&candidates[i], location, scope))
 			out[chosen++] = i;
 	}
 	return chosen;
 }
 
 /*
- * Callers of a data centre that is lost keep its addresses, and what they would
- * ask for others there is lost too: until it is back, none is served. So one
- * instance elsewhere is named besides, another one to each data centre.
+ * Finds an instance of the caller's region outside its data centre. Callers of
+ * a data centre that fails have only addresses there, and the instances that
+ * they would ask for others are down too: none would be served until it is
+ * back. Rendezvous hashing chooses a different instance for each data centre.
  *
  * Return: whether there is one.
  */
-static bool find_other(const struct directory_candidate *candidates, int n,
-		       const struct caller_place *place, int *out)
+static bool find_remote(const struct directory_candidate *candidates, int n,
+			const struct caller_location *location, int *out)
 {
-	uint32_t most = most_capacity(candidates, n, place, REACH_REGION);
-	uint64_t least = UINT64_MAX;
+	uint32_t max_capacity =
+		find_max_capacity(candidates, n, location, SCOPE_REGION);
+	uint64_t lowest_score = UINT64_MAX;
 	bool found = false;
 	int i;
 
 	for (i = 0; i < n; i++) {
 		const struct directory_candidate *candidate = &candidates[i];
 		uint64_t score =
-			str_hash_mix(str_hash(place->data_centre),
+			str_hash_mix(str_hash(location->data_centre),
 				     str_hash(str_from(candidate->instance)));
 
-		if (!candidate->ready || score > least ||
-		    !directory_is_large(candidate->capacity, most) ||
-		    !is_within(candidate, place, REACH_REGION) ||
-		    is_within(candidate, place, REACH_DATA_CENTRE))
+		if (!candidate->ready || score > lowest_score ||
+		    !directory_is_large(candidate->capacity, max_capacity) ||
+		    !is_within(candidate, location, SCOPE_REGION) ||
+		    is_within(candidate, location, SCOPE_DATA_CENTRE))
 			continue;
-		least = score;
+		lowest_score = score;
 		found = true;
 		*out = i;
 	}
 	return found;
 }
 
-/* Return: how many are named then; where there is no room it is the last. */
-static int append_other(const struct directory_candidate *candidates, int n,
-			const struct caller_place *place, int chosen, int *out)
+/* Return: new length of @out; if it is full, the last one is replaced. */
+static int append_remote(const struct directory_candidate *candidates, int n,
+			 const struct caller_location *location, int chosen,
+			 int *out)
 {
-	int at = chosen < DIRECTORY_MAX ? chosen : DIRECTORY_MAX - 1;
+	int at = chosen < DIRECTORY_ADDRESSES_MAX ? chosen
+						  : DIRECTORY_ADDRESSES_MAX - 1;
 
-	return find_other(candidates, n, place, &out[at]) ? at + 1 : chosen;
+	return find_remote(candidates, n, location, &out[at]) ? at + 1 : chosen;
 }
 
 int directory_choose(const struct directory_candidate *candidates, int n,
 		     struct str data_centre, struct str region, int *out)
 {
-	const struct caller_place place = {data_centre, region};
-	int chosen = choose(candidates, n, &place, REACH_DATA_CENTRE,
-			    DIRECTORY_MAX, out);
-	int reach;
+	const struct caller_location location = {data_centre, region};
+	int chosen = choose(candidates, n, &location, SCOPE_DATA_CENTRE,
+			    DIRECTORY_ADDRESSES_MAX, out);
+	int scope;
 
-	if (chosen >= OWN_LEAST)
-		return append_other(candidates, n, &place, chosen, out);
+	if (chosen >= LOCAL_INSTANCES_MIN)
+		return append_remote(candidates, n, &location, chosen, out);
 	chosen = 0;
-	for (reach = REACH_REGION; reach <= REACH_ALL && !chosen; reach++)
-		chosen = choose(candidates, n, &place, (enum reach)reach,
-				DIRECTORY_MAX, out);
+	for (scope = SCOPE_REGION; scope <= SCOPE_ALL && !chosen; scope++)
+		chosen = choose(candidates, n, &location, (enum scope)scope,
+				DIRECTORY_ADDRESSES_MAX, out);
 	return chosen;
 }
--- a/directory.h
+++ b/directory.h
@@ -1,5 +1,6 @@
 /*
- * Which instances callers are sent to. Decides without sockets.
+ * Chooses the instances whose addresses a caller gets. Pure decisions, no
+ * sockets.
  */
 #ifndef DIRECTORY_H
 #define DIRECTORY_H
@@ -10,41 +11,47 @@
 #include "fleet.h"
 #include "str.h"
 
-/* Callers take at most so many addresses of an answer. */
-#define DIRECTORY_MAX 64
+/* Most addresses that callers accept in an answer. */
+#define DIRECTORY_ADDRESSES_MAX 64
 
 /**
- * struct directory_candidate - an instance that may take callers
- * @region: of its data centre, empty if it is not known
- * @home: requests of the caller's host may run in its region
+ * struct directory_candidate - an instance that may serve callers
+ * @instance: its name
+ * @data_centre: where it runs
+ * @region: of its data centre, empty if it is not known; borrowed
+ * @region_allowed: requests of the caller's host may run in its region
+ * @address: that callers connect to
  * @capacity: processor time it has, thousandths of a core; 0: not known
- * @ready: it said that it knows routes and servers
+ * @ready: it reported that it knows routes and servers
  */
 struct directory_candidate {
 	char instance[FLEET_NAME_SIZE];
 	char data_centre[FLEET_NAME_SIZE];
 	const char *region;
-	bool home;
+	bool region_allowed;
 	struct address address;
 	uint32_t capacity;
 	bool ready;
 };
 
 /**
- * directory_is_large() - an instance is large enough to take callers and relay
- * @most: the greatest capacity of those it is compared with
+ * directory_is_large() - whether an instance has the capacity to serve callers
+ * and to relay requests
+ * @capacity: of the instance, thousandths of a core
+ * @max_capacity: greatest capacity of the instances it is compared with
  */
-bool directory_is_large(uint32_t capacity, uint32_t most);
+bool directory_is_large(uint32_t capacity, uint32_t max_capacity);
 
 /**
- * directory_choose() - the instances that a caller is named
+ * directory_choose() - choose the instances whose addresses a caller gets
+ * @candidates: all known instances
+ * @n: length of @candidates
  * @data_centre: of the caller
  * @region: of the caller
+ * @out: room for DIRECTORY_ADDRESSES_MAX indexes of candidates
  *
- * Requests that are bound to regions must not be sent to instances outside of
- * these and the caller's own, unless no instance is left there.
- *
- * @out: room for DIRECTORY_MAX indexes of candidates
+ * Requests that are restricted to regions must not be sent to instances outside
+ * those and the caller's own, unless no instance is left there.
  *
  * Return: how many were chosen; 0 if none is ready.
  */
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -429,9 +429,9 @@
 		memcpy(candidate->instance, member->instance, FLEET_NAME_SIZE);
 		memcpy(candidate->data_centre, member->data_centre,
 		       FLEET_NAME_SIZE);
-		candidate->region = regions_of(&fleet->config.from->regions,
+		candidate->region = regions_find(&fleet->config.from->regions,
 					       member->data_centre);
-		candidate->home = !fleet->config.sync->routes ||
+		candidate->region_allowed = !fleet->config.sync->routes ||
 				  route_set_allows(fleet->config.sync->routes,
 						   host, candidate->region);
 		candidate->address = member->caller_address;
--- a/gateway_pages.c
+++ b/gateway_pages.c
@@ -48,7 +48,7 @@
 {
 	struct directory_candidate *candidates;
 	char address[ADDRESS_TEXT_SIZE];
-	int chosen[DIRECTORY_MAX];
+	int chosen[DIRECTORY_ADDRESSES_MAX];
 	int n = gateway_fleet_candidates(&gateway->fleet,
 					 query_text(query, "name"),
 					 &candidates);
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -223,7 +223,7 @@
 	DL_APPEND(gateway->open, request);
 	if (!route->sharded)
 		target = due ? gateway_load_target(route, due)
-			     : route_deal(route);
+			     : route_pick_target(route);
 	dispatch_init(&request->dispatch, &gateway->clock, &gateway_send_ops,
 		      &gateway->limits, request, &gateway->registry, route,
 		      target, &stats->latency,
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -169,7 +169,7 @@
 	const struct gateway_settings *settings = gateway->settings;
 
 	return region_set_allows(&route->regions,
-				 regions_of(&settings->regions,
+				 regions_find(&settings->regions,
 					    settings->data_centre));
 }
 
--- a/regions.h
+++ b/regions.h
@@ -5,7 +5,9 @@
 #include <stdbool.h>
 
 /**
- * struct region_entry - one data centre
+ * struct region_entry - the region of a data centre
+ * @data_centre: its name; owned
+ * @region: its region; owned
  */
 struct region_entry {
 	char *data_centre;
@@ -13,7 +15,9 @@
 };
 
 /**
- * struct regions - of all data centres, as the settings name them
+ * struct regions - the regions of all data centres, from the settings
+ * @entries: owned
+ * @n: length of @entries
  */
 struct regions {
 	struct region_entry *entries;
@@ -25,15 +29,19 @@
 void regions_finish(struct regions *regions);
 
 /**
- * regions_of() - the region of a data centre
+ * regions_find() - look up the region of a data centre
  * @regions: may be NULL
+ * @data_centre: its name
  *
- * Return: empty if it is not known.
+ * Return: borrowed; empty if it is not known.
  */
-const char *regions_of(const struct regions *regions, const char *data_centre);
+const char *regions_find(const struct regions *regions,
+			 const char *data_centre);
 
 /**
- * struct region_set - regions that requests must not leave; none: no bound
+ * struct region_set - regions that requests may run in
+ * @names: owned; none: any region
+ * @n: length of @names
  */
 struct region_set {
 	char **names;
@@ -44,9 +52,9 @@
 void region_set_finish(struct region_set *set);
 
 /**
- * region_set_allows() - a region is in a set
- * @set: NULL or empty: any is
- * @region: one that is not known is in no set but those
+ * region_set_allows() - whether requests may run in a region
+ * @set: NULL or empty: in any region
+ * @region: empty if it is not known, which only such a set allows
  */
 bool region_set_allows(const struct region_set *set, const char *region);
 
--- a/registry.c
+++ b/registry.c
@@ -110,7 +110,7 @@
 	server->refs = 1;
 	server->entry = *entry;
 	server->remote = strcmp(entry->data_centre, registry->data_centre);
-	server->region = regions_of(registry->regions, entry->data_centre);
+	server->region = regions_find(registry->regions, entry->data_centre);
 	server->cordoned =
 		cordons_hold(&registry->cordons, str_from(entry->data_centre));
 	HASH_ADD_KEYPTR(hh, registry->servers, server->entry.id,
--- a/rendezvous.h
+++ b/rendezvous.h
@@ -1,4 +1,4 @@
-/* Rendezvous hashing: which instances are responsible for a key. */
+/* Rendezvous hashing: chooses the instances that are responsible for a key. */
 #ifndef RENDEZVOUS_H
 #define RENDEZVOUS_H
 
@@ -7,10 +7,12 @@
 #include "str.h"
 
 /**
- * rendezvous_score() - how strongly an instance is drawn to a key
+ * rendezvous_score() - the score of an instance for a key
+ * @key: hash of the key
+ * @instance: its name
  *
- * The instances with the highest scores are responsible. When one comes or
- * goes, only the keys it has or had move.
+ * The instances with the highest scores are responsible for the key. When an
+ * instance is added or removed, only its own keys move.
  */
 static inline uint64_t rendezvous_score(uint64_t key, struct str instance)
 {
--- a/routes.c
+++ b/routes.c
@@ -11,7 +11,7 @@
 #include "json_value.h"
 #include "mem.h"
 
-/* For documents that leave them out. */
+/* Defaults of members that a document leaves out. */
 #define DEFAULT_SERVERS_MAX 2
 #define DEFAULT_TIMEOUT_MS 30000
 #define DEFAULT_CONNECTIONS_MAX 16
@@ -29,22 +29,23 @@
 	return value;
 }
 
-static int64_t number_or(struct json_object *object, const char *key,
-			 int64_t def)
+static int64_t int_or_default(struct json_object *object, const char *key,
+			      int64_t def)
 {
 	struct json_object *value = member(object, key);
 
 	return value ? json_object_get_int64(value) : def;
 }
 
-static double real_or(struct json_object *object, const char *key, double def)
+static double double_or_default(struct json_object *object, const char *key,
+				double def)
 {
 	struct json_object *value = member(object, key);
 
 	return value ? json_object_get_double(value) : def;
 }
 
-static char *text_of(struct json_object *object, const char *key)
+static char *dup_string(struct json_object *object, const char *key)
 {
 	struct json_object *value = member(object, key);
 
@@ -53,8 +54,8 @@
 	return mem_dup(json_object_get_string(value));
 }
 
-static int fail(struct error *err, int code, const char *list, size_t i,
-		const char *key, const char *expected)
+static int row_error(struct error *err, int code, const char *list, size_t i,
+		     const char *key, const char *expected)
 {
 	char subject[ERROR_SUBJECT_SIZE];
 
@@ -85,17 +86,19 @@
 		struct json_object *row = json_object_array_get_idx(list, i);
 		struct route_service *service = &set->services[i];
 
-		service->name = text_of(row, "name");
+		service->name = dup_string(row, "name");
 		set->n_services++;
 		if (!service->name)
-			return fail(err, ERR_KEY_MISSING, "services", i, "name",
-				    "a name");
-		service->connections_max = number_or(row, "connections_max",
-						     DEFAULT_CONNECTIONS_MAX);
-		service->cold_s = real_or(row, "cold_s", DEFAULT_COLD_S);
+			return row_error(err, ERR_KEY_MISSING, "services", i,
+					 "name", "a name");
+		service->connections_max =
+			int_or_default(row, "connections_max",
+				       DEFAULT_CONNECTIONS_MAX);
+		service->cold_s =
+			double_or_default(row, "cold_s", DEFAULT_COLD_S);
 		if (!(service->cold_s >= 0))
 			service->cold_s = 0;
-		service->cold_per_s = real_or(row, "cold_per_s", 0);
+		service->cold_per_s = double_or_default(row, "cold_per_s", 0);
 	}
 	return 0;
 }
@@ -107,12 +110,13 @@
 	struct route_target *target = &route->targets[route->n_targets];
 
 	if (!json_object_is_type(name, json_type_string))
-		return fail(err, ERR_TYPE, "routes", i, "service", "a name");
+		return row_error(err, ERR_TYPE, "routes", i, "service",
+				 "a name");
 	target->service =
 		route_set_service(set, str_from(json_object_get_string(name)));
 	if (!target->service)
-		return fail(err, ERR_REFERENCE, "routes", i, "service",
-			    "the name of a service");
+		return row_error(err, ERR_REFERENCE, "routes", i, "service",
+				 "the name of a service");
 	target->weight = weight;
 	route->n_targets++;
 	return 0;
@@ -159,14 +163,15 @@
 	size_t n = 1;
 
 	if (list && !json_object_is_type(list, json_type_array))
-		return fail(err, ERR_TYPE, "routes", i, "shards", "a list");
+		return row_error(err, ERR_TYPE, "routes", i, "shards",
+				 "a list");
 	if (list)
 		n = json_object_array_length(list);
 	if (!n)
-		return fail(err, ERR_RANGE, "routes", i, "shards",
-			    "at least one service");
+		return row_error(err, ERR_RANGE, "routes", i, "shards",
+				 "at least one service");
 	route->targets = mem_zalloc(n * sizeof(*route->targets));
-	route->dealt = mem_zalloc(n * sizeof(*route->dealt));
+	route->credit = mem_zalloc(n * sizeof(*route->credit));
 	if (shards)
 		return read_shards(set, route, shards, i, err);
 	if (split)
@@ -174,26 +179,28 @@
 	return add_target(set, route, member(row, "service"), 1, i, err);
 }
 
-static void read_numbers(struct route *route, struct json_object *row)
+static void read_options(struct route *route, struct json_object *row)
 {
 	struct json_object *repeat = member(row, "repeat");
 	struct json_object *coverage = member(row, "coverage_min");
 
-	/* What is not said to be repeatable is not repeated. */
+	/* Requests are repeated only where the document allows it. */
 	route->repeatable = route->sharded ||
 			    (json_object_is_type(repeat, json_type_string) &&
 			     !strcmp(json_object_get_string(repeat), "any"));
-	route->timeout_ms = number_or(row, "timeout_ms", DEFAULT_TIMEOUT_MS);
-	route->goal_ms = number_or(row, "goal_ms", route->timeout_ms);
-	route->servers_max = number_or(row, "servers_max", DEFAULT_SERVERS_MAX);
+	route->timeout_ms =
+		int_or_default(row, "timeout_ms", DEFAULT_TIMEOUT_MS);
+	route->goal_ms = int_or_default(row, "goal_ms", route->timeout_ms);
+	route->servers_max =
+		int_or_default(row, "servers_max", DEFAULT_SERVERS_MAX);
 	if (route->servers_max < 1)
 		route->servers_max = 1;
-	route->priority = number_or(row, "priority", 0);
-	route->records_max = number_or(row, "records_max", 0);
+	route->priority = int_or_default(row, "priority", 0);
+	route->records_max = int_or_default(row, "records_max", 0);
 	route->coverage_min = coverage ? json_object_get_double(coverage) : 1;
 }
 
-/* A bound that cannot be read must not count as none. */
+/* A list that cannot be read must not count as "any region". */
 static int read_regions(struct route *route, struct json_object *row, size_t i,
 			struct error *err)
 {
@@ -204,15 +211,15 @@
 	if (!list)
 		return 0;
 	if (!json_object_is_type(list, json_type_array))
-		return fail(err, ERR_TYPE, "routes", i, "allowed_regions",
-			    "a list");
+		return row_error(err, ERR_TYPE, "routes", i, "allowed_regions",
+				 "a list");
 	n = json_object_array_length(list);
 	for (j = 0; j < n; j++) {
 		struct json_object *name = json_object_array_get_idx(list, j);
 
 		if (!json_object_is_type(name, json_type_string))
-			return fail(err, ERR_TYPE, "routes", i,
-				    "allowed_regions", "names");
+			return row_error(err, ERR_TYPE, "routes", i,
+					 "allowed_regions", "names");
 		region_set_add(&route->regions, json_object_get_string(name));
 	}
 	return 0;
@@ -224,20 +231,20 @@
 	struct route *route = &set->routes[set->n_routes++];
 	int ret;
 
-	route->name = text_of(row, "name");
-	route->host = text_of(row, "host");
-	route->prefix = text_of(row, "prefix");
+	route->name = dup_string(row, "name");
+	route->host = dup_string(row, "host");
+	route->prefix = dup_string(row, "prefix");
 	if (!route->host)
-		return fail(err, ERR_KEY_MISSING, "routes", i, "host",
-			    "a host");
+		return row_error(err, ERR_KEY_MISSING, "routes", i, "host",
+				 "a host");
 	if (!route->prefix || route->prefix[0] != '/')
-		return fail(err, ERR_RANGE, "routes", i, "prefix",
-			    "a path that begins with a slash");
+		return row_error(err, ERR_RANGE, "routes", i, "prefix",
+				 "a path that begins with a slash");
 	route->prefix_len = strlen(route->prefix);
 	ret = read_targets(set, route, row, i, err);
 	if (ret)
 		return ret;
-	read_numbers(route, row);
+	read_options(route, row);
 	return read_regions(route, row, i, err);
 }
 
@@ -258,13 +265,13 @@
 static void read_limits(struct caller_limits *limits, struct json_object *row)
 {
 	limits->header_bytes_max =
-		number_or(row, "header_bytes_max", DEFAULT_HEADER_BYTES);
+		int_or_default(row, "header_bytes_max", DEFAULT_HEADER_BYTES);
 	limits->body_bytes_max =
-		number_or(row, "body_bytes_max", DEFAULT_BODY_BYTES);
-	limits->header_timeout_ms =
-		number_or(row, "header_timeout_ms", DEFAULT_HEADER_TIMEOUT_MS);
+		int_or_default(row, "body_bytes_max", DEFAULT_BODY_BYTES);
+	limits->header_timeout_ms = int_or_default(row, "header_timeout_ms",
+						   DEFAULT_HEADER_TIMEOUT_MS);
 	limits->idle_timeout_ms =
-		number_or(row, "idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS);
+		int_or_default(row, "idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS);
 }
 
 static int read_document(struct route_set *set, struct json_object *root,
@@ -274,7 +281,7 @@
 	struct json_object *routes = member(root, "routes");
 	int ret;
 
-	set->version = (uint64_t)number_or(root, "version", 0);
+	set->version = (uint64_t)int_or_default(root, "version", 0);
 	if (!set->version)
 		return error_set(err, ERR_KEY_MISSING, "version", NULL,
 				 "a number above 0");
@@ -322,7 +329,7 @@
 	free(route->host);
 	free(route->prefix);
 	free(route->targets);
-	free(route->dealt);
+	free(route->credit);
 	region_set_finish(&route->regions);
 }
 
@@ -370,7 +377,7 @@
 bool route_set_allows(const struct route_set *set, struct str host,
 		      const char *region)
 {
-	bool bound = false;
+	bool restricted = false;
 	int i;
 
 	for (i = 0; i < set->n_routes; i++) {
@@ -381,19 +388,20 @@
 			continue;
 		if (region_set_allows(&route->regions, region))
 			return true;
-		bound = true;
+		restricted = true;
 	}
-	return !bound;
+	return !restricted;
 }
 
 /*
- * The target that is furthest behind its share. Drawing by chance would miss
- * the weights by several percent over a few hundred requests.
+ * Smooth weighted round robin: picks the target that is furthest behind its
+ * share. A random choice would miss the weights by several percent over a few
+ * hundred requests.
  */
-const struct route_service *route_deal(const struct route *route)
+const struct route_service *route_pick_target(const struct route *route)
 {
 	double total = 0;
-	double most = -INFINITY;
+	double max_credit = -INFINITY;
 	int best = 0;
 	int i;
 
@@ -401,12 +409,13 @@
 		total += route->targets[i].weight;
 	for (i = 0; i < route->n_targets; i++) {
 		if (total > 0)
-			route->dealt[i] += route->targets[i].weight / total;
-		if (route->targets[i].weight <= 0 || route->dealt[i] <= most)
+			route->credit[i] += route->targets[i].weight / total;
+		if (route->targets[i].weight <= 0 ||
+		    route->credit[i] <= max_credit)
 			continue;
-		most = route->dealt[i];
+		max_credit = route->credit[i];
 		best = i;
 	}
-	route->dealt[best] -= 1;
+	route->credit[best] -= 1;
 	return route->targets[best].service;
 }
--- a/routes.h
+++ b/routes.h
@@ -1,7 +1,7 @@
 /*
  * The routes in force: which requests go to which services of backend servers,
- * and within which limits. A set is read from one document, never changes, and
- * is kept as long as a request uses it, so that a request sees one version
+ * and within which limits. A set is parsed from one document, is immutable, and
+ * lives as long as a request refers to it, so that a request uses one version
  * from start to end.
  */
 #ifndef ROUTES_H
@@ -15,10 +15,12 @@
 #include "str.h"
 
 /**
- * struct route_service - a service that routes name
- * @connections_max: that each of its servers accepts from all callers
- * @cold_s: a server takes few requests for so long after its start
- * @cold_per_s: so many a second; 0: it is only slow then
+ * struct route_service - a service that routes refer to
+ * @name: owned
+ * @connections_max: connections that each of its servers accepts in total
+ * @cold_s: how long a server takes few requests after its start, seconds
+ * @cold_per_s: how many it takes a second during that time; 0: it takes all,
+ *		but is slow
  */
 struct route_service {
 	char *name;
@@ -29,7 +31,8 @@
 
 /**
  * struct route_target - a service of a route
- * @weight: share of the requests, where the route splits them
+ * @service: borrowed from the set
+ * @weight: relative share of the requests, where the route splits them
  */
 struct route_target {
 	const struct route_service *service;
@@ -37,20 +40,25 @@
 };
 
 /**
- * struct route - where requests of a host and path go
- * @prefix: begins and ends with a slash
+ * struct route - where requests with a host and path prefix go
+ * @name: NULL if the document has none; owned
+ * @host: compared without regard to case; owned
+ * @prefix: of the path, begins and ends with a slash; owned
+ * @prefix_len: length of @prefix
  * @repeatable: a request may run more than once
- * @sharded: goes to all targets and the answers are merged; else to one of
- *	them, drawn by weight
+ * @sharded: a request goes to all targets and the answers are merged; else to
+ *	     one of them, chosen by weight
  * @timeout_ms: longest time until the answer
- * @goal_ms: an answer within it is worth most
- * @servers_max: on so many servers of a service a request may run
+ * @goal_ms: latency goal; an answer within it has its full value
+ * @servers_max: servers of a service that a request may be sent to
  * @priority: 0 is the highest
- * @records_max: sharded: records in the merged answer
- * @coverage_min: sharded: least share of the targets in an answer
- * @regions: those whose servers and instances may get a request
- * @dealt: requests dealt to the targets so far, for the weights; the only
- *	member that changes
+ * @records_max: sharded: most records in the merged answer
+ * @coverage_min: sharded: least share of the targets in an answer, 0 to 1
+ * @targets: owned
+ * @n_targets: length of @targets
+ * @regions: where requests may run; empty: anywhere
+ * @credit: for each target, how many requests it is behind its weight (below 0:
+ *	    ahead of it); the only member that changes; owned
  */
 struct route {
 	char *name;
@@ -68,14 +76,15 @@
 	struct route_target *targets;
 	int n_targets;
 	struct region_set regions;
-	double *dealt;
+	double *credit;
 };
 
 /**
- * struct caller_limits - what callers may send, and how slowly
- * @header_bytes_max: request line and headers
- * @header_timeout_ms: for them to arrive
- * @idle_timeout_ms: a connection without a request is closed after it
+ * struct caller_limits - limits on the requests of callers
+ * @header_bytes_max: size of the request line and headers
+ * @body_bytes_max: size of the body
+ * @header_timeout_ms: within which request line and headers must arrive
+ * @idle_timeout_ms: after which a connection without a request is closed
  */
 struct caller_limits {
 	int64_t header_bytes_max;
@@ -86,8 +95,15 @@
 
 /**
  * struct route_set - one version of all routes
- * @version: rises with each change, in uneven steps
- * @text: the document, for peers
+ * @refs: references; freed with the last one
+ * @version: rises with each change, not always by 1
+ * @routes: owned
+ * @n_routes: length of @routes
+ * @services: owned
+ * @n_services: length of @services
+ * @limits: of callers' requests
+ * @text: the document, to be sent to peers; owned
+ * @text_len: length of @text
  */
 struct route_set {
 	int refs;
@@ -102,8 +118,10 @@
 };
 
 /**
- * route_set_parse() - read a document
- * @out: with one reference on success
+ * route_set_parse() - parse a document
+ * @text: JSON; copied
+ * @out: the set on success, with one reference that the caller owns
+ * @err: may be NULL
  *
  * Return: 0, or ERR_SYNTAX, ERR_KEY_MISSING, ERR_TYPE, ERR_RANGE or
  * ERR_REFERENCE with @err filled.
@@ -113,29 +131,42 @@
 void route_set_unref(struct route_set *set);
 
 /**
- * route_set_find() - the route of a request
+ * route_set_find() - find the route of a request
+ * @set: searched
  * @host: without the port
  * @path: with or without a query
  *
- * Return: the route of that host with the longest prefix that begins the path,
- * or NULL.
+ * Return: the route of that host with the longest matching prefix, or NULL;
+ * borrowed from the set.
  */
 const struct route *route_set_find(const struct route_set *set, struct str host,
 				   struct str path);
 
 /**
- * route_set_allows() - the routes of a host allow requests in a region
+ * route_set_allows() - whether a host's requests may run in a region
+ * @set: searched
+ * @host: without the port
+ * @region: empty if it is not known
  *
- * Return: false if each of them, and there are some, is bound to others.
+ * Return: true if a route of the host allows the region, or the host has no
+ * routes.
  */
 bool route_set_allows(const struct route_set *set, struct str host,
 		      const char *region);
 
 /**
- * route_deal() - the target of the next request, so that shares follow weights
+ * route_pick_target() - choose the target of the next request by weight
+ * @route: its @credit is updated
+ *
+ * Return: borrowed from the set.
  */
-const struct route_service *route_deal(const struct route *route);
+const struct route_service *route_pick_target(const struct route *route);
 
+/**
+ * route_set_service() - look up a service by name, NULL if there is none
+ * @set: searched
+ * @name: of the service
+ */
 const struct route_service *route_set_service(const struct route_set *set,
 					      struct str name);
 
--- a/settings.c
+++ b/settings.c
@@ -6,45 +6,45 @@
 
 #define PLATFORM_KEY "platform_addresses"
 
-static const char *const level_names[] = {"debug", "info", "warn", "error",
-					  NULL};
+static const char *const log_level_names[] = {"debug", "info", "warn", "error",
+					      NULL};
 
-#define AT(member) offsetof(struct settings, member)
+#define FIELD_OFFSET(member) offsetof(struct settings, member)
 
 const struct option_spec settings_options[] = {
 	{.name = "instance",
 	 .type = OPTION_STRING,
-	 .offset = AT(instance),
+	 .offset = FIELD_OFFSET(instance),
 	 .required = true,
 	 .min = 1,
 	 .max = 64,
 	 .help = "name of this instance, unique in the fleet"},
 	{.name = "data_centre",
 	 .type = OPTION_STRING,
-	 .offset = AT(data_centre),
+	 .offset = FIELD_OFFSET(data_centre),
 	 .required = true,
 	 .min = 1,
 	 .max = 64,
 	 .help = "data centre this instance runs in"},
 	{.name = "caller_address",
 	 .type = OPTION_ADDRESS,
-	 .offset = AT(caller_address),
+	 .offset = FIELD_OFFSET(caller_address),
 	 .required = true,
 	 .help = "HTTP for callers and operators"},
 	{.name = "peer_address",
 	 .type = OPTION_ADDRESS,
-	 .offset = AT(peer_address),
+	 .offset = FIELD_OFFSET(peer_address),
 	 .required = true,
 	 .help = "TCP and UDP between instances"},
 	{.name = "log_level",
 	 .type = OPTION_ENUM,
-	 .offset = AT(log_level),
+	 .offset = FIELD_OFFSET(log_level),
 	 .def = 1,
-	 .names = level_names,
+	 .names = log_level_names,
 	 .help = "least level that is logged"},
 };
 
-#undef AT
+#undef FIELD_OFFSET
 
 const int n_settings_options =
 	sizeof(settings_options) / sizeof(settings_options[0]);
--- a/settings.h
+++ b/settings.h
@@ -1,4 +1,4 @@
-/* What an instance is told when it starts: its names and addresses. */
+/* The settings file of an instance: its names and addresses. */
 #ifndef SETTINGS_H
 #define SETTINGS_H
 
@@ -8,15 +8,15 @@
 #define SETTINGS_PLATFORMS_MAX 8
 
 /**
- * struct settings - a read settings file
- * @instance: unique name of this instance
- * @data_centre: where it runs
+ * struct settings - a parsed settings file
+ * @instance: unique name of this instance; owned
+ * @data_centre: where it runs; owned
  * @caller_address: HTTP for callers and operators
  * @peer_address: TCP and UDP between instances
  * @platform: addresses of the platform's configuration service
- * @n_platform: how many
- * @capacity: processor time of the machine, thousandths of a core; 0: not told
- * @log_level: least level written, see log_level_parse()
+ * @n_platform: length of @platform
+ * @capacity: processor time of the machine, thousandths of a core; 0: not known
+ * @log_level: lowest level that is logged, see log_level_parse()
  */
 struct settings {
 	char *instance;
@@ -33,12 +33,14 @@
 extern const int n_settings_options;
 
 /**
- * settings_init() - read settings from JSON with comments
+ * settings_init() - parse settings from JSON with comments
+ * @settings: to be freed with settings_finish() on success
  * @text: the document
- * @err: names the key and what was expected
+ * @len: length of @text
+ * @err: set to the key and what was expected there
  *
  * Return: 0; or ERR_SYNTAX, ERR_KEY_UNKNOWN, ERR_KEY_MISSING, ERR_TYPE,
- * ERR_RANGE, ERR_ADDRESS with @settings finished.
+ * ERR_RANGE or ERR_ADDRESS with @settings freed.
  */
 int settings_init(struct settings *settings, const char *text, size_t len,
 		  struct error *err);
--- a/tests/test_directory.c
+++ b/tests/test_directory.c
@@ -7,7 +7,7 @@
 static struct directory_candidate candidate(const char *dc, bool ready)
 {
 	struct directory_candidate candidate = {.region = "r",
-						.home = true,
+						.region_allowed = true,
 						.ready = ready};
 
 	snprintf(candidate.data_centre, sizeof(candidate.data_centre), "%s",
@@ -15,7 +15,7 @@
 	return candidate;
 }
 
-/* For a caller of the region of all candidates. */
+/* Chooses for a caller in the region of all candidates. */
 static int choose(const struct directory_candidate *candidates, int n,
 		  struct str data_centre, int *out)
 {
@@ -28,25 +28,24 @@
 					    candidate("b", true),
 					    candidate("a", true),
 					    candidate("a", false)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	CU_ASSERT(choose(all, 4, STR("a"), out) == 3);
 	CU_ASSERT(out[0] == 0 && out[1] == 2 && out[2] == 1);
 }
 
 /*
- * A data centre loses power. Its callers keep the addresses that they were
- * named, all there, and the instances that they would ask for others are there
- * too. One address elsewhere is named besides: in the caller's region, and
- * another one to each data centre, so that its callers do not all come to the
- * same.
+ * A data centre loses power. If its callers had only addresses there, they
+ * could not ask for others. They get one more address in another data centre of
+ * their region, a different one for each data centre, so that not all callers
+ * go to the same instance.
  */
-static void test_one_elsewhere(void)
+static void test_one_in_other_data_centre(void)
 {
 	struct directory_candidate all[40];
 	bool named[40] = {false};
 	char dc[8];
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 	int different = 0;
 	int i;
 
@@ -70,13 +69,13 @@
 	CU_ASSERT(different >= 3);
 }
 
-/* Of two instances of a data centre one is lost: callers there get others. */
+/* One of a data centre's two instances is down: callers get others as well. */
 static void test_too_few(void)
 {
 	struct directory_candidate all[] = {candidate("a", true),
 					    candidate("b", true),
 					    candidate("a", false)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	CU_ASSERT(choose(all, 3, STR("a"), out) == 2);
 	CU_ASSERT(choose(all, 3, STR("elsewhere"), out) == 2);
@@ -85,23 +84,23 @@
 static void test_none_ready(void)
 {
 	struct directory_candidate all[] = {candidate("a", false)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	CU_ASSERT(choose(all, 1, STR("a"), out) == 0);
 	CU_ASSERT(choose(all, 0, STR("a"), out) == 0);
 }
 
 /*
- * Most machines are small. Callers there would be late with each request; they
- * go to the large ones, and to small ones only once no large one is left.
+ * Most machines are small, and each request there would be late. Callers go to
+ * large machines, and to small ones only if no large one is ready.
  */
-static void test_large_ones(void)
+static void test_large_instances_first(void)
 {
 	struct directory_candidate all[] = {candidate("a", true),
 					    candidate("a", true),
 					    candidate("b", true),
 					    candidate("b", true)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	all[0].capacity = 120;
 	all[1].capacity = 500;
@@ -117,34 +116,34 @@
 	CU_ASSERT(out[0] == 0 && out[1] == 3);
 }
 
-/* Nearly equal ones share the load. */
-static void test_nearly_equal(void)
+/* Instances of nearly equal capacity share the load. */
+static void test_nearly_equal_capacity(void)
 {
 	struct directory_candidate all[] = {candidate("a", true),
 					    candidate("a", true)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	all[0].capacity = 250;
 	all[1].capacity = 300;
 	CU_ASSERT(choose(all, 2, STR("a"), out) == 2);
 }
 
-static void test_bounded(void)
+static void test_limited(void)
 {
-	static struct directory_candidate all[DIRECTORY_MAX + 9];
-	int out[DIRECTORY_MAX];
+	static struct directory_candidate all[DIRECTORY_ADDRESSES_MAX + 9];
+	int out[DIRECTORY_ADDRESSES_MAX];
 	int i;
 
-	for (i = 0; i < DIRECTORY_MAX + 9; i++)
+	for (i = 0; i < DIRECTORY_ADDRESSES_MAX + 9; i++)
 		all[i] = candidate("a", true);
-	CU_ASSERT(choose(all, DIRECTORY_MAX + 9, STR("a"), out) ==
-		  DIRECTORY_MAX);
+	CU_ASSERT(choose(all, DIRECTORY_ADDRESSES_MAX + 9, STR("a"), out) ==
+		  DIRECTORY_ADDRESSES_MAX);
 }
 
 /*
- * Records of a host must not leave their regions. Callers were named all
- * instances once two of their own data centre were gone, and sent requests to
- * machines in regions that are neither theirs nor allowed.
+ * Records of a host must not leave their regions. Once two instances of their
+ * data centre were gone, callers got the addresses of all instances, and sent
+ * requests to regions that are neither their own nor allowed.
  */
 static void test_regions(void)
 {
@@ -152,37 +151,40 @@
 					    candidate("a2", true),
 					    candidate("b", true),
 					    candidate("c", true)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	all[2].region = "home";
 	all[3].region = "foreign";
-	all[3].home = false;
+	all[3].region_allowed = false;
 	all[3].capacity = 900;
 	CU_ASSERT(choose(all, 4, STR("a"), out) == 2);
 	CU_ASSERT(out[0] == 0 && out[1] == 1);
 	all[0].ready = false;
 	CU_ASSERT(choose(all, 4, STR("a"), out) == 1);
 	CU_ASSERT(out[0] == 1);
-	/* Nobody is left in the caller's region: where its records are. */
+	/* None ready in the caller's region: use the allowed regions. */
 	all[1].ready = false;
-	all[0].home = false;
+	all[0].region_allowed = false;
 	CU_ASSERT(choose(all, 4, STR("a"), out) == 1);
 	CU_ASSERT(out[0] == 2);
-	/* Nor there: any is better than none, it sends nothing on elsewhere. */
+	/*
+	 * None ready there either: any instance is better than none, as it does
+	 * not forward requests to regions that are not allowed.
+	 */
 	all[2].ready = false;
 	CU_ASSERT(choose(all, 4, STR("a"), out) == 1);
 	CU_ASSERT(out[0] == 3);
 }
 
 static const struct unit_test tests[] = {
-	{"own data centre", test_own_data_centre},
-	{"one elsewhere", test_one_elsewhere},
-	{"too few there", test_too_few},
+	{"instances of the own data centre", test_own_data_centre},
+	{"one instance of another data centre", test_one_in_other_data_centre},
+	{"too few instances in the data centre", test_too_few},
 	{"none ready", test_none_ready},
-	{"large ones", test_large_ones},
-	{"nearly equal", test_nearly_equal},
-	{"bounded", test_bounded},
-	{"regions", test_regions},
+	{"large instances first", test_large_instances_first},
+	{"nearly equal capacity", test_nearly_equal_capacity},
+	{"number of addresses is limited", test_limited},
+	{"allowed regions", test_regions},
 };
 
 UNIT_MAIN("directory", tests)
--- a/tests/test_routes.c
+++ b/tests/test_routes.c
@@ -66,8 +66,8 @@
 }
 
 /*
- * An operator sends a quarter of the requests to another service. Counted over
- * a hundred requests it must be a quarter, and none go to a weight of 0.
+ * An operator sends a quarter of the requests to another service. It must get
+ * 25 of 100 requests, and a service with a weight of 0 none.
  */
 static void test_weights(void)
 {
@@ -77,7 +77,7 @@
 	int i;
 
 	for (i = 0; i < 100; i++)
-		counts[route_deal(route) - set->services]++;
+		counts[route_pick_target(route) - set->services]++;
 	CU_ASSERT(counts[0] == 75);
 	CU_ASSERT(counts[1] == 25);
 	CU_ASSERT(counts[2] == 0);
@@ -113,10 +113,10 @@
 }
 
 static const struct unit_test tests[] = {
-	{"find", test_find},
-	{"members", test_members},
-	{"weights", test_weights},
-	{"refused", test_refused},
+	{"find a route", test_find},
+	{"members of a document", test_members},
+	{"split by weight", test_weights},
+	{"invalid documents are refused", test_refused},
 };
 
 UNIT_MAIN("routes", tests)
