--- a/records.c
+++ b/records.c
@@ -19,8 +19,8 @@
 	free(records->tags);
 }
 
-/* Behind all that are not smaller. */
-static int place_of(const struct records *records, const char *record)
+/* After all records that are not smaller. */
+static int insert_position(const struct records *records, const char *record)
 {
 	int low = 0;
 	int high = records->n;
@@ -37,9 +37,9 @@
 	return low;
 }
 
-static void add(struct records *records, const char *record, uint8_t tag)
+static void insert(struct records *records, const char *record, uint8_t tag)
 {
-	int at = place_of(records, record);
+	int at = insert_position(records, record);
 	char *slot = records->bytes + at * RECORD_SIZE;
 
 	if (at == records->max)
@@ -59,10 +59,10 @@
 	size_t at;
 
 	for (at = 0; at + RECORD_SIZE <= body.len; at += RECORD_SIZE)
-		add(records, body.data + at, tag);
+		insert(records, body.data + at, tag);
 }
 
-void records_cut(struct records *records, const char *floor)
+void records_drop_below(struct records *records, const char *floor)
 {
-	records->n = place_of(records, floor);
+	records->n = insert_position(records, floor);
 }
--- a/records.h
+++ b/records.h
@@ -1,4 +1,4 @@
-/* The greatest of many records of a fixed size, compared as bytes. */
+/* Keeps the greatest of many records of a fixed size, compared as bytes. */
 #ifndef RECORDS_H
 #define RECORDS_H
 
@@ -7,9 +7,10 @@
 #define RECORD_SIZE 16
 
 /**
- * struct records - the greatest records so far, falling
- * @bytes: @n of them, owned
- * @tags: of each, as it was added with
+ * struct records - the greatest records so far, in descending order
+ * @bytes: @n records; owned
+ * @tags: the tag that each was added with; owned
+ * @n: how many there are
  * @max: how many are kept
  */
 struct records {
@@ -23,17 +24,20 @@
 void records_finish(struct records *records);
 
 /**
- * records_add() - take the records of one part
- * @body: in no order; a rest shorter than a record is none
- * @tag: kept with each of them
+ * records_add() - add the records of a part
+ * @records: updated
+ * @body: records in any order; a shorter rest at the end is ignored
+ * @tag: stored with each of them
  *
- * Equal records all count.
+ * Equal records are all kept.
  */
 void records_add(struct records *records, struct str body, uint8_t tag);
 
 /**
- * records_cut() - drop those that are less than a record
+ * records_drop_below() - remove the records that are less than a bound
+ * @records: updated
+ * @floor: a record, the least that is kept
  */
-void records_cut(struct records *records, const char *floor);
+void records_drop_below(struct records *records, const char *floor);
 
 #endif
--- a/relay_serve.c
+++ b/relay_serve.c
@@ -143,7 +143,7 @@
 	Peer__PartResult message = PEER__PART_RESULT__INIT;
 
 	if (job->has_floor)
-		records_cut(&job->records, job->floor);
+		records_drop_below(&job->records, job->floor);
 	message.id = job->id;
 	message.floor = extend_floor(job);
 	message.parts = job->pointers;
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -7,12 +7,12 @@
 
 #define MANY 500
 
-static int falling(const void *a, const void *b)
+static int compare_descending(const void *a, const void *b)
 {
 	return memcmp(b, a, RECORD_SIZE);
 }
 
-/* Many parts, with equal records among them, against a sort of all. */
+/* Many parts with equal records among them, compared to sorting all records. */
 static void test_greatest(void)
 {
 	static char all[MANY][RECORD_SIZE];
@@ -31,14 +31,14 @@
 	for (i = 0; i < MANY; i += 50)
 		records_add(&records, (struct str){all[i], 50 * RECORD_SIZE},
 			    (uint8_t)(i / 50));
-	qsort(all, MANY, RECORD_SIZE, falling);
+	qsort(all, MANY, RECORD_SIZE, compare_descending);
 	CU_ASSERT(records.n == 40);
 	CU_ASSERT(!memcmp(records.bytes, all, 40 * RECORD_SIZE));
 	records_finish(&records);
 }
 
-/* Those equal to the floor all count. */
-static void test_cut(void)
+/* Records equal to the bound are kept. */
+static void test_drop_below(void)
 {
 	char body[4][RECORD_SIZE] = {{4}, {2}, {3}, {2}};
 	char floor[RECORD_SIZE] = {2};
@@ -46,19 +46,19 @@
 
 	records_init(&records, 4);
 	records_add(&records, (struct str){body[0], sizeof(body)}, 7);
-	records_cut(&records, floor);
+	records_drop_below(&records, floor);
 	CU_ASSERT_EQUAL(records.n, 4);
 	floor[1] = 1;
-	records_cut(&records, floor);
+	records_drop_below(&records, floor);
 	CU_ASSERT_EQUAL(records.n, 2);
 	CU_ASSERT_EQUAL(records.bytes[RECORD_SIZE], 3);
 	floor[0] = 5;
-	records_cut(&records, floor);
+	records_drop_below(&records, floor);
 	CU_ASSERT_EQUAL(records.n, 0);
 	records_finish(&records);
 }
 
-static void test_rest_is_no_record(void)
+static void test_short_rest_is_ignored(void)
 {
 	struct records records;
 
@@ -76,9 +76,9 @@
 }
 
 static const struct unit_test tests[] = {
-	{"cut", test_cut},
-	{"greatest", test_greatest},
-	{"a rest is no record", test_rest_is_no_record},
+	{"drop below a bound", test_drop_below},
+	{"greatest records", test_greatest},
+	{"a rest shorter than a record is ignored", test_short_rest_is_ignored},
 };
 
 UNIT_MAIN("records", tests)
