--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -224,7 +224,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++)
-		sim_sync(sim, i)->reader.watches[READER_TABLE].by_all = true;
+		sim_sync(sim, i)->reader.watches[READER_TABLE].watched_by_all = true;
 }
 
 /* What is counted from a moment on. */
@@ -306,8 +306,8 @@
 	for (i = 0; i < sim->n; i++) {
 		const struct reader *reader = &sim_sync(sim, i)->reader;
 
-		count += reader_watches(reader) ||
-			 reader->watches[READER_TABLE].by_all;
+		count += reader_is_watching(reader) ||
+			 reader->watches[READER_TABLE].watched_by_all;
 	}
 	return count;
 }
--- a/platform.c
+++ b/platform.c
@@ -12,7 +12,7 @@
 
 #include "log.h"
 
-/* A call may take this much longer than it waits at the platform. */
+/* Time-out of a call beyond the time that the platform may wait. */
 #define ANSWER_GRACE_S 4
 #define VALUE_MAX_BYTES (1024 * 1024)
 #define STATUS_OK 200
@@ -39,8 +39,8 @@
 	return text && !str_parse_u64(str_from(text), out);
 }
 
-/* Against a value that was cut off: it would be taken for a shorter table. */
-static bool is_whole(struct evhttp_request *request, size_t len)
+/* A truncated value would be read as a shorter table. */
+static bool is_complete(struct evhttp_request *request, size_t len)
 {
 	uint64_t announced;
 
@@ -55,7 +55,7 @@
 	size_t len = evbuffer_get_length(body);
 
 	if (!read_number(request, "X-Revision", &answer->revision) ||
-	    !is_whole(request, len)) {
+	    !is_complete(request, len)) {
 		answer->code = ERR_PROTOCOL;
 		return;
 	}
@@ -94,7 +94,7 @@
 	return answer;
 }
 
-static void turn(struct platform_channel *channel)
+static void use_next_address(struct platform_channel *channel)
 {
 	int n = channel->platform->board->settings->n_platform;
 
@@ -107,11 +107,12 @@
 	struct platform *platform = channel->platform;
 
 	channel->busy = false;
-	/* Another replica of the service may be up. */
+	/* Another replica of the service may be reachable. */
 	if (answer->code == ERR_UNAVAILABLE || answer->code == ERR_PROTOCOL)
-		turn(channel);
+		use_next_address(channel);
 	if (channel->kind == PLATFORM_PART)
-		platform->ops->part(platform->arg, channel->id, answer);
+		platform->ops->part_answered(platform->arg, channel->id,
+					     answer);
 	else
 		platform->ops->answered(platform->arg,
 					channel->kind == PLATFORM_TABLE
@@ -127,8 +128,8 @@
 	deliver(arg, &answer);
 }
 
-/* Return: whether the connection leads to the address in use and is good. */
-static bool is_connected(const struct platform_channel *channel)
+/* Return: whether there is a connection, and to the current address. */
+static bool is_connection_usable(const struct platform_channel *channel)
 {
 	const struct address *want =
 		&channel->platform->board->settings->platform[channel->address];
@@ -154,7 +155,7 @@
 	evhttp_connection_set_max_body_size(channel->http, VALUE_MAX_BYTES);
 }
 
-static void start(evutil_socket_t fd, short what, void *arg)
+static void on_start(evutil_socket_t fd, short what, void *arg)
 {
 	static const struct platform_answer failed = {.code = ERR_UNAVAILABLE};
 	struct platform_channel *channel = arg;
@@ -163,8 +164,8 @@
 
 	(void)fd;
 	(void)what;
-	/* A call under way is given up with its connection. */
-	if (channel->busy || !is_connected(channel))
+	/* Closing the connection cancels the call under way. */
+	if (channel->busy || !is_connection_usable(channel))
 		reconnect(channel);
 	channel->busy = true;
 	evhttp_connection_set_timeout(channel->http, timeout_s);
@@ -176,12 +177,12 @@
 		deliver(channel, &failed);
 }
 
-static void start_soon(struct platform_channel *channel, uint64_t id,
-		       int64_t wait_ms)
+static void schedule_start(struct platform_channel *channel, uint64_t id,
+			   int64_t wait_ms)
 {
 	channel->id = id;
 	channel->wait_ms = wait_ms;
-	event_active(channel->start, EV_TIMEOUT, 1);
+	event_active(channel->start_event, EV_TIMEOUT, 1);
 }
 
 void platform_call(struct platform *platform, const struct reader_call *call)
@@ -199,10 +200,11 @@
 	else
 		snprintf(channel->path, sizeof(channel->path), "/v1/values/%s",
 			 key);
-	start_soon(channel, call->id, call->wait_ms);
+	schedule_start(channel, call->id, call->wait_ms);
 }
 
-void platform_fetch(struct platform *platform, const char *key, uint64_t id)
+void platform_fetch_part(struct platform *platform, const char *key,
+			 uint64_t id)
 {
 	struct platform_channel *channel = &platform->channels[PLATFORM_PART];
 	char *escaped = evhttp_uriencode(key, -1, 0);
@@ -210,12 +212,12 @@
 	snprintf(channel->path, sizeof(channel->path), "/v1/values/%.150s",
 		 escaped);
 	free(escaped);
-	start_soon(channel, id, 0);
+	schedule_start(channel, id, 0);
 }
 
-void platform_turn(struct platform *platform)
+void platform_use_next_address(struct platform *platform)
 {
-	turn(&platform->channels[PLATFORM_TABLE]);
+	use_next_address(&platform->channels[PLATFORM_TABLE]);
 	platform->channels[PLATFORM_PART].address =
 		platform->channels[PLATFORM_TABLE].address;
 }
@@ -234,7 +236,8 @@
 
 		channel->platform = platform;
 		channel->kind = i;
-		channel->start = evtimer_new(board->base, start, channel);
+		channel->start_event =
+			evtimer_new(board->base, on_start, channel);
 	}
 }
 
@@ -245,7 +248,7 @@
 	for (i = 0; i < PLATFORM_CHANNELS; i++) {
 		struct platform_channel *channel = &platform->channels[i];
 
-		event_free(channel->start);
+		event_free(channel->start_event);
 		if (channel->http)
 			evhttp_connection_free(channel->http);
 	}
--- a/reader.c
+++ b/reader.c
@@ -4,20 +4,20 @@
 
 #include "error.h"
 
-/* Any constant, the same in all instances. */
+/* Arbitrary, but the same in all instances. */
 #define SCORE_KEY UINT64_C(0x7265616465720001)
-#define START_JITTER MSEC(100)
+#define START_JITTER_MAX MSEC(100)
 /* Shortest time between the starts of two calls for one key. */
-#define CALL_GAP MSEC(100)
-/* Pause after a watching call that came back at once without news. */
-#define EARLY_PAUSE MSEC(1000)
-/* A call this much over its wait is given up. */
+#define CALL_INTERVAL_MIN MSEC(100)
+/* Pause after a long poll that returned early and without a new value. */
+#define EARLY_ANSWER_PAUSE MSEC(1000)
+/* A call without an answer so long after its wait counts as failed. */
 #define CALL_GRACE MSEC(5000)
-/* Part of the wait by which watches are spread, so that they don't align. */
-#define WAIT_SPREAD 5
+/* Waits are shortened by up to 1/5 so that instances do not call in step. */
+#define WAIT_JITTER_DIVISOR 5
 #define BACKOFF_SHIFT_MAX 16
-/* Whole reads are this much more frequent while the platform is behind. */
-#define BEHIND_VERIFY 10
+/* Whole reads are this many times as frequent while the platform is behind. */
+#define BEHIND_VERIFY_FACTOR 10
 
 /* splitmix64 */
 static uint64_t next_random(struct reader *reader)
@@ -50,7 +50,7 @@
 	reader->starting = true;
 	for (i = 0; i < READER_KEYS; i++) {
 		reader->watches[i].next_at =
-			now + reader_random(reader, START_JITTER);
+			now + reader_random(reader, START_JITTER_MAX);
 		reader->watches[i].verify = true;
 	}
 }
@@ -67,7 +67,7 @@
 	reader->leaving = leaving;
 }
 
-bool reader_watches(const struct reader *reader)
+bool reader_is_watching(const struct reader *reader)
 {
 	return !reader->leaving &&
 	       reader->rank < reader->tunables->table_readers;
@@ -79,12 +79,12 @@
 }
 
 /*
- * Against a storm on a platform that comes back after an outage: all tables
- * turn unconfirmed at about the same time. Each instance waits in proportion
- * to the size of its data centre, so that a data centre as a whole makes one
- * call in table_ask_ms, however many instances it has.
+ * Prevents a burst of calls on a platform that recovers from an outage: all
+ * tables become unconfirmed at about the same time. Each instance waits in
+ * proportion to the size of its data centre, so that a data centre makes one
+ * call per table_ask_ms on average, however many instances it has.
  */
-static int64_t ask_pause(struct reader *reader)
+static int64_t poll_delay(struct reader *reader)
 {
 	int64_t mean = MSEC(reader->tunables->table_ask_ms) * reader->n;
 
@@ -94,11 +94,12 @@
 void reader_set_unconfirmed(struct reader *reader, bool unconfirmed)
 {
 	if (unconfirmed && !reader->unconfirmed)
-		reader->ask_at = clock_now(reader->clock) + ask_pause(reader);
+		reader->next_poll_at =
+			clock_now(reader->clock) + poll_delay(reader);
 	reader->unconfirmed = unconfirmed;
 }
 
-static int64_t backoff(struct reader *reader, int failures)
+static int64_t backoff_pause(struct reader *reader, int failures)
 {
 	int64_t cap = MSEC(reader->tunables->table_backoff_max_ms);
 	int64_t pause = MSEC(reader->tunables->table_backoff_min_ms);
@@ -110,24 +111,24 @@
 	return pause / 2 + reader_random(reader, pause / 2 + 1);
 }
 
-static void fail(struct reader *reader, struct reader_watch *watch,
-		 int64_t retry_after_ms)
+static void call_failed(struct reader *reader, struct reader_watch *watch,
+			int64_t retry_after_ms)
 {
-	int64_t pause = backoff(reader, watch->failures++);
+	int64_t pause = backoff_pause(reader, watch->failures++);
 	int64_t asked = MSEC(retry_after_ms);
 
 	if (pause < asked)
 		pause = asked + reader_random(reader, asked / 2 + 1);
 	watch->next_at = clock_now(reader->clock) + pause;
-	/* It may come back from a backup: read the whole value. */
+	/* The platform may have been restored from a backup meanwhile. */
 	watch->verify = true;
 }
 
 /*
- * Against a call that is never answered (a silent connection, or a process
- * that slept): without this the watch would wait for it for good.
+ * Fails a call that is never answered (a silent connection, or a suspended
+ * process). Without this the watch would wait for it forever.
  */
-static void give_up_lost(struct reader *reader, struct reader_watch *watch)
+static void expire_lost_call(struct reader *reader, struct reader_watch *watch)
 {
 	int64_t now = clock_now(reader->clock);
 
@@ -135,21 +136,23 @@
 	    now - watch->sent_at < MSEC(watch->wait_ms) + CALL_GRACE)
 		return;
 	watch->busy = false;
-	fail(reader, watch, 0);
+	call_failed(reader, watch, 0);
 }
 
 /*
- * Against a platform restored from a backup: "nothing newer than N" is also
- * what it answers when it has lost N. Only a whole read shows what it has.
+ * A platform that was restored from a backup and lost revision N also answers
+ * "nothing newer than N". Only a whole read shows which revision it has.
  */
-static bool must_verify(const struct reader *reader,
-			const struct reader_watch *watch, enum reader_key key)
+static bool needs_full_read(const struct reader *reader,
+			    const struct reader_watch *watch,
+			    enum reader_key key)
 {
 	int64_t period = MSEC(reader->tunables->table_verify_ms);
 
-	if (key == READER_TABLE && reader->behind)
-		period /= BEHIND_VERIFY;
-	else if (watch->verify || (key == READER_TABLE && reader->unseen))
+	if (key == READER_TABLE && reader->platform_behind)
+		period /= BEHIND_VERIFY_FACTOR;
+	else if (watch->verify ||
+		 (key == READER_TABLE && reader->revision_unseen))
 		return true;
 	return clock_now(reader->clock) - watch->verified_at >= period;
 }
@@ -160,7 +163,7 @@
 	int64_t now = clock_now(reader->clock);
 	int64_t wait_ms = reader->tunables->table_watch_ms;
 
-	wait_ms -= reader_random(reader, wait_ms / WAIT_SPREAD + 1);
+	wait_ms -= reader_random(reader, wait_ms / WAIT_JITTER_DIVISOR + 1);
 	call->id = ++reader->last_id;
 	call->conditional = !whole && watch->after;
 	call->after = call->conditional ? watch->after : 0;
@@ -178,28 +181,28 @@
 {
 	int64_t now = clock_now(reader->clock);
 
-	bool watches = reader_watches(reader) || watch->by_all;
+	bool watches = reader_is_watching(reader) || watch->watched_by_all;
 
 	if (watch->busy || now < watch->next_at)
 		return false;
 	if (!watches && !(reader->starting && !watch->answered))
 		return false;
-	start_call(reader, watch, must_verify(reader, watch, call->key),
+	start_call(reader, watch, needs_full_read(reader, watch, call->key),
 		   watches, call);
 	return true;
 }
 
-static bool ask_due(struct reader *reader, struct reader_call *call)
+static bool poll_due(struct reader *reader, struct reader_call *call)
 {
 	struct reader_watch *watch = &reader->watches[READER_TABLE];
 	int64_t now = clock_now(reader->clock);
 
-	if (!reader->unconfirmed || watch->busy || now < reader->ask_at ||
+	if (!reader->unconfirmed || watch->busy || now < reader->next_poll_at ||
 	    reader->starting || reader->leaving)
 		return false;
-	reader->ask_at = now + ask_pause(reader);
+	reader->next_poll_at = now + poll_delay(reader);
 	call->key = READER_TABLE;
-	start_call(reader, watch, reader->unseen, false, call);
+	start_call(reader, watch, reader->revision_unseen, false, call);
 	return true;
 }
 
@@ -209,45 +212,45 @@
 
 	for (i = 0; i < READER_KEYS; i++) {
 		call->key = i;
-		give_up_lost(reader, &reader->watches[i]);
+		expire_lost_call(reader, &reader->watches[i]);
 		if (watch_due(reader, &reader->watches[i], call))
 			return true;
 	}
-	return !reader_watches(reader) && ask_due(reader, call);
+	return !reader_is_watching(reader) && poll_due(reader, call);
 }
 
 /*
- * Against a platform that answers a watch at once: without a pause the calls
- * would follow each other as fast as the network allows.
+ * A platform that answers long polls at once would otherwise be called as fast
+ * as the network allows.
  */
 static int64_t pause_after(const struct reader_watch *watch, int64_t now,
 			   bool newer)
 {
 	if (!newer && watch->wait_ms &&
 	    now - watch->sent_at < MSEC(watch->wait_ms) / 2)
-		return EARLY_PAUSE;
-	return CALL_GAP;
+		return EARLY_ANSWER_PAUSE;
+	return CALL_INTERVAL_MIN;
 }
 
-bool reader_awaits(const struct reader *reader, enum reader_key key,
-		   uint64_t id)
+bool reader_is_current_call(const struct reader *reader, enum reader_key key,
+			    uint64_t id)
 {
 	const struct reader_watch *watch = &reader->watches[key];
 
 	return watch->busy && watch->call_id == id;
 }
 
-void reader_done(struct reader *reader, enum reader_key key, uint64_t id,
-		 int code, bool newer, int64_t retry_after_ms)
+void reader_call_done(struct reader *reader, enum reader_key key, uint64_t id,
+		      int code, bool newer, int64_t retry_after_ms)
 {
 	struct reader_watch *watch = &reader->watches[key];
 	int64_t now = clock_now(reader->clock);
 
-	if (!reader_awaits(reader, key, id))
+	if (!reader_is_current_call(reader, key, id))
 		return;
 	watch->busy = false;
 	if (code) {
-		fail(reader, watch, retry_after_ms);
+		call_failed(reader, watch, retry_after_ms);
 		return;
 	}
 	watch->failures = 0;
@@ -256,7 +259,7 @@
 		watch->verify = false;
 		watch->verified_at = now;
 	}
-	watch->next_at = watch->sent_at + CALL_GAP;
-	if (pause_after(watch, now, newer) == EARLY_PAUSE)
-		watch->next_at = now + EARLY_PAUSE;
+	watch->next_at = watch->sent_at + CALL_INTERVAL_MIN;
+	if (pause_after(watch, now, newer) == EARLY_ANSWER_PAUSE)
+		watch->next_at = now + EARLY_ANSWER_PAUSE;
 }
--- a/table_control.c
+++ b/table_control.c
@@ -31,7 +31,7 @@
 {
 	struct table_control *control = ctx;
 
-	platform_fetch(&control->platform, key, id);
+	platform_fetch_part(&control->platform, key, id);
 }
 
 static void send_frame(struct table_control *control, const char *peer,
@@ -189,7 +189,7 @@
 	table_sync_answered(&control->sync, key, id, answer);
 	/* This replica may have stopped following, and others not. */
 	if (control->sync.counts.stale != stale)
-		platform_turn(&control->platform);
+		platform_use_next_address(&control->platform);
 	publish(control);
 }
 
@@ -204,7 +204,7 @@
 
 static const struct platform_ops platform_ops = {
 	.answered = on_platform_answered,
-	.part = on_platform_part,
+	.part_answered = on_platform_part,
 };
 
 static void take_digest(struct table_control *control, const char *peer,
--- a/table_status.c
+++ b/table_status.c
@@ -52,7 +52,7 @@
 			    ",\"reader\":%s,\"reader_rank\":%d,"
 			    "\"platform_revision\":%" PRIu64
 			    ",\"platform_failures\":%d}",
-			    reader_watches(&sync->reader) ? "true" : "false",
+			    reader_is_watching(&sync->reader) ? "true" : "false",
 			    sync->reader.rank, sync->platform_shown,
 			    sync->reader.watches[READER_TABLE].failures);
 }
--- a/table_sync.c
+++ b/table_sync.c
@@ -101,7 +101,7 @@
 	watch->after = table_sync_revision(sync);
 	if (sync->platform_refused > watch->after)
 		watch->after = sync->platform_refused;
-	sync->reader.unseen = sync->platform_shown < table_sync_revision(sync);
+	sync->reader.revision_unseen = sync->platform_shown < table_sync_revision(sync);
 	while (reader_next(&sync->reader, &call)) {
 		sync->counts.calls++;
 		sync->ops->call(sync->ctx, &call);
@@ -127,7 +127,7 @@
 	if (peers->n_own && i != peers->rank)
 		table_sync_send_digest(sync, peers->own[i].instance, true);
 	i = reader_random(&sync->reader, peers->n_far);
-	if (peers->n_far && reader_watches(&sync->reader))
+	if (peers->n_far && reader_is_watching(&sync->reader))
 		table_sync_send_digest(sync, peers->far[i].instance, true);
 }
 
--- a/table_sync_peers.c
+++ b/table_sync_peers.c
@@ -13,7 +13,7 @@
 	if (!age_ms)
 		return;
 	table_sync_confirm(sync, at);
-	if (at > sync->behind_at && !reader_watches(&sync->reader))
+	if (at > sync->behind_at && !reader_is_watching(&sync->reader))
 		table_sync_clear_behind(sync);
 }
 
--- a/table_sync_platform.c
+++ b/table_sync_platform.c
@@ -10,7 +10,7 @@
 static void set_behind(struct table_sync *sync, uint64_t revision)
 {
 	sync->counts.stale++;
-	sync->reader.behind = true;
+	sync->reader.platform_behind = true;
 	sync->behind_at = clock_now(sync->clock);
 	table_sync_raise_alarm(sync, TABLE_ALARM_PLATFORM_BEHIND, revision);
 }
@@ -90,7 +90,7 @@
 static void finish_call(struct table_sync *sync, enum reader_key key,
 			uint64_t id, const struct platform_answer *answer)
 {
-	reader_done(&sync->reader, key, id, answer->code, answer->newer,
+	reader_call_done(&sync->reader, key, id, answer->code, answer->newer,
 		    answer->retry_after_ms);
 	if (answer->code)
 		LOG_WARN("platform_call_failed",
@@ -176,7 +176,7 @@
 {
 	const struct reader_watch *watch = &sync->reader.watches[READER_TABLE];
 
-	if (sync->reader.behind || !watch->conditional ||
+	if (sync->reader.platform_behind || !watch->conditional ||
 	    watch->sent_after < table_sync_revision(sync))
 		return;
 	confirm_by_platform(sync);
@@ -194,7 +194,7 @@
 {
 	bool parts = false;
 
-	if (!reader_awaits(&sync->reader, key, id))
+	if (!reader_is_current_call(&sync->reader, key, id))
 		return;
 	if (!answer->code && answer->newer && key == READER_INSTANCES)
 		take_instances(sync, answer);
--- a/table_sync_state.c
+++ b/table_sync_state.c
@@ -73,7 +73,7 @@
 
 void table_sync_clear_behind(struct table_sync *sync)
 {
-	sync->reader.behind = false;
+	sync->reader.platform_behind = false;
 	table_sync_clear_alarm(sync, TABLE_ALARM_PLATFORM_BEHIND);
 }
 
@@ -131,7 +131,7 @@
 
 	if (!sync->in_force)
 		return TABLE_NONE;
-	if (sync->reader.behind)
+	if (sync->reader.platform_behind)
 		return TABLE_PLATFORM_LOWER;
 	if (table_sync_is_overtaken(sync))
 		return TABLE_OVERTAKEN;
--- a/tests/test_table_sync.c
+++ b/tests/test_table_sync.c
@@ -232,7 +232,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		if (reader_watches(&sim_sync(sim, i)->reader) == reader)
+		if (reader_is_watching(&sim_sync(sim, i)->reader) == reader)
 			return i;
 	}
 	return -1;
@@ -261,7 +261,7 @@
 		struct table_sync *sync = sim_sync(&world.sim, i);
 
 		CU_ASSERT_EQUAL(table_sync_ready(sync), 0);
-		if (!reader_watches(&sync->reader))
+		if (!reader_is_watching(&sync->reader))
 			CU_ASSERT_TRUE(sync->counts.by_delta >= 8);
 	}
 	calls = world.sim.platform.calls;
@@ -685,7 +685,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		if (!reader_watches(&sim_sync(sim, i)->reader))
+		if (!reader_is_watching(&sim_sync(sim, i)->reader))
 			calls += sim_sync(sim, i)->counts.calls;
 	}
 	return calls;
@@ -828,8 +828,8 @@
 	sim_set_members(sim);
 	publish(&world, 12);
 	CU_ASSERT_TRUE(spreads(&world, 12));
-	CU_ASSERT_TRUE(reader_watches(&sim_sync(sim, ranked(sim, 0))->reader));
-	CU_ASSERT_TRUE(reader_watches(&sim_sync(sim, ranked(sim, 1))->reader));
+	CU_ASSERT_TRUE(reader_is_watching(&sim_sync(sim, ranked(sim, 0))->reader));
+	CU_ASSERT_TRUE(reader_is_watching(&sim_sync(sim, ranked(sim, 1))->reader));
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	world_finish(&world);
 }
@@ -1077,7 +1077,7 @@
 	sim_run(sim, 20000);
 	CU_ASSERT_NOT_EQUAL(sync->reader.watches[READER_TABLE].call_id, id);
 	table_sync_answered(sync, READER_TABLE, id, &late);
-	CU_ASSERT_FALSE(sync->reader.behind);
+	CU_ASSERT_FALSE(sync->reader.platform_behind);
 	world_finish(&world);
 }
 
