--- a/gateway.c
+++ b/gateway.c
@@ -175,8 +175,8 @@
 
 static const struct store_sync_ops sync_ops = {
 	.call = call_store,
-	.routes = on_routes,
-	.server = on_server,
+	.routes_changed = on_routes,
+	.server_changed = on_server,
 };
 
 static void on_server_closing(void *arg, struct registry_server *server)
@@ -277,7 +277,7 @@
 	if (!settings->n_seeds)
 		return;
 	evutil_secure_rng_get_bytes(&draw, sizeof(draw));
-	store_schedule_joins(&gateway->sync, (double)draw / UINT16_MAX);
+	store_schedule_delay_start(&gateway->sync, (double)draw / UINT16_MAX);
 }
 
 int gateway_init(struct gateway *gateway, struct event_base *base,
--- a/store.h
+++ b/store.h
@@ -1,7 +1,6 @@
 /*
- * What the platform's store publishes, as the product sees it, and how it is
- * called. The calls' names and formats are the platform's: platform/ fills in
- * struct store_ops.
+ * Items of the platform's store, and the calls to it, independent of their
+ * formats. Those belong to the platform: platform/ provides struct store_ops.
  */
 #ifndef STORE_H
 #define STORE_H
@@ -13,26 +12,30 @@
 #include "registry.h"
 #include "str.h"
 
+/* Size of a key buffer: 200 bytes and the terminating NUL. */
 #define STORE_KEY_SIZE 201
 #define STORE_TARGET_SIZE 512
 
 enum store_topic {
-	STORE_ROUTES,  /* the operators' items: routes in force, cordons */
-	STORE_SERVERS, /* an item a backend server */
+	STORE_ROUTES,  /* the operators' items: routes and cordons */
+	STORE_SERVERS, /* one item for each backend server */
 	STORE_TOPICS,
 };
 
-/* What an item says. */
+/* What an item describes. */
 enum store_kind {
 	STORE_ITEM_PLAIN,  /* the routes, or a server */
-	STORE_ITEM_CORDON, /* a data centre gets no new requests */
-	STORE_ITEM_OTHER,  /* not for this product */
+	STORE_ITEM_CORDON, /* a data centre that gets no new requests */
+	STORE_ITEM_OTHER,  /* ignored */
 };
 
 /**
- * struct store_call - one call
- * @watch: wait for changes after @after; else list the topic from @from on
- * @wait_ms: how long the store may wait for one
+ * struct store_call - a call to the store
+ * @topic: whose items are read
+ * @watch: read the changes after @after; else list the items after @from
+ * @after: watch: a revision
+ * @wait_ms: watch: how long the store may wait for a change
+ * @from: list: last key of the previous page, empty for the first page
  */
 struct store_call {
 	enum store_topic topic;
@@ -43,11 +46,13 @@
 };
 
 /**
- * struct store_item - one item or change
- * @name: of the item within its topic; of a cordon the data centre
+ * struct store_item - an item of a list, or a change
+ * @name: of the item within its topic; for a cordon the data centre
+ * @kind: what it describes
  * @value: empty if it was removed
- * @changed_at: the store's revision of the change
- * @created_at: that at which the item was made, 0: the store did not say
+ * @changed_at: store revision of the last change
+ * @created_at: store revision at which the item was created, 0: not known
+ * @removed: the change is the removal of the item
  */
 struct store_item {
 	char name[STORE_KEY_SIZE];
@@ -60,18 +65,21 @@
 
 /**
  * struct store_answer - a decoded answer
- * @code: 0; ERR_STALE if the history asked for is gone; ERR_BUDGET for too
- *	many calls; ERR_UNAVAILABLE; ERR_PROTOCOL
- * @era: how often the store went back to a copy so far, told also with a
- *	failure; 0: it did not say
- * @read_at: the store's revision
- * @more: the list goes on behind @last_key
- * @items: borrowed
+ * @code: 0; ERR_STALE if the store no longer has all changes after the given
+ *	  revision; ERR_BUDGET for too many calls; ERR_UNAVAILABLE;
+ *	  ERR_PROTOCOL
+ * @era: how often the store was restored from a backup so far, set also for a
+ *	 failure; 0: not known. Revisions of different eras cannot be compared.
+ * @revision: of the store when it answered
+ * @more: the list continues after @last_key
+ * @last_key: key of the last item
+ * @items: freed by release_answer() of struct store_ops
+ * @n_items: length of @items
  */
 struct store_answer {
 	int code;
 	uint64_t era;
-	uint64_t read_at;
+	uint64_t revision;
 	bool more;
 	char last_key[STORE_KEY_SIZE];
 	struct store_item *items;
@@ -79,8 +87,10 @@
 };
 
 /**
- * struct store_reply - an answer as it came
- * @era: value of the header that struct store_ops names, or empty
+ * struct store_reply - an HTTP response, not yet decoded
+ * @status: of HTTP
+ * @era: value of the header @era_header of struct store_ops, or empty
+ * @body: borrowed
  */
 struct store_reply {
 	int status;
@@ -89,21 +99,24 @@
 };
 
 /**
- * struct store_ops - how the platform speaks
- * @era_header: that tells which era an answer is of; NUL-terminated
- * @target: write the path and query of a call
- * @decode: read an answer; release with @release
- * @server: read the value of a STORE_SERVERS item. Return: 0; or what is wrong
- *	with it: it names no server that can be used
+ * struct store_ops - formats of the platform's store
+ * @era_header: name of the header with an answer's era; NUL-terminated
+ * @format_target: write the path and query of a call
+ * @decode_answer: decode a response; free the result with @release_answer
+ * @release_answer: free the items of an answer
+ * @decode_server: decode the value of a STORE_SERVERS item. Return: 0, or the
+ *		   error if the value describes no usable server
  */
 struct store_ops {
 	struct str era_header;
-	void (*target)(const struct store_call *call, char *out, size_t size);
-	void (*decode)(enum store_topic topic, const struct store_reply *reply,
-		       struct store_answer *answer);
-	void (*release)(struct store_answer *answer);
-	int (*server)(const struct store_item *item,
-		      struct server_entry *entry);
+	void (*format_target)(const struct store_call *call, char *out,
+			      size_t size);
+	void (*decode_answer)(enum store_topic topic,
+			      const struct store_reply *reply,
+			      struct store_answer *answer);
+	void (*release_answer)(struct store_answer *answer);
+	int (*decode_server)(const struct store_item *item,
+			     struct server_entry *entry);
 };
 
 #endif
--- a/store_client.c
+++ b/store_client.c
@@ -31,8 +31,11 @@
 	}
 }
 
-/* A call that failed may have left its connection silent or out of step. */
-static void drop(struct store_channel *channel)
+/*
+ * Also cancels the call under way: after a call that got no answer, the
+ * connection may be dead, or a late answer be read as that of the next call.
+ */
+static void close_connection(struct store_channel *channel)
 {
 	channel->busy = false;
 	if (channel->http)
@@ -45,7 +48,7 @@
 	int i;
 
 	for (i = 0; i < STORE_TOPICS; i++)
-		drop(&client->channels[i]);
+		close_connection(&client->channels[i]);
 }
 
 static void fail(struct store_channel *channel)
@@ -57,7 +60,7 @@
 				  &answer);
 }
 
-/* What it points to is the request's. */
+/* @reply points into @request. */
 static void read_reply(const struct store_client *client,
 		       struct evhttp_request *request,
 		       struct store_reply *reply)
@@ -88,10 +91,10 @@
 		return;
 	}
 	read_reply(client, request, &reply);
-	client->ops->decode(channel->topic, &reply, &answer);
+	client->ops->decode_answer(channel->topic, &reply, &answer);
 	channel->busy = false;
 	client->answered(client->arg, channel->topic, &answer);
-	client->ops->release(&answer);
+	client->ops->release_answer(&answer);
 }
 
 void store_client_call(struct store_client *client,
@@ -105,14 +108,14 @@
 	struct evhttp_request *request;
 
 	if (channel->busy)
-		drop(channel);
+		close_connection(channel);
 	if (!channel->http)
 		channel->http =
 			evhttp_connection_base_new(client->base, NULL,
 						   client->address.ip,
 						   client->address.port);
 	evhttp_connection_set_timeout_tv(channel->http, &tv);
-	client->ops->target(call, target, sizeof(target));
+	client->ops->format_target(call, target, sizeof(target));
 	address_format(&client->address, host, sizeof(host));
 	request = evhttp_request_new(on_answer, channel);
 	evhttp_add_header(evhttp_request_get_output_headers(request), "Host",
--- a/store_client.h
+++ b/store_client.h
@@ -1,4 +1,4 @@
-/* Calls on the platform's store over HTTP, one at a time for each topic. */
+/* HTTP client of the platform's store; one call at a time for each topic. */
 #ifndef STORE_CLIENT_H
 #define STORE_CLIENT_H
 
@@ -10,6 +10,14 @@
 struct evhttp_connection;
 struct store_client;
 
+/**
+ * struct store_channel - the connection of a topic
+ * @client: that it belongs to
+ * @topic: that it reads
+ * @http: NULL while there is no connection
+ * @busy: a call is under way
+ * @id: not used
+ */
 struct store_channel {
 	struct store_client *client;
 	enum store_topic topic;
@@ -20,8 +28,13 @@
 
 /**
  * struct store_client - connections to the store
- * @answered: a call ended; @answer is borrowed
- * @calls: made so far
+ * @base: borrowed
+ * @ops: borrowed
+ * @address: of the store
+ * @answered: called when a call ended; @answer is borrowed
+ * @arg: given to @answered
+ * @calls: number of calls so far
+ * @channels: by topic
  */
 struct store_client {
 	struct event_base *base;
@@ -43,9 +56,10 @@
 void store_client_finish(struct store_client *client);
 
 /**
- * store_client_call() - make a call; one that is under way for the topic is
- * given up
- * @timeout: for the whole answer, microseconds
+ * store_client_call() - make a call; cancels the topic's call that is under way
+ * @client: the client
+ * @call: copied
+ * @timeout: of the connection, microseconds
  */
 void store_client_call(struct store_client *client,
 		       const struct store_call *call, int64_t timeout);
--- a/store_schedule.h
+++ b/store_schedule.h
@@ -1,6 +1,6 @@
 /*
- * When the store is called, by whom among the instances, and how long a call
- * may wait. Decides without sockets.
+ * Decides when this instance calls the store, depending on its rank among the
+ * instances, and how long a call may wait. Pure decisions, no sockets.
  */
 #ifndef STORE_SCHEDULE_H
 #define STORE_SCHEDULE_H
@@ -10,36 +10,46 @@
 #include "store_sync.h"
 
 /**
- * store_schedule_joins() - this instance starts among others that it does not
- * know
- * @draw: 0 to 1, another one at each instance
+ * store_schedule_delay_start() - wait for a peer's view before the first call
+ * @sync: the state of this instance
+ * @random: 0 to 1, different on each instance; spreads the calls of instances
+ *	    that start at the same time
  *
- * To be called before the first store_sync_tick().
+ * For an instance that joins others. To be called before the first
+ * store_sync_tick().
  */
-void store_schedule_joins(struct store_sync *sync, double draw);
+void store_schedule_delay_start(struct store_sync *sync, double random);
 
 /**
- * store_schedule_due() - when to call for a topic next, microseconds
+ * store_schedule_due() - when to make the next call for a topic
+ * @sync: the state of this instance
+ * @feed: the topic
  *
- * Return: INT64_MAX while a call is under way, or another topic's that shows as
- * much.
+ * Return: microseconds; INT64_MAX while a call for it is under way, or the
+ * other topic's call must be awaited first.
  */
 int64_t store_schedule_due(const struct store_sync *sync,
 			   const struct store_feed *feed);
 
 /**
- * store_schedule_wait_ms() - how long the store may wait for a change
+ * store_schedule_wait_ms() - how long the store may wait for a change in the
+ * next call for a topic
+ * @sync: the state of this instance
+ * @feed: the topic
  */
 int64_t store_schedule_wait_ms(const struct store_sync *sync,
 			       const struct store_feed *feed);
 
 /**
- * store_schedule_answered() - a call brought an answer
+ * store_schedule_answered() - a call was answered: schedule the next one
+ * @feed: the topic
  */
 void store_schedule_answered(struct store_feed *feed);
 
 /**
- * store_schedule_failed() - a call failed
+ * store_schedule_failed() - a call failed: schedule the next attempt
+ * @sync: the state of this instance
+ * @feed: the topic
  */
 void store_schedule_failed(struct store_sync *sync, struct store_feed *feed);
 
--- a/store_sync.c
+++ b/store_sync.c
@@ -8,25 +8,25 @@
 #include "log.h"
 #include "store_schedule.h"
 
-/* Above the wait: an answer takes 4 ms, and up to 60 times that when slow. */
+/* Beyond the wait: an answer takes 4 ms, up to 60 times that if slow. */
 #define CALL_TIMEOUT MSEC(600)
-/* An answer is on its way no longer than this, unless the call fails. */
-#define TRANSIT_MOST MSEC(300)
-/* A peer may tell all before the store is asked, page by page. */
+/* Longest time that an answer is in transit if the call does not fail. */
+#define ANSWER_TRANSIT_MAX MSEC(300)
+/* Leaves time for a peer's view, which makes listing the store needless. */
 #define START_DELAY MSEC(40)
 /*
- * Views are told each 0.9 s, and the next in rank reads at 2.2 s: one that is
- * older is no sign of a reader that is lost. An entry lapses after three
- * heartbeats of 1.2 s.
+ * Views are sent every 0.9 s, and if the reader fails the next in rank reads
+ * the store at 2.2 s. A view older than this therefore means more than a failed
+ * reader. An entry expires after three missed heartbeats of 1.2 s.
  */
-#define VIEW_OLD MSEC(2500)
+#define VIEW_AGE_MAX MSEC(2500)
 
 static void on_server(void *arg, const char *id, uint64_t changed_at,
 		      bool removed)
 {
 	struct store_sync *sync = arg;
 
-	sync->ops->server(sync->arg, id, changed_at, removed);
+	sync->ops->server_changed(sync->arg, id, changed_at, removed);
 }
 
 static const struct server_view_ops view_ops = {
@@ -61,8 +61,8 @@
 	route_set_unref(sync->routes);
 }
 
-static void take_server(struct store_sync *sync, const struct store_item *item,
-			bool listing)
+static void apply_server(struct store_sync *sync, const struct store_item *item,
+			 bool listing)
 {
 	struct server_entry entry;
 	int ret;
@@ -72,11 +72,11 @@
 				     item->changed_at);
 		return;
 	}
-	ret = sync->format->server(item, &entry);
+	ret = sync->format->decode_server(item, &entry);
 	/*
-	 * Another writer, or a version of the servers that says what is not
-	 * known here: what was published before does not hold any more. Once
-	 * the server writes again, at most a heartbeat later, it is back.
+	 * Written by somebody else, or in a format that is not known here: the
+	 * previous entry is no longer valid. The server is used again once it
+	 * writes again, at most a heartbeat later.
 	 */
 	if (ret) {
 		LOG_WARN("server_entry_refused", LOG_TEXT("server", item->name),
@@ -92,8 +92,8 @@
 		server_view_put(&sync->servers, &entry, item->changed_at);
 }
 
-int store_sync_take_routes(struct store_sync *sync, struct str text,
-			   const char *from)
+int store_sync_apply_routes(struct store_sync *sync, struct str text,
+			    const char *from)
 {
 	struct error err = {.code = ERR_NONE};
 	struct route_set *set;
@@ -114,35 +114,36 @@
 		 LOG_TEXT("from", from), LOG_I64("routes", set->n_routes));
 	route_set_unref(sync->routes);
 	sync->routes = set;
-	sync->ops->routes(sync->arg);
+	sync->ops->routes_changed(sync->arg);
 	return 0;
 }
 
-static void take_item(struct store_sync *sync, struct store_feed *feed,
-		      const struct store_item *item)
+static void apply_item(struct store_sync *sync, struct store_feed *feed,
+		       const struct store_item *item)
 {
 	if (feed->topic == STORE_SERVERS)
-		take_server(sync, item, feed->listing);
+		apply_server(sync, item, feed->listing);
 	else if (item->kind == STORE_ITEM_CORDON)
 		cordon_sync_item(&sync->cordons, item);
 	else if (item->kind == STORE_ITEM_PLAIN && !item->removed)
-		store_sync_take_routes(sync, item->value, "store");
+		store_sync_apply_routes(sync, item->value, "store");
 }
 
 static bool is_empty(const struct store_sync *sync)
 {
-	return !sync->registry->servers && !sync->feeds[STORE_ROUTES].at &&
-	       !sync->feeds[STORE_SERVERS].at;
+	return !sync->registry->servers &&
+	       !sync->feeds[STORE_ROUTES].revision &&
+	       !sync->feeds[STORE_SERVERS].revision;
 }
 
-/* What is on its way was asked for by a revision of the earlier era. */
-static void start_anew(struct store_sync *sync, struct store_feed *feed)
+/* A call that is under way used a revision of the earlier era. */
+static void restart_topic(struct store_sync *sync, struct store_feed *feed)
 {
-	feed->at = 0;
+	feed->revision = 0;
 	feed->listed = false;
 	feed->listing = false;
-	feed->from[0] = '\0';
-	feed->outdated = feed->busy;
+	feed->list_from[0] = '\0';
+	feed->call_outdated = feed->busy;
 	feed->next_at = clock_now(sync->clock);
 }
 
@@ -167,30 +168,31 @@
 	LOG_WARN("store_era_changed", LOG_TEXT("from", from),
 		 LOG_U64("era", era), LOG_U64("era_before", sync->era),
 		 LOG_U64("store_revision", at),
-		 LOG_U64("revision_before", sync->feeds[STORE_SERVERS].at));
+		 LOG_U64("revision_before",
+			 sync->feeds[STORE_SERVERS].revision));
 	sync->era = era;
 	until = server_view_enter_era(&sync->servers);
 	cordon_sync_enter_era(&sync->cordons, until);
 	for (i = 0; i < STORE_TOPICS; i++)
-		start_anew(sync, &sync->feeds[i]);
+		restart_topic(sync, &sync->feeds[i]);
 	return 0;
 }
 
-void store_sync_begin_whole(struct store_sync *sync)
+void store_sync_begin_snapshot(struct store_sync *sync)
 {
 	struct store_feed *feed = &sync->feeds[STORE_SERVERS];
 
-	/* Pages of a list of its own under way would count as this one. */
+	/* Pages of an own list must not count as part of this snapshot. */
 	feed->listing = false;
-	feed->from[0] = '\0';
+	feed->list_from[0] = '\0';
 	server_view_begin_list(&sync->servers);
 }
 
 /*
- * The peer may have just started while entries had lapsed, and know fewer
- * servers than live: those it does not name are left only after a while.
+ * The peer may have started while entries had expired, and know fewer servers
+ * than are running: those missing in its view are removed only after a delay.
  */
-void store_sync_end_whole(struct store_sync *sync, uint64_t at)
+void store_sync_end_snapshot(struct store_sync *sync, uint64_t at)
 {
 	struct store_feed *feed = &sync->feeds[STORE_SERVERS];
 
@@ -210,85 +212,85 @@
 {
 	struct store_feed *feed = &sync->feeds[topic];
 
-	if (at > feed->at)
-		feed->at = at;
+	if (at > feed->revision)
+		feed->revision = at;
 	if (fresh_at > feed->fresh_at)
 		feed->fresh_at = fresh_at;
 	set_known(sync, feed);
-	/* Changes can be asked for only from a revision on. */
-	if (!feed->at)
+	/* A watch needs a revision to start from. */
+	if (!feed->revision)
 		return;
 	feed->listed = true;
 	feed->listing = false;
 }
 
-void store_sync_set_patience(struct store_sync *sync, int64_t patience,
-			     int rank)
+void store_sync_set_max_view_age(struct store_sync *sync, int64_t max_view_age,
+				 int rank)
 {
-	sync->patience = patience;
+	sync->max_view_age = max_view_age;
 	sync->rank = rank;
 }
 
-static void listed_page(struct store_sync *sync, struct store_feed *feed,
-			const struct store_answer *answer)
+static void list_page_done(struct store_sync *sync, struct store_feed *feed,
+			   const struct store_answer *answer)
 {
-	/* Pages are read one after the other: changes since the first count. */
-	if (!feed->from[0])
-		feed->list_at = answer->read_at;
+	/* A watch from the first page finds changes during the later ones. */
+	if (!feed->list_from[0])
+		feed->list_revision = answer->revision;
 	if (answer->more) {
-		str_copy(feed->from, sizeof(feed->from),
+		str_copy(feed->list_from, sizeof(feed->list_from),
 			 str_from(answer->last_key));
 		feed->next_at = clock_now(sync->clock);
 		return;
 	}
-	feed->from[0] = '\0';
+	feed->list_from[0] = '\0';
 	feed->listing = false;
 	feed->listed = true;
-	feed->at = feed->list_at;
+	feed->revision = feed->list_revision;
 	if (feed->topic == STORE_SERVERS)
-		server_view_end_list(&sync->servers, feed->at);
+		server_view_end_list(&sync->servers, feed->revision);
 	else
-		cordon_sync_end_list(&sync->cordons, feed->list_at);
+		cordon_sync_end_list(&sync->cordons, feed->list_revision);
 }
 
 /*
- * Nobody is known to have reached the store for so long: it may have been away,
- * though no call from here failed.
+ * No instance is known to have reached the store for VIEW_AGE_MAX: it may have
+ * been down, though no call of this instance failed.
  */
-static bool is_view_old(const struct store_sync *sync)
+static bool is_view_outdated(const struct store_sync *sync)
 {
 	int64_t at = sync->feeds[STORE_SERVERS].fresh_at;
 
-	return at >= 0 && clock_now(sync->clock) - at > VIEW_OLD;
+	return at >= 0 && clock_now(sync->clock) - at > VIEW_AGE_MAX;
 }
 
 /*
- * The store answered. Whichever topic's call had failed, it was away for both,
- * and entries of servers that live may have lapsed.
+ * The store answered. If a call of either topic had failed, the store was down
+ * for both, and entries of running servers may have expired.
  */
-static void set_reachable(struct store_sync *sync, struct store_feed *feed)
+static void note_answer(struct store_sync *sync, struct store_feed *feed)
 {
-	bool lost = false;
+	bool was_failing = false;
 	int i;
 
 	for (i = 0; i < STORE_TOPICS; i++) {
-		lost |= sync->feeds[i].lost;
-		sync->feeds[i].lost = false;
+		was_failing |= sync->feeds[i].is_failing;
+		sync->feeds[i].is_failing = false;
 	}
-	if (lost)
+	if (was_failing)
 		LOG_INFO("store_regained", LOG_I64("topic", feed->topic),
 			 LOG_I64("failures", feed->failures));
-	if (lost || is_view_old(sync))
+	if (was_failing || is_view_outdated(sync))
 		server_view_returned(&sync->servers);
 }
 
 static void call_failed(struct store_sync *sync, struct store_feed *feed,
 			int code)
 {
-	if (!feed->lost)
+	if (!feed->is_failing)
 		LOG_WARN("store_lost", LOG_I64("topic", feed->topic),
 			 LOG_TEXT("error", error_name(code)));
-	feed->lost = true;
+	feed->is_failing = true;
 	store_schedule_failed(sync, feed);
 }
 
@@ -296,7 +298,7 @@
 {
 	feed->listed = false;
 	feed->listing = true;
-	feed->from[0] = '\0';
+	feed->list_from[0] = '\0';
 	feed->next_at = clock_now(sync->clock);
 	if (feed->topic == STORE_ROUTES)
 		cordon_sync_begin_list(&sync->cordons);
@@ -305,62 +307,63 @@
 }
 
 /*
- * When the store's answer was true: no earlier than the call, and the call may
- * have waited for a change most of the time since.
+ * A time at which the answer was up to date: no earlier than the call, and a
+ * call that waited for a change was answered at most ANSWER_TRANSIT_MAX ago.
  */
-static int64_t known_at(const struct store_sync *sync,
-			const struct store_feed *feed)
+static int64_t answer_valid_at(const struct store_sync *sync,
+			       const struct store_feed *feed)
 {
-	int64_t at = clock_now(sync->clock) - TRANSIT_MOST;
+	int64_t at = clock_now(sync->clock) - ANSWER_TRANSIT_MAX;
 
 	return at > feed->asked_at ? at : feed->asked_at;
 }
 
 /*
- * What this instance holds is now complete up to a revision. A page of a list
- * that was given up for a peer's view must not come here: its revision covers
- * what the page names, and no removals.
+ * The view is now complete up to the answer's revision. Must not be called for
+ * a page of a list that was cancelled for a peer's view: the page has no
+ * removals, though its revision is past them.
  */
-static void take_progress(struct store_sync *sync, struct store_feed *feed,
-			  const struct store_answer *answer)
+static void advance_revision(struct store_sync *sync, struct store_feed *feed,
+			     const struct store_answer *answer)
 {
 	if (feed->listing)
-		listed_page(sync, feed, answer);
-	else if (answer->read_at > feed->at)
-		feed->at = answer->read_at;
+		list_page_done(sync, feed, answer);
+	else if (answer->revision > feed->revision)
+		feed->revision = answer->revision;
 	if (!feed->listed)
 		return;
 	if (feed->topic == STORE_ROUTES)
-		cordon_sync_confirm(&sync->cordons, feed->at);
-	feed->fresh_at = known_at(sync, feed);
+		cordon_sync_confirm(&sync->cordons, feed->revision);
+	feed->fresh_at = answer_valid_at(sync, feed);
 	set_known(sync, feed);
 }
 
 static void history_gone(struct store_sync *sync, struct store_feed *feed)
 {
 	LOG_INFO("store_history_gone", LOG_I64("topic", feed->topic),
-		 LOG_U64("after", feed->at));
+		 LOG_U64("after", feed->revision));
 	start_list(sync, feed);
 }
 
-static void take_answer(struct store_sync *sync, struct store_feed *feed,
-			const struct store_answer *answer)
+static void apply_answer(struct store_sync *sync, struct store_feed *feed,
+			 const struct store_answer *answer)
 {
 	int i;
 
-	set_reachable(sync, feed);
+	note_answer(sync, feed);
 	store_schedule_answered(feed);
 	for (i = 0; i < answer->n_items; i++)
-		take_item(sync, feed, &answer->items[i]);
+		apply_item(sync, feed, &answer->items[i]);
 	if (feed->watching || feed->listing)
-		take_progress(sync, feed, answer);
+		advance_revision(sync, feed, answer);
 }
 
-/* A failure may come from something before the store, and tells no era. */
-static int code_of(struct store_sync *sync, const struct store_answer *answer)
+/* A failure may come from a proxy in front of the store, without an era. */
+static int check_answer(struct store_sync *sync,
+			const struct store_answer *answer)
 {
 	if (answer->era &&
-	    store_sync_enter_era(sync, answer->era, answer->read_at, "store"))
+	    store_sync_enter_era(sync, answer->era, answer->revision, "store"))
 		return ERR_VERSION;
 	return answer->code;
 }
@@ -369,11 +372,11 @@
 			 const struct store_answer *answer)
 {
 	struct store_feed *feed = &sync->feeds[topic];
-	int code = code_of(sync, answer);
-	bool outdated = feed->outdated;
+	int code = check_answer(sync, answer);
+	bool outdated = feed->call_outdated;
 
 	feed->busy = false;
-	feed->outdated = false;
+	feed->call_outdated = false;
 	if (code && code != ERR_STALE)
 		call_failed(sync, feed, code);
 	else if (outdated)
@@ -381,12 +384,13 @@
 	else if (code)
 		history_gone(sync, feed);
 	else
-		take_answer(sync, feed, answer);
+		apply_answer(sync, feed, answer);
 }
 
-static void call(struct store_sync *sync, struct store_feed *feed)
+static void start_call(struct store_sync *sync, struct store_feed *feed)
 {
-	struct store_call call = {.topic = feed->topic, .after = feed->at};
+	struct store_call call = {.topic = feed->topic,
+				  .after = feed->revision};
 
 	if (feed->topic == STORE_ROUTES &&
 	    cordon_sync_wants_list(&sync->cordons))
@@ -396,14 +400,14 @@
 	call.watch = feed->listed;
 	if (call.watch)
 		call.wait_ms = store_schedule_wait_ms(sync, feed);
-	memcpy(call.from, feed->from, sizeof(call.from));
+	memcpy(call.from, feed->list_from, sizeof(call.from));
 	feed->busy = true;
 	feed->watching = call.watch;
 	feed->asked_at = clock_now(sync->clock);
 	sync->ops->call(sync->arg, &call, MSEC(call.wait_ms) + CALL_TIMEOUT);
 }
 
-static void call_due(struct store_sync *sync, int64_t now)
+static void make_due_calls(struct store_sync *sync, int64_t now)
 {
 	int i;
 
@@ -411,14 +415,14 @@
 		struct store_feed *feed = &sync->feeds[i];
 
 		if (now >= store_schedule_due(sync, feed))
-			call(sync, feed);
+			start_call(sync, feed);
 	}
 }
 
 void store_sync_tick(struct store_sync *sync)
 {
 	server_view_tick(&sync->servers);
-	call_due(sync, clock_now(sync->clock));
+	make_due_calls(sync, clock_now(sync->clock));
 }
 
 int64_t store_sync_due(const struct store_sync *sync)
--- a/store_sync.h
+++ b/store_sync.h
@@ -1,7 +1,8 @@
 /*
- * Calls on the platform's store, and what its answers change: the routes in
- * force and the list of backend servers. The highest version of the routes wins
- * for the life of the process. Decides without sockets.
+ * Keeps the routes in force, the cordons and the list of backend servers in
+ * sync with the platform's store and with peers' views of it. The routes'
+ * version never decreases during the life of the process. Pure decisions, no
+ * sockets.
  */
 #ifndef STORE_SYNC_H
 #define STORE_SYNC_H
@@ -17,44 +18,49 @@
 #include "store.h"
 
 /**
- * struct store_sync_ops - what the module wants done
- * @call: call the store; the answer goes to store_sync_answered()
- * @routes: other routes are in force
- * @server: a server's entry changed in the view, or is gone from it
+ * struct store_sync_ops - callbacks
+ * @call: call the store, with a time-out in microseconds; answered by
+ *	  store_sync_answered()
+ * @routes_changed: other routes are in force
+ * @server_changed: a server's entry changed in the view, or was removed from it
  */
 struct store_sync_ops {
 	void (*call)(void *arg, const struct store_call *call, int64_t timeout);
-	void (*routes)(void *arg);
-	void (*server)(void *arg, const char *id, uint64_t changed_at,
-		       bool removed);
+	void (*routes_changed)(void *arg);
+	void (*server_changed)(void *arg, const char *id, uint64_t changed_at,
+			       bool removed);
 };
 
 /**
- * struct store_feed - one topic
+ * struct store_feed - sync state of a topic
+ * @topic: which one
  * @busy: a call is under way
- * @outdated: it was made in an earlier era, its answer says nothing
- * @watching: it, or the last one, asks for changes and not for a list
- * @listed: the list was read as a whole; changes are watched since
- * @listing: pages are being read, the next from @from on
- * @lost: the last call failed
- * @at: the store's revision up to which all changes are known
- * @list_at: revision of the first page of the list under way
- * @next_at: when to call next, microseconds
- * @asked_at: when the last call was made
- * @fresh_at: the view is as new as the store was at that time; -1: never
+ * @call_outdated: that call was made in an earlier era, its answer is ignored
+ * @watching: the current or last call is a watch, not a list
+ * @listed: the list was read completely; changes are watched since
+ * @listing: the list is being read, its next page starts after @list_from
+ * @is_failing: the last call failed
+ * @revision: store revision up to which all changes are known
+ * @list_revision: store revision of the first page of the list that is being
+ *		   read
+ * @list_from: last key of the previous page, empty for the first
+ * @next_at: earliest time of the next call, microseconds
+ * @asked_at: when the last call was made, microseconds
+ * @fresh_at: last time at which the view was known to be up to date,
+ *	      microseconds; -1: never
  * @failures: calls that failed in a row
  */
 struct store_feed {
 	enum store_topic topic;
 	bool busy;
-	bool outdated;
+	bool call_outdated;
 	bool watching;
 	bool listed;
 	bool listing;
-	bool lost;
-	uint64_t at;
-	uint64_t list_at;
-	char from[STORE_KEY_SIZE];
+	bool is_failing;
+	uint64_t revision;
+	uint64_t list_revision;
+	char list_from[STORE_KEY_SIZE];
 	int64_t next_at;
 	int64_t asked_at;
 	int64_t fresh_at;
@@ -62,16 +68,25 @@
 };
 
 /**
- * struct store_sync - the state of one instance
- * @routes: in force, NULL before the first
- * @era: that all revisions here are of: how often the store went back to a
- *copy, as far as is known; 0: it never said
+ * struct store_sync - what an instance knows from the store
+ * @clock: borrowed
+ * @format: formats of the store; borrowed
+ * @ops: borrowed
+ * @arg: given to @ops
+ * @registry: filled with the servers and cordons; borrowed
+ * @routes: in force, NULL before the first; a reference
+ * @era: of all revisions here: how often the store was restored from a backup,
+ *	 as far as is known; 0: the store never reported it
  * @cordons: data centres that get no new requests
- * @patience: how old the view may get before the store is called, microseconds;
- *	0: it is called regularly
- * @rank: among those that would read; the higher, the less often it tries again
- *	what failed
- * @start_wait: without any view, how long it waits for a peer's, microseconds
+ * @servers: view of the backend servers
+ * @feeds: by topic
+ * @max_view_age: how old the view may become before this instance calls the
+ *		  store, microseconds; 0: it calls regularly
+ * @rank: of this instance among those that may read the store; the higher, the
+ *	  later it retries after a failure
+ * @start_delay: how long it waits for a peer's view while it has none,
+ *		 microseconds
+ * @refused_version: not used
  */
 struct store_sync {
 	const struct clock *clock;
@@ -84,12 +99,21 @@
 	struct cordon_sync cordons;
 	struct server_view servers;
 	struct store_feed feeds[STORE_TOPICS];
-	int64_t patience;
+	int64_t max_view_age;
 	int rank;
-	int64_t start_wait;
+	int64_t start_delay;
 	uint64_t refused_version;
 };
 
+/**
+ * store_sync_init() - set up the state without a view
+ * @sync: set up
+ * @clock: borrowed
+ * @format: formats of the store; borrowed
+ * @ops: borrowed
+ * @arg: given to @ops
+ * @registry: filled with the servers and cordons; borrowed
+ */
 void store_sync_init(struct store_sync *sync, const struct clock *clock,
 		     const struct store_ops *format,
 		     const struct store_sync_ops *ops, void *arg,
@@ -98,73 +122,101 @@
 
 /**
  * store_sync_tick() - make the calls that are due
+ * @sync: the state of this instance
  */
 void store_sync_tick(struct store_sync *sync);
 
 /**
- * store_sync_due() - when to call store_sync_tick() next, microseconds
+ * store_sync_due() - when to call store_sync_tick() next
+ * @sync: the state of this instance
+ *
+ * Return: microseconds.
  */
 int64_t store_sync_due(const struct store_sync *sync);
 
+/**
+ * store_sync_answered() - a call for a topic ended
+ * @sync: the state of this instance
+ * @topic: of the call
+ * @answer: borrowed
+ */
 void store_sync_answered(struct store_sync *sync, enum store_topic topic,
 			 const struct store_answer *answer);
 
 /**
- * store_sync_enter_era() - a word came, of the store or a peer; to be asked
- * before anything with a revision is taken from it
- * @era: that its revisions are of, 0: not known
- * @at: the revision up to which it is complete, for the log
+ * store_sync_enter_era() - check the era of a message from the store or a peer,
+ * before anything with a revision is applied from it
+ * @sync: the state of this instance
+ * @era: of the revisions in the message, 0: not known
+ * @at: the revision up to which the message is complete, for the log
+ * @from: the sender, for the log
  *
- * A later era is entered: what is known here stays, any word of that era wins
- * over it, and the store is listed anew.
+ * A later era is entered: all that is known here is kept, but any information
+ * of the new era overrides it, and the store is listed again.
  *
- * Return: 0 if its revisions can be compared with those here; ERR_STALE if they
+ * Return: 0 if the revisions can be compared with those here; ERR_STALE if they
  * are of an earlier era.
  */
 int store_sync_enter_era(struct store_sync *sync, uint64_t era, uint64_t at,
 			 const char *from);
 
 /**
- * store_sync_take_routes() - a document came, from the store or a peer
+ * store_sync_apply_routes() - apply a routes document from the store or a peer
+ * @sync: the state of this instance
+ * @text: the document; copied
+ * @from: the sender, for the log
  *
- * Return: 0 if it is in force now; ERR_STALE if it is not newer; or why it is
- * not taken.
+ * Return: 0 if it is in force now; ERR_STALE if it is not newer; else as
+ * route_set_parse().
  */
-int store_sync_take_routes(struct store_sync *sync, struct str text,
-			   const char *from);
+int store_sync_apply_routes(struct store_sync *sync, struct str text,
+			    const char *from);
 
 /**
- * store_sync_set_patience() - see struct store_sync
+ * store_sync_set_max_view_age() - set when to call the store without a view
+ * from peers
+ * @sync: the state of this instance
+ * @max_view_age: microseconds; 0: call the store regularly
+ * @rank: 0 is the first
  */
-void store_sync_set_patience(struct store_sync *sync, int64_t patience,
-			     int rank);
+void store_sync_set_max_view_age(struct store_sync *sync, int64_t max_view_age,
+				 int rank);
 
 /**
- * store_sync_begin_whole() - a peer's whole view follows, entry by entry
+ * store_sync_begin_snapshot() - a peer's complete view of the servers follows,
+ * entry by entry
+ * @sync: the state of this instance
  */
-void store_sync_begin_whole(struct store_sync *sync);
+void store_sync_begin_snapshot(struct store_sync *sync);
 
 /**
- * store_sync_end_whole() - what it did not name is gone
- * @at: the store's revision as of which the peer's view is complete
+ * store_sync_end_snapshot() - remove the servers that were not in a peer's
+ * complete view
+ * @sync: the state of this instance
+ * @at: store revision at which that view was complete
  */
-void store_sync_end_whole(struct store_sync *sync, uint64_t at);
+void store_sync_end_snapshot(struct store_sync *sync, uint64_t at);
 
 /**
- * store_sync_confirm() - a peer's view of a topic is now this one's
- * @at: the store's revision up to which it holds all changes
- * @fresh_at: when it was known to be the newest, microseconds
+ * store_sync_confirm() - the view of a topic now includes all of a peer's view
+ * @sync: the state of this instance
+ * @topic: which one
+ * @at: store revision up to which that view has all changes
+ * @fresh_at: when that view was known to be up to date, microseconds
  */
 void store_sync_confirm(struct store_sync *sync, enum store_topic topic,
 			uint64_t at, int64_t fresh_at);
 
 /**
- * store_sync_ready() - routes and servers are known
+ * store_sync_ready() - whether routes and servers are known
+ * @sync: the state of this instance
  */
 bool store_sync_ready(const struct store_sync *sync);
 
 /**
- * store_sync_routes_age() - since the routes were last known to be the newest
+ * store_sync_routes_age() - time since the routes were last known to be up to
+ * date
+ * @sync: the state of this instance
  *
  * Return: microseconds; INT64_MAX if they never were.
  */
--- a/tests/fuzz/fuzz_entry.c
+++ b/tests/fuzz/fuzz_entry.c
@@ -20,7 +20,7 @@
 				  .value = {(const char *)data, size}};
 	struct server_entry entry;
 
-	if (!platform_store.server(&item, &entry))
+	if (!platform_store.decode_server(&item, &entry))
 		check(&entry);
 	return 0;
 }
--- a/tests/fuzz/fuzz_store.c
+++ b/tests/fuzz/fuzz_store.c
@@ -15,16 +15,16 @@
 	struct error err;
 	int i;
 
-	platform_store.decode(topic, &reply, &answer);
+	platform_store.decode_answer(topic, &reply, &answer);
 	for (i = 0; i < answer.n_items; i++) {
 		if (answer.items[i].removed)
 			continue;
 		if (topic == STORE_SERVERS)
-			platform_store.server(&answer.items[i], &entry);
+			platform_store.decode_server(&answer.items[i], &entry);
 		else if (!route_set_parse(answer.items[i].value, &set, &err))
 			route_set_unref(set);
 	}
-	platform_store.release(&answer);
+	platform_store.release_answer(&answer);
 }
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
--- a/tests/fuzz/fuzz_view.c
+++ b/tests/fuzz/fuzz_view.c
@@ -57,8 +57,8 @@
 
 static const struct store_sync_ops sync_ops = {
 	.call = on_call,
-	.routes = on_routes,
-	.server = on_server,
+	.routes_changed = on_routes,
+	.server_changed = on_server,
 };
 
 static const struct view_share_ops share_ops = {
--- a/tests/store_world.c
+++ b/tests/store_world.c
@@ -21,7 +21,7 @@
 }
 
 static const struct store_ops format = {
-	.server = world_read_server,
+	.decode_server = world_read_server,
 };
 
 static void on_call(void *arg, const struct store_call *call, int64_t timeout)
@@ -49,8 +49,8 @@
 
 static const struct store_sync_ops ops = {
 	.call = on_call,
-	.routes = on_routes,
-	.server = on_server,
+	.routes_changed = on_routes,
+	.server_changed = on_server,
 };
 
 static void on_closing(void *arg, struct registry_server *server)
@@ -103,7 +103,7 @@
 		  struct store_item *items, int n)
 {
 	struct store_answer answer = {.era = world->era,
-				      .read_at = read_at,
+				      .revision = read_at,
 				      .items = items,
 				      .n_items = n};
 
--- a/tests/test_server_entry.c
+++ b/tests/test_server_entry.c
@@ -15,7 +15,7 @@
 	struct store_item item = {.value = str_from(value)};
 
 	snprintf(item.name, sizeof(item.name), "%s", name);
-	return platform_store.server(&item, entry);
+	return platform_store.decode_server(&item, entry);
 }
 
 static int read_value(const char *value)
@@ -141,9 +141,9 @@
 	struct store_answer answer;
 	uint64_t era;
 
-	platform_store.decode(STORE_SERVERS, &reply, &answer);
+	platform_store.decode_answer(STORE_SERVERS, &reply, &answer);
 	era = answer.era;
-	platform_store.release(&answer);
+	platform_store.release_answer(&answer);
 	return era;
 }
 
--- a/tests/test_store_order.c
+++ b/tests/test_store_order.c
@@ -1,11 +1,15 @@
-/* Which word of the store wins: see docs/design/store-era.md. */
+/*
+ * Conflicting information from the store and from peers: which one wins, also
+ * after the store was restored from a backup (docs/design/store-era.md).
+ */
 #include <stdio.h>
 
 #include "error.h"
 #include "store_world.h"
 #include "unit.h"
 
-static void hear(struct world *world, const char *id, uint64_t changed_at)
+/* A peer sends an entry. */
+static void receive(struct world *world, const char *id, uint64_t changed_at)
 {
 	struct store_item item = item_of(id, changed_at, false);
 	struct server_entry entry;
@@ -14,8 +18,9 @@
 	server_view_put(&world->sync.servers, &entry, changed_at);
 }
 
-static void hear_listed(struct world *world, const char *id,
-			uint64_t changed_at)
+/* An entry of a peer's complete view. */
+static void receive_listed(struct world *world, const char *id,
+			   uint64_t changed_at)
 {
 	struct store_item item = item_of(id, changed_at, false);
 	struct server_entry entry;
@@ -37,8 +42,11 @@
 	CU_ASSERT(!world->calls[topic].watch);
 }
 
-/* A page of a list that was given up hides the removals before it. */
-static void test_page_of_given_up_list(void)
+/*
+ * A list is cancelled for a peer's view, and a page of it arrives later. If the
+ * page's revision counted, the watch would miss the removals before it.
+ */
+static void test_page_of_cancelled_list(void)
 {
 	struct store_item items[] = {item_of("a", 1, false),
 				     item_of("b", 2, false)};
@@ -59,41 +67,47 @@
 	world_finish(&world);
 }
 
-/* A peer's older word keeps a server whose removal is held back. */
-static void test_older_word_while_held_back(const char *state)
+/*
+ * The removal of a server is delayed, as the store was down. An older entry
+ * from a peer must not cancel it.
+ */
+static void check_older_entry_during_removal(const char *state)
 {
-	struct store_item said = item_of("a", 3, false);
+	struct store_item update = item_of("a", 3, false);
 	struct store_item gone = item_of("a", 5, true);
 	struct world world;
 
 	world_init(&world);
 	world_list_servers(&world);
-	said.value = str_from(state);
+	update.value = str_from(state);
 	world_pass(&world, 900);
-	world_answer(&world, STORE_SERVERS, 3, &said, 1);
+	world_answer(&world, STORE_SERVERS, 3, &update, 1);
 	world_pass(&world, 900);
 	world_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
 	world_pass(&world, 900);
 	world_answer(&world, STORE_SERVERS, 5, &gone, 1);
 	CU_ASSERT(world_knows(&world, "a"));
-	hear(&world, "a", 3);
-	hear(&world, "a", 2);
+	receive(&world, "a", 3);
+	receive(&world, "a", 2);
 	world_pass(&world, 2400);
 	CU_ASSERT(!world_knows(&world, "a"));
 	world_finish(&world);
 }
 
-static void test_older_word_of_ready(void)
+static void test_older_ready_entry(void)
 {
-	test_older_word_while_held_back("ready");
+	check_older_entry_during_removal("ready");
 }
 
-static void test_older_word_of_draining(void)
+static void test_older_draining_entry(void)
 {
-	test_older_word_while_held_back("draining");
+	check_older_entry_during_removal("draining");
 }
 
-/* A removal of what is not known here is forgotten, and an older word comes. */
+/*
+ * A removal of an unknown server must be remembered: an older entry may arrive
+ * from a peer after it.
+ */
 static void test_removal_of_unknown(void)
 {
 	struct store_item gone = item_of("c", 5, true);
@@ -105,15 +119,18 @@
 	world_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
 	world_pass(&world, 900);
 	world_answer(&world, STORE_SERVERS, 5, &gone, 1);
-	hear(&world, "c", 4);
+	receive(&world, "c", 4);
 	CU_ASSERT(!world_knows(&world, "c"));
-	hear(&world, "c", 6);
+	receive(&world, "c", 6);
 	CU_ASSERT(world_knows(&world, "c"));
 	world_finish(&world);
 }
 
-/* A peer's word during a list counts as if the list had named the server. */
-static void test_heard_while_listing(void)
+/*
+ * A peer sends entries while a list is read. An entry older than the list must
+ * not survive it, a newer one must.
+ */
+static void test_entries_during_list(void)
 {
 	struct store_item items[] = {item_of("a", 1, false),
 				     item_of("b", 2, false)};
@@ -122,12 +139,12 @@
 	world_init(&world);
 	world_list_servers(&world);
 	lose_history(&world, STORE_SERVERS);
-	hear(&world, "old", 3);
-	hear(&world, "new", 31);
+	receive(&world, "old", 3);
+	receive(&world, "new", 31);
 	world_answer(&world, STORE_SERVERS, 30, items, 2);
 	CU_ASSERT(!world_knows(&world, "old"));
 	CU_ASSERT(world_knows(&world, "new") && world_knows(&world, "a"));
-	/* What is newer than one list is ended by the next. */
+	/* The next list is newer than that entry, and does not have it. */
 	lose_history(&world, STORE_SERVERS);
 	world_answer(&world, STORE_SERVERS, 40, items, 2);
 	CU_ASSERT(!world_knows(&world, "new"));
@@ -135,18 +152,21 @@
 	world_finish(&world);
 }
 
-/* A peer's whole view lacks a server that is newer than this one's view. */
-static void test_whole_view_lacks_a_newer_one(void)
+/*
+ * A peer's complete view lacks a server whose entry is newer than this
+ * instance's view, but older than the peer's.
+ */
+static void test_complete_view_lacks_newer_server(void)
 {
 	struct world world;
 
 	world_init(&world);
 	world_list_servers(&world);
-	hear(&world, "c", 10);
-	store_sync_begin_whole(&world.sync);
-	hear_listed(&world, "a", 1);
-	hear_listed(&world, "b", 2);
-	store_sync_end_whole(&world.sync, 20);
+	receive(&world, "c", 10);
+	store_sync_begin_snapshot(&world.sync);
+	receive_listed(&world, "a", 1);
+	receive_listed(&world, "b", 2);
+	store_sync_end_snapshot(&world.sync, 20);
 	confirm(&world, STORE_SERVERS, 20);
 	world_pass(&world, 2400);
 	CU_ASSERT(!world_knows(&world, "c"));
@@ -154,7 +174,10 @@
 	world_finish(&world);
 }
 
-/* Removals of a whole generation of servers push each other out of memory. */
+/*
+ * All servers are replaced at once. If some removals were forgotten to
+ * make room for others, older entries from peers would bring servers back.
+ */
 static void test_many_removals(void)
 {
 	enum {
@@ -169,12 +192,12 @@
 	world_list_servers(&world);
 	for (i = 0; i < MANY; i++) {
 		snprintf(id, sizeof(id), "s%d", i);
-		hear(&world, id, 10);
+		receive(&world, id, 10);
 		server_view_remove(&world.sync.servers, id, 20, "peer");
 	}
 	for (i = 0; i < MANY; i++) {
 		snprintf(id, sizeof(id), "s%d", i);
-		hear(&world, id, 15);
+		receive(&world, id, 15);
 		n += world_knows(&world, id);
 	}
 	CU_ASSERT_EQUAL(n, 0);
@@ -192,18 +215,18 @@
 	CU_ASSERT(world->calls[STORE_SERVERS].watch);
 }
 
-/* The store went back: the call under way is answered in the next era. */
-static void go_back(struct world *world, uint64_t read_at)
+/* Restores the store from a backup: the next answers are of the next era. */
+static void restore_backup(struct world *world, uint64_t revision)
 {
 	world->era++;
-	world_answer(world, STORE_SERVERS, read_at, NULL, 0);
-	world_answer(world, STORE_ROUTES, read_at, NULL, 0);
+	world_answer(world, STORE_SERVERS, revision, NULL, 0);
+	world_answer(world, STORE_ROUTES, revision, NULL, 0);
 	world_pass(world, 1);
 	CU_ASSERT(!world->calls[STORE_SERVERS].watch);
 	CU_ASSERT(!world->calls[STORE_ROUTES].watch);
 }
 
-static bool drains(const struct world *world, const char *id)
+static bool is_draining(const struct world *world, const char *id)
 {
 	const struct registry_server *server =
 		registry_find(&world->registry, str_from(id));
@@ -211,46 +234,52 @@
 	return server && server->entry.draining;
 }
 
-/* A watch from a revision of before goes on in what was written since. */
-static void test_era_lists_anew(void)
+/*
+ * The store was restored from a backup. A watch from a revision of the earlier
+ * era would miss changes of the new one, so that the store is listed again.
+ */
+static void test_era_lists_again(void)
 {
-	struct store_item copied[] = {item_of("a", 1, false),
+	struct store_item backup[] = {item_of("a", 1, false),
 				      item_of("b", 2, false)};
-	struct store_item said[] = {item_of("a", 32, false)};
+	struct store_item update[] = {item_of("a", 32, false)};
 	struct world world;
 
 	start_in_era(&world, 4);
-	said[0].value = STR("draining");
+	update[0].value = STR("draining");
 	world.era = 5;
-	world_answer(&world, STORE_SERVERS, 60, said, 1);
-	CU_ASSERT(!drains(&world, "a"));
+	world_answer(&world, STORE_SERVERS, 60, update, 1);
+	CU_ASSERT(!is_draining(&world, "a"));
 	world_pass(&world, 1);
 	CU_ASSERT(!world.calls[STORE_SERVERS].watch);
-	/* The other topic's call is from before, too. */
+	/* The other topic's call is of the earlier era, too. */
 	world_answer(&world, STORE_ROUTES, 61, NULL, 0);
 	world_pass(&world, 1);
 	CU_ASSERT(!world.calls[STORE_ROUTES].watch);
-	world_answer(&world, STORE_SERVERS, 30, copied, 2);
+	world_answer(&world, STORE_SERVERS, 30, backup, 2);
 	world_give_routes(&world, 3);
 	world_pass(&world, 900);
 	CU_ASSERT(world.calls[STORE_SERVERS].watch);
 	CU_ASSERT_EQUAL(world.calls[STORE_SERVERS].after, 30);
-	world_answer(&world, STORE_SERVERS, 32, said, 1);
-	CU_ASSERT(drains(&world, "a"));
+	world_answer(&world, STORE_SERVERS, 32, update, 1);
+	CU_ASSERT(is_draining(&world, "a"));
 	world_finish(&world);
 }
 
-/* Servers that started after the copy was made are lost until they write. */
-static void test_era_copy_lacks_servers(void)
+/*
+ * Servers that started after the backup are missing in the store until they
+ * write again. They are kept until then.
+ */
+static void test_era_backup_lacks_servers(void)
 {
-	struct store_item copied = item_of("a", 1, false);
+	struct store_item backup = item_of("a", 1, false);
 	struct store_item back = item_of("c", 31, false);
 	struct world world;
 
 	start_in_era(&world, 1);
-	hear(&world, "c", 40);
-	go_back(&world, 20);
-	world_answer(&world, STORE_SERVERS, 20, &copied, 1);
+	receive(&world, "c", 40);
+	restore_backup(&world, 20);
+	world_answer(&world, STORE_SERVERS, 20, &backup, 1);
 	CU_ASSERT(world_knows(&world, "b") && world_knows(&world, "c"));
 	world_pass(&world, 1500);
 	world_answer(&world, STORE_SERVERS, 31, &back, 1);
@@ -262,37 +291,40 @@
 	world_finish(&world);
 }
 
-/* The copy calls ready what drains, and names what has left. */
-static void test_era_copy_is_older(void)
+/*
+ * The backup has a draining server as ready, and one that was removed since.
+ * What is known here is kept.
+ */
+static void test_era_backup_is_older(void)
 {
-	struct store_item copied[] = {item_of("a", 1, false),
+	struct store_item backup[] = {item_of("a", 1, false),
 				      item_of("b", 2, false),
 				      item_of("left", 3, false)};
-	struct store_item said = item_of("a", 45, false);
+	struct store_item update = item_of("a", 45, false);
 	struct store_item back = item_of("left", 21, false);
 	struct world world;
 
 	start_in_era(&world, 1);
-	said.value = STR("draining");
-	world_answer(&world, STORE_SERVERS, 51, &said, 1);
-	hear(&world, "left", 46);
+	update.value = STR("draining");
+	world_answer(&world, STORE_SERVERS, 51, &update, 1);
+	receive(&world, "left", 46);
 	server_view_remove(&world.sync.servers, "left", 47, "peer");
 	world_pass(&world, 900);
-	go_back(&world, 20);
-	world_answer(&world, STORE_SERVERS, 20, copied, 3);
-	CU_ASSERT(drains(&world, "a") && !drains(&world, "b"));
+	restore_backup(&world, 20);
+	world_answer(&world, STORE_SERVERS, 20, backup, 3);
+	CU_ASSERT(is_draining(&world, "a") && !is_draining(&world, "b"));
 	CU_ASSERT(!world_knows(&world, "left"));
-	/* It lives after all, and writes. */
+	/* It is running after all, and writes. */
 	world_pass(&world, 900);
 	world_answer(&world, STORE_SERVERS, 21, &back, 1);
 	CU_ASSERT(world_knows(&world, "left"));
 	world_finish(&world);
 }
 
-/* The first sign is a refusal: by failure, and by a history that is gone. */
-static void test_era_told_by_refusal(int code)
+/* The first answer of the new era is an error, with any of these codes. */
+static void check_era_with_error(int code)
 {
-	struct store_item copied[] = {item_of("a", 1, false),
+	struct store_item backup[] = {item_of("a", 1, false),
 				      item_of("b", 2, false)};
 	struct world world;
 
@@ -303,46 +335,46 @@
 	world_pass(&world, 1000);
 	CU_ASSERT(!world.calls[STORE_SERVERS].watch);
 	CU_ASSERT(!world.calls[STORE_ROUTES].watch);
-	world_answer(&world, STORE_SERVERS, 10, copied, 2);
+	world_answer(&world, STORE_SERVERS, 10, backup, 2);
 	world_pass(&world, 900);
 	CU_ASSERT(world.calls[STORE_SERVERS].watch);
 	CU_ASSERT_EQUAL(world.calls[STORE_SERVERS].after, 10);
 	world_finish(&world);
 }
 
-static void test_era_told_by_failure(void)
+static void test_era_with_failure(void)
 {
-	test_era_told_by_refusal(ERR_UNAVAILABLE);
+	check_era_with_error(ERR_UNAVAILABLE);
 }
 
-static void test_era_told_by_history_gone(void)
+static void test_era_with_history_gone(void)
 {
-	test_era_told_by_refusal(ERR_STALE);
+	check_era_with_error(ERR_STALE);
 }
 
-/* The store goes back again while it is listed. */
-static void test_era_after_era(void)
+/* The store is restored from a backup again while it is listed. */
+static void test_era_twice(void)
 {
 	struct store_item items[] = {item_of("a", 1, false),
 				     item_of("b", 2, false)};
 	struct store_answer page = {.era = 2,
-				    .read_at = 30,
+				    .revision = 30,
 				    .more = true,
 				    .items = items};
 	struct world world;
 
 	start_in_era(&world, 1);
-	go_back(&world, 30);
+	restore_backup(&world, 30);
 	page.n_items = 1;
 	snprintf(page.last_key, sizeof(page.last_key), "servers/a");
 	store_sync_answered(&world.sync, STORE_SERVERS, &page);
 	world_pass(&world, 1);
 	CU_ASSERT_STRING_EQUAL(world.calls[STORE_SERVERS].from, "servers/a");
-	go_back(&world, 12);
+	restore_backup(&world, 12);
 	CU_ASSERT_STRING_EQUAL(world.calls[STORE_SERVERS].from, "");
 	world_answer(&world, STORE_SERVERS, 12, items, 2);
 	world_pass(&world, 900);
-	go_back(&world, 9);
+	restore_backup(&world, 9);
 	world_answer(&world, STORE_SERVERS, 9, items, 2);
 	world_pass(&world, 2400);
 	CU_ASSERT(world.calls[STORE_SERVERS].watch);
@@ -352,7 +384,7 @@
 	world_finish(&world);
 }
 
-/* An answer of the earlier era was under way for long. */
+/* An answer of the earlier era arrives late and is ignored. */
 static void test_era_late_answer(void)
 {
 	struct store_item items[] = {item_of("a", 1, false),
@@ -361,23 +393,23 @@
 	struct world world;
 
 	start_in_era(&world, 1);
-	go_back(&world, 30);
+	restore_backup(&world, 30);
 	world_answer(&world, STORE_SERVERS, 30, items, 2);
 	world_pass(&world, 900);
 	world.era = 1;
 	world_answer(&world, STORE_SERVERS, 52, late, 1);
 	CU_ASSERT(world_knows(&world, "b"));
-	CU_ASSERT_EQUAL(world.sync.feeds[STORE_SERVERS].at, 30);
+	CU_ASSERT_EQUAL(world.sync.feeds[STORE_SERVERS].revision, 30);
 	world.era = 2;
 	world_pass(&world, 1000);
 	CU_ASSERT(world.calls[STORE_SERVERS].watch);
 	world_answer(&world, STORE_SERVERS, 33, NULL, 0);
-	CU_ASSERT_EQUAL(world.sync.feeds[STORE_SERVERS].at, 33);
+	CU_ASSERT_EQUAL(world.sync.feeds[STORE_SERVERS].revision, 33);
 	world_finish(&world);
 }
 
-/* The copy has routes from before, and no cordon. */
-static void test_era_keeps_operators_word(void)
+/* The backup has older routes and no cordon: neither is lost at once. */
+static void test_era_keeps_routes_and_cordons(void)
 {
 	struct store_item cordon = item_of("dc2", 40, false);
 	struct cordons *cordons;
@@ -388,11 +420,11 @@
 	cordon.kind = STORE_ITEM_CORDON;
 	world_answer(&world, STORE_ROUTES, 40, &cordon, 1);
 	world_pass(&world, 100);
-	go_back(&world, 20);
+	restore_backup(&world, 20);
 	world_give_routes(&world, 2);
 	CU_ASSERT_EQUAL(world.sync.routes->version, 3);
 	CU_ASSERT(cordons_hold(cordons, STR("dc2")));
-	/* Once the operators had time to write it again, the list counts. */
+	/* Operators had time to write the cordon again: the list counts. */
 	world_pass(&world, 2200);
 	CU_ASSERT(world.calls[STORE_ROUTES].watch);
 	world_answer(&world, STORE_ROUTES, 25, NULL, 0);
@@ -405,8 +437,8 @@
 	world_finish(&world);
 }
 
-/* Another deployment's store tells no era, or stops to. */
-static void test_no_era(void)
+/* A store may never report an era, or stop reporting it. */
+static void test_era_not_reported(void)
 {
 	struct world world;
 
@@ -427,22 +459,24 @@
 }
 
 static const struct unit_test tests[] = {
-	{"era: listed anew", test_era_lists_anew},
-	{"era: the copy lacks servers", test_era_copy_lacks_servers},
-	{"era: the copy is older", test_era_copy_is_older},
-	{"era: told by a failure", test_era_told_by_failure},
-	{"era: told by a history gone", test_era_told_by_history_gone},
-	{"era after era", test_era_after_era},
-	{"era: a late answer", test_era_late_answer},
-	{"era: operators' word is kept", test_era_keeps_operators_word},
-	{"no era", test_no_era},
-	{"a page of a list that was given up", test_page_of_given_up_list},
-	{"an older word, held back", test_older_word_of_ready},
-	{"an older word, held back, draining", test_older_word_of_draining},
-	{"removal of what is not known", test_removal_of_unknown},
-	{"heard while listing", test_heard_while_listing},
-	{"a whole view lacks a newer one", test_whole_view_lacks_a_newer_one},
-	{"many removals", test_many_removals},
+	{"era: the store is listed again", test_era_lists_again},
+	{"era: the backup lacks servers", test_era_backup_lacks_servers},
+	{"era: the backup is older", test_era_backup_is_older},
+	{"era: reported with a failure", test_era_with_failure},
+	{"era: reported with a lost history", test_era_with_history_gone},
+	{"era: two restores in a row", test_era_twice},
+	{"era: late answer of the earlier era", test_era_late_answer},
+	{"era: routes and cordons are kept", test_era_keeps_routes_and_cordons},
+	{"era: not reported", test_era_not_reported},
+	{"late page of a cancelled list", test_page_of_cancelled_list},
+	{"older entry during a delayed removal", test_older_ready_entry},
+	{"older draining entry during a delayed removal",
+	 test_older_draining_entry},
+	{"removal of an unknown server", test_removal_of_unknown},
+	{"entries of peers during a list", test_entries_during_list},
+	{"a complete view lacks a newer server",
+	 test_complete_view_lacks_newer_server},
+	{"many removals are remembered", test_many_removals},
 };
 
 UNIT_MAIN("store_order", tests)
--- a/tests/test_store_sync.c
+++ b/tests/test_store_sync.c
@@ -23,14 +23,14 @@
 }
 
 /*
- * A list comes in pages, and a server leaves while they are read. Its removal
- * lies between the first page and the last, so that the watch must go on from
+ * A server is removed while a list is read page by page. The removal is between
+ * the first page and the last, so that the watch must start at the revision of
  * the first.
  */
 static void test_pages(void)
 {
 	struct store_item items[] = {item_of("a", 1, false)};
-	struct store_answer page = {.read_at = 10,
+	struct store_answer page = {.revision = 10,
 				    .more = true,
 				    .items = items,
 				    .n_items = 1};
@@ -51,7 +51,7 @@
 	world_finish(&world);
 }
 
-/* A peer or a slow answer shows an older version: it is never taken. */
+/* An older version from a peer or a slow answer is never applied. */
 static void test_routes_never_go_back(void)
 {
 	struct world world;
@@ -60,12 +60,12 @@
 	world_give_routes(&world, 7);
 	world_give_routes(&world, 5);
 	CU_ASSERT(world.sync.routes->version == 7);
-	CU_ASSERT(store_sync_take_routes(
+	CU_ASSERT(store_sync_apply_routes(
 			  &world.sync,
 			  STR("{\"version\":7,\"routes\":[],\"services\":[]}"),
 			  "peer") == ERR_STALE);
-	CU_ASSERT(store_sync_take_routes(&world.sync, STR("{\"version\":"),
-					 "peer") == ERR_SYNTAX);
+	CU_ASSERT(store_sync_apply_routes(&world.sync, STR("{\"version\":"),
+					  "peer") == ERR_SYNTAX);
 	CU_ASSERT(world.sync.routes->version == 7);
 	world_finish(&world);
 }
@@ -85,11 +85,11 @@
 }
 
 /*
- * The store is away for some seconds, and entries lapse meanwhile though their
- * servers live. When it is back it tells so many removals that shards would
- * have no server; those that live write again within about two seconds.
+ * The store is down for some seconds, and entries of running servers expire
+ * meanwhile. When it is back it reports so many removals that shards would have
+ * no server. The running servers write again within about two seconds.
  */
-static void test_lapsed_while_store_was_away(void)
+static void test_expired_while_store_was_down(void)
 {
 	struct store_item gone[] = {item_of("a", 5, true),
 				    item_of("b", 6, true)};
@@ -116,12 +116,12 @@
 }
 
 /*
- * The same, but this instance was told by others while they reached the store,
- * and its only call that failed was for the routes; or it made none at all. It
- * took all removals for true and told them to the others: half of the shards
- * had no server for a second.
+ * The same on an instance that got its view from peers while they reached the
+ * store, and whose only failed call was for the routes, or that made none. It
+ * applied all removals and sent them to its peers: half of the shards had no
+ * server for a second.
  */
-static void test_lapsed_and_no_call_failed(int failed_calls)
+static void check_expired_without_servers_failure(int failed_calls)
 {
 	struct store_item gone[] = {item_of("a", 5, true),
 				    item_of("b", 6, true)};
@@ -131,7 +131,7 @@
 	world_init(&world);
 	world_give_routes(&world, 1);
 	world_list_servers(&world);
-	store_sync_set_patience(&world.sync, MSEC(4000), 20);
+	store_sync_set_max_view_age(&world.sync, MSEC(4000), 20);
 	for (i = 0; i < failed_calls; i++) {
 		world_pass(&world, 1000);
 		world_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
@@ -144,17 +144,17 @@
 	world_finish(&world);
 }
 
-static void test_lapsed_and_routes_failed(void)
+static void test_expired_and_routes_failed(void)
 {
-	test_lapsed_and_no_call_failed(1);
+	check_expired_without_servers_failure(1);
 }
 
-static void test_lapsed_and_nothing_failed(void)
+static void test_expired_and_nothing_failed(void)
 {
-	test_lapsed_and_no_call_failed(0);
+	check_expired_without_servers_failure(0);
 }
 
-/* Once the store is back, removals that follow later are true at once. */
+/* Removals some time after the store is back are applied at once. */
 static void test_removal_after_return(void)
 {
 	struct store_item gone[] = {item_of("a", 5, true)};
@@ -175,8 +175,8 @@
 }
 
 /*
- * The store drops its history while a server leaves, so that no change tells
- * of it. The whole list is read, and what it does not name is gone.
+ * The store discards its history, and with it the removal of a server. The
+ * complete list is read, and servers missing in it are removed.
  */
 static void test_history_gone(void)
 {
@@ -195,7 +195,7 @@
 	world_finish(&world);
 }
 
-/* While the store fails, calls get rarer and the view stays. */
+/* While the store fails, calls become less frequent and the view is kept. */
 static void test_failures_back_off(void)
 {
 	struct world world;
@@ -216,8 +216,8 @@
 	world_finish(&world);
 }
 
-/* Told by peers, an instance does not call; once they fall silent, it does. */
-static void test_patience(void)
+/* An instance calls the store only if peers send it no view for too long. */
+static void test_max_view_age(void)
 {
 	struct world world;
 	int n;
@@ -225,7 +225,7 @@
 
 	world_init(&world);
 	world_list_servers(&world);
-	store_sync_set_patience(&world.sync, MSEC(1500), 0);
+	store_sync_set_max_view_age(&world.sync, MSEC(1500), 0);
 	n = world.n_calls[STORE_SERVERS];
 	for (i = 0; i < 20; i++) {
 		world_pass(&world, 500);
@@ -242,10 +242,10 @@
 }
 
 /*
- * All instances start at once. The first reads the store and tells the others;
- * one that hears nothing reads it all the same, soon.
+ * All instances start at once. The first reads the store and sends its view to
+ * the others. One that gets no view reads the store itself soon.
  */
-static void test_start_of_all(void)
+static void test_all_start_at_once(void)
 {
 	struct world world;
 
@@ -253,7 +253,7 @@
 	world_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
 	world_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
 	world_restart(&world);
-	store_sync_set_patience(&world.sync, MSEC(1700), 0);
+	store_sync_set_max_view_age(&world.sync, MSEC(1700), 0);
 	world.n_calls[STORE_SERVERS] = 0;
 	world_pass(&world, 200);
 	CU_ASSERT(world.n_calls[STORE_SERVERS] == 0);
@@ -263,8 +263,8 @@
 }
 
 /*
- * One of hundreds starts. The seeds, whom it asks, have the view or read it;
- * it reads by itself only if none of them tells it.
+ * An instance joins hundreds of others. It asks the seeds, which have the view
+ * or read it, and reads the store itself only if none of them answers.
  */
 static void test_joins(void)
 {
@@ -272,7 +272,7 @@
 
 	world_init(&world);
 	world_restart(&world);
-	store_schedule_joins(&world.sync, 0.5);
+	store_schedule_delay_start(&world.sync, 0.5);
 	world.n_calls[STORE_SERVERS] = 0;
 	world_pass(&world, 800);
 	CU_ASSERT(world.n_calls[STORE_SERVERS] == 0);
@@ -282,9 +282,9 @@
 }
 
 /*
- * Somebody writes bytes that cannot be read over a server's entry. Callers'
- * requests must not go by what it said before, and the other servers' entries
- * hold. A second later the server writes again, and is used again.
+ * A server's entry is overwritten with bytes that cannot be decoded. Its
+ * previous entry must not be used any more, and those of other servers must be
+ * kept. A second later the server writes again, and is used again.
  */
 static void test_unreadable_entry(void)
 {
@@ -304,19 +304,20 @@
 }
 
 static const struct unit_test tests[] = {
-	{"joins", test_joins},
+	{"an instance joins others", test_joins},
 	{"start", test_start},
-	{"pages", test_pages},
-	{"routes never go back", test_routes_never_go_back},
-	{"removed at once", test_removed_at_once},
-	{"lapsed while the store was away", test_lapsed_while_store_was_away},
-	{"lapsed, and routes failed", test_lapsed_and_routes_failed},
-	{"lapsed, and nothing failed", test_lapsed_and_nothing_failed},
-	{"removal after the return", test_removal_after_return},
-	{"history gone", test_history_gone},
-	{"failures back off", test_failures_back_off},
-	{"patience", test_patience},
-	{"start of all", test_start_of_all},
+	{"list of several pages", test_pages},
+	{"routes are never replaced by older ones", test_routes_never_go_back},
+	{"removal is applied at once", test_removed_at_once},
+	{"entries expire while the store is down",
+	 test_expired_while_store_was_down},
+	{"entries expire, routes call failed", test_expired_and_routes_failed},
+	{"entries expire, no call failed", test_expired_and_nothing_failed},
+	{"removal after the store is back", test_removal_after_return},
+	{"history of the store is lost", test_history_gone},
+	{"calls back off after failures", test_failures_back_off},
+	{"maximum age of the view", test_max_view_age},
+	{"all instances start at once", test_all_start_at_once},
 	{"unreadable entry", test_unreadable_entry},
 };
 
--- a/tests/test_view_order.c
+++ b/tests/test_view_order.c
@@ -101,16 +101,16 @@
 	reader = &world.nodes[world_reader(&world)];
 	other = &world.nodes[1 - world_reader(&world)];
 	feed = &other->sync.feeds[STORE_SERVERS];
-	at = feed->at;
+	at = feed->revision;
 	server_view_returned(&reader->sync.servers);
 	server_view_vanished(&reader->sync.servers, "server", ++world.revision);
-	reader->sync.feeds[STORE_SERVERS].at = world.revision;
+	reader->sync.feeds[STORE_SERVERS].revision = world.revision;
 	request.servers_at = at;
 	view_share_request(&reader->share, other->name, &request);
-	CU_ASSERT_EQUAL(feed->at, at);
+	CU_ASSERT_EQUAL(feed->revision, at);
 	request.servers_at = 0;
 	view_share_request(&reader->share, other->name, &request);
-	CU_ASSERT_EQUAL(feed->at, at);
+	CU_ASSERT_EQUAL(feed->revision, at);
 	world_finish(&world);
 }
 
@@ -262,7 +262,7 @@
 	node_hear_server(node, 1, 1000, 70);
 	server = registry_find(&node->registry, STR("server"));
 	CU_ASSERT(!server->entry.born);
-	CU_ASSERT(node->sync.feeds[STORE_SERVERS].at < 70);
+	CU_ASSERT(node->sync.feeds[STORE_SERVERS].revision < 70);
 	node_hear_server(node, 0, 1000, 70);
 	CU_ASSERT(!server->entry.born);
 	/* One of a later era is believed, whatever its revision. */
--- a/tests/test_view_share.c
+++ b/tests/test_view_share.c
@@ -199,7 +199,7 @@
 
 	world_init(&world, 60);
 	for (i = 0; i < world.n_nodes; i++)
-		store_sync_set_patience(&world.nodes[i].sync, 0, 0);
+		store_sync_set_max_view_age(&world.nodes[i].sync, 0, 0);
 	world_pass(&world, 1000);
 	CU_ASSERT(world_count_version(&world, 1) == 60);
 	CU_ASSERT(world.n_whole <= 60);
--- a/tests/view_world.c
+++ b/tests/view_world.c
@@ -28,7 +28,7 @@
 }
 
 static const struct store_ops format = {
-	.server = read_server,
+	.decode_server = read_server,
 };
 
 static void on_call(void *arg, const struct store_call *call, int64_t timeout)
@@ -57,8 +57,8 @@
 
 static const struct store_sync_ops sync_ops = {
 	.call = on_call,
-	.routes = on_routes,
-	.server = on_server,
+	.routes_changed = on_routes,
+	.server_changed = on_server,
 };
 
 static struct node *find_node(struct world *world, const char *name)
@@ -293,7 +293,7 @@
 	struct world *world = node->world;
 	struct store_item items[2] = {{.changed_at = world->routes_at}};
 	struct store_answer answer = {.era = world->era,
-				      .read_at = world->revision,
+				      .revision = world->revision,
 				      .items = items};
 	char text[100];
 
@@ -313,7 +313,7 @@
 	struct world *world = node->world;
 	struct store_item item = {.name = "server", .value = STR("ready")};
 	struct store_answer answer = {.era = world->era,
-				      .read_at = world->revision,
+				      .revision = world->revision,
 				      .items = &item};
 
 	item.changed_at = world->drained_at ? world->drained_at : 1;
--- a/view_share.c
+++ b/view_share.c
@@ -88,7 +88,7 @@
 		if (!strcmp(share->members[i].instance, share->instance))
 			share->rank = i;
 	}
-	store_sync_set_patience(share->sync, patience_of(share->rank),
+	store_sync_set_max_view_age(share->sync, patience_of(share->rank),
 				share->rank);
 }
 
@@ -137,7 +137,7 @@
 		share->kept.packed = NULL;
 	}
 	if (share->complete_at == UINT64_MAX && feed->listed)
-		share->complete_at = feed->at;
+		share->complete_at = feed->revision;
 }
 
 static uint64_t max(uint64_t a, uint64_t b)
@@ -148,7 +148,7 @@
 void view_share_changed(struct view_share *share, const char *id,
 			uint64_t changed_at, bool removed)
 {
-	uint64_t at = share->sync->feeds[STORE_SERVERS].at;
+	uint64_t at = share->sync->feeds[STORE_SERVERS].revision;
 	struct view_change *change;
 
 	view_share_follow_era(share);
@@ -164,7 +164,7 @@
 static void mark_told(struct view_share *share)
 {
 	share->told_version = share->sync->routes->version;
-	share->told_at = share->sync->feeds[STORE_SERVERS].at;
+	share->told_at = share->sync->feeds[STORE_SERVERS].revision;
 	share->told_changes = share->n_changes;
 	share->told_cordons = share->sync->registry->cordons.n_changes;
 }
@@ -176,7 +176,7 @@
 static uint64_t told_from(const struct view_share *share, int n)
 {
 	if ((uint64_t)n < share->n_changes - share->told_changes)
-		return max(share->sync->feeds[STORE_SERVERS].at,
+		return max(share->sync->feeds[STORE_SERVERS].revision,
 			   share->last_change);
 	return share->told_at;
 }
@@ -197,7 +197,7 @@
 	 * it for fresh would not read, and not leave servers that left.
 	 */
 	view_share_follow_era(share);
-	if (!routes || feed->fresh_at < 0 || !feed->at ||
+	if (!routes || feed->fresh_at < 0 || !feed->revision ||
 	    server_view_holds_back(&share->sync->servers))
 		return;
 	/*
@@ -307,7 +307,7 @@
 				     message->servers_at, member);
 	view_share_follow_era(share);
 	/* Who has a view has no use for one that is of no revision. */
-	if (message->servers_at && !feed->at)
+	if (message->servers_at && !feed->revision)
 		return;
 	n = view_update_count(share, message->servers_at);
 	if (!message->servers_at || message->store_era != share->sync->era ||
@@ -333,7 +333,7 @@
 	request.routes_version = routes ? routes->version : 0;
 	request.store_era = share->sync->era;
 	if (!whole)
-		request.servers_at = share->sync->feeds[STORE_SERVERS].at;
+		request.servers_at = share->sync->feeds[STORE_SERVERS].revision;
 	share->asked_at = clock_now(share->clock);
 	return share->ops->request(share->arg, member, &request);
 }
--- a/view_take.c
+++ b/view_take.c
@@ -10,7 +10,7 @@
 	struct server_entry entry;
 
 	/* Of an earlier era, kept by the peer until it has a list. */
-	if (!row->changed_at && share->sync->feeds[STORE_SERVERS].at)
+	if (!row->changed_at && share->sync->feeds[STORE_SERVERS].revision)
 		return;
 	if (row->removed) {
 		server_view_remove(&share->sync->servers, row->id,
@@ -65,7 +65,7 @@
 
 	if (!text->len)
 		return 0;
-	ret = store_sync_take_routes(share->sync, document, "peer");
+	ret = store_sync_apply_routes(share->sync, document, "peer");
 	return ret == ERR_STALE ? 0 : ret;
 }
 
@@ -98,12 +98,12 @@
 	if (message->servers_age_ms == UINT32_MAX)
 		return 0;
 	if (message->whole)
-		store_sync_begin_whole(share->sync);
+		store_sync_begin_snapshot(share->sync);
 	for (i = 0; i < n; i++)
 		take_row(share, servers[i], message->whole);
 	if (message->whole)
-		store_sync_end_whole(share->sync, message->servers_at);
-	else if (feed->fresh_at < 0 || feed->at < message->servers_from)
+		store_sync_end_snapshot(share->sync, message->servers_at);
+	else if (feed->fresh_at < 0 || feed->revision < message->servers_from)
 		return ERR_VERSION;
 	store_sync_confirm(share->sync, STORE_SERVERS, message->servers_at,
 			   confirmed_at(share, message->servers_age_ms));
--- a/view_update.c
+++ b/view_update.c
@@ -94,14 +94,14 @@
 
 	message->store_era = share->sync->era;
 	message->routes_age_ms = age_ms(share, &feeds[STORE_ROUTES]);
-	message->routes_at = feeds[STORE_ROUTES].at;
+	message->routes_at = feeds[STORE_ROUTES].revision;
 	message->servers_age_ms = age_ms(share, &feeds[STORE_SERVERS]);
 	/*
 	 * Whoever hears of entries that are kept here for a while must still
 	 * hear of their end, from another one if this instance is lost.
 	 */
 	if (!server_view_holds_back(&share->sync->servers))
-		message->servers_at = feeds[STORE_SERVERS].at;
+		message->servers_at = feeds[STORE_SERVERS].revision;
 	if (share->sync->routes)
 		message->routes_version = share->sync->routes->version;
 	add_cordons(&share->sync->registry->cordons, update);
