--- a/admission.c
+++ b/admission.c
@@ -599,7 +599,7 @@
 	return true;
 }
 
-void admission_lag(struct admission *admission, int64_t lag)
+void admission_add_lag(struct admission *admission, int64_t lag)
 {
 	limit_sample(&admission->whole, clock_now(admission->clock), lag,
 		     admission->tunables.lag_target,
--- a/admission.h
+++ b/admission.h
@@ -168,9 +168,9 @@
 			  uint32_t *retry_after_ms);
 
 /**
- * admission_lag() - the event loop was late by @lag microseconds
+ * admission_add_lag() - the event loop was late by @lag microseconds
  */
-void admission_lag(struct admission *admission, int64_t lag);
+void admission_add_lag(struct admission *admission, int64_t lag);
 
 /**
  * admission_tick() - refuse what can't finish any more, drop idle services
--- a/budget.c
+++ b/budget.c
@@ -54,8 +54,8 @@
 	budget->tokens = fmin(budget->tokens, budget_capacity(budget, limit));
 }
 
-void budget_need(struct budget *budget, const struct budget_limit *limit, int n,
-		 int64_t now)
+void budget_count_needed(struct budget *budget,
+			 const struct budget_limit *limit, int n, int64_t now)
 {
 	settle(budget, limit, now);
 	budget->needed += (uint64_t)n;
--- a/budget.h
+++ b/budget.h
@@ -64,10 +64,10 @@
 		 int64_t now);
 
 /**
- * budget_need() - count requests that were needed
+ * budget_count_needed() - count requests that were needed
  */
-void budget_need(struct budget *budget, const struct budget_limit *limit, int n,
-		 int64_t now);
+void budget_count_needed(struct budget *budget,
+			 const struct budget_limit *limit, int n, int64_t now);
 
 /**
  * budget_take() - ask for one extra request
--- a/catalog.c
+++ b/catalog.c
@@ -219,7 +219,7 @@
 
 	HASH_ITER (hh, catalog->servers, server, next) {
 		if (!server->in_table ||
-		    table_server(table, str_from(server->name)) >= 0)
+		    table_find_server(table, str_from(server->name)) >= 0)
 			continue;
 		invalidate_placements(catalog, server->service);
 		server->in_table = false;
--- a/dispatch.c
+++ b/dispatch.c
@@ -265,8 +265,8 @@
 	for (i = 0; i < dispatch->n_parts; i++) {
 		struct dispatch_part *part = &dispatch->parts[i];
 
-		if (!outage_hits(dispatch->limits->outage, part->service,
-				 &since))
+		if (!outage_affects(dispatch->limits->outage, part->service,
+				    &since))
 			continue;
 		if (since > dispatch->outage_since)
 			dispatch->outage_since = since;
@@ -283,8 +283,8 @@
 
 	if (part->state != PART_PENDING)
 		return;
-	budget_need(&part->service->budget, &dispatch->limits->budget, 1,
-		    clock_now(dispatch->clock));
+	budget_count_needed(&part->service->budget, &dispatch->limits->budget,
+			    1, clock_now(dispatch->clock));
 	ret = dispatch_part_send(part, "first", false);
 	if (ret)
 		schedule_retry_or_fail(part, ret);
--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -44,7 +44,8 @@
 	if (usual <= 0)
 		return 1;
 	if (server->outlook.pace_at)
-		pace = server_outlook_pace(&server->outlook, usual, now);
+		pace = server_estimate_processing_time(&server->outlook, usual,
+						       now);
 	else if (score->latency_at && now - score->latency_at < REPORT_AGE_MAX)
 		pace = score->latency;
 	return fmin(fmax(pace / usual, SLOWNESS_MIN), SLOWNESS_MAX);
@@ -52,7 +53,7 @@
 
 static int level_of(const struct dispatch *dispatch)
 {
-	return server_outlook_level(dispatch->route->priority);
+	return server_estimate_level(dispatch->route->priority);
 }
 
 static bool is_eligible(const struct dispatch *dispatch,
@@ -82,7 +83,7 @@
 	for (i = 0; i < service->n; i++) {
 		if (!is_eligible(dispatch, service->servers[i]))
 			continue;
-		sum += server_outlook_ahead(&service->servers[i]->outlook,
+		sum += server_estimate_wait(&service->servers[i]->outlook,
 					    level, now);
 		n++;
 	}
@@ -167,7 +168,7 @@
 	dispatch->refused_by_forecast = forecast->refused;
 	dispatch->capacity_delay = forecast->room_in;
 	dispatch->expected_answer_at = clock_now(dispatch->clock) +
-				       forecast_expected(forecast->deciding);
+				       forecast_answer_time(forecast->deciding);
 	if (dispatch->ops->forecast_decided &&
 	    (forecast->refused || forecast->n_left_out))
 		dispatch->ops->forecast_decided(dispatch->arg, forecast);
@@ -205,8 +206,8 @@
 
 		if (part->state != PART_FAILED || part->code != ERR_LEFT_OUT)
 			continue;
-		budget_need(&part->service->budget, &dispatch->limits->budget,
-			    1, now);
+		budget_count_needed(&part->service->budget,
+				    &dispatch->limits->budget, 1, now);
 		if (dispatch_part_send(part, "first", false))
 			continue;
 		part->state = PART_PENDING;
@@ -230,7 +231,7 @@
 	if (!server)
 		return true;
 	expected = forecast_server(dispatch, server, now);
-	if (now + forecast_expected(&expected) <=
+	if (now + forecast_answer_time(&expected) <=
 	    (enough ? dispatch->soft_deadline : dispatch->deadline))
 		return true;
 	if (!part->suppressed && dispatch->ops->send_suppressed)
@@ -248,7 +249,7 @@
 {
 	const struct dispatch *dispatch = send->part->dispatch;
 	struct registry_server *server = send->server;
-	struct server_outlook *outlook = &server->outlook;
+	struct server_estimate *outlook = &server->outlook;
 	int64_t now = clock_now(dispatch->clock);
 	int64_t slots = server->entry.slots > 0 ? server->entry.slots : 1;
 	int64_t added_wait;
@@ -258,11 +259,11 @@
 	    now - outlook->pace_at > REPORT_AGE_MAX)
 		return;
 	added_wait = forecast_server(dispatch, server, now).run / slots;
-	for (i = level_of(dispatch); i < OUTLOOK_LEVELS; i++)
-		server_outlook_told(outlook, i,
-				    server_outlook_ahead(outlook, i, now) +
-					    added_wait,
-				    now);
+	for (i = level_of(dispatch); i < ESTIMATE_LEVELS; i++)
+		server_estimate_set_wait(outlook, i,
+					 server_estimate_wait(outlook, i, now) +
+						 added_wait,
+					 now);
 }
 
 void dispatch_forecast_update(const struct dispatch_send *send, int64_t took)
--- a/dispatch_load.c
+++ b/dispatch_load.c
@@ -66,13 +66,13 @@
 	dispatch->cost = 1;
 	if (uses_priorities(dispatch))
 		dispatch->level =
-			server_outlook_level(dispatch->route->priority);
+			server_estimate_level(dispatch->route->priority);
 	if (uses_work_cost(dispatch))
 		dispatch->cost += (int64_t)(work_per_part(dispatch->latency) *
 					    dispatch->n_parts);
 	if (uses_load_limit(dispatch) && !dispatch->promised)
-		load_limit_ask(load_limit_of(dispatch), dispatch->level,
-			       dispatch->cost, now);
+		load_limit_count_request(load_limit_of(dispatch),
+					 dispatch->level, dispatch->cost, now);
 }
 
 static void publish_limit(const struct dispatch *dispatch)
@@ -80,15 +80,15 @@
 	const char *service = dispatch->parts[0].service->name;
 
 	if (dispatch->limits->share && load_limit_of(dispatch)->limit)
-		load_share_limited(dispatch->limits->share,
-				   str_hash(str_from(service)),
-				   load_limit_of(dispatch));
+		load_share_add_limit(dispatch->limits->share,
+				     str_hash(str_from(service)),
+				     load_limit_of(dispatch));
 }
 
 static bool admit_within_limit(const struct dispatch *dispatch, int64_t now)
 {
 	struct load_limit *load = load_limit_of(dispatch);
-	struct load_view view = {0};
+	struct peer_load view = {0};
 
 	if (dispatch->limits->share && uses_priorities(dispatch))
 		load_share_adopt(dispatch->limits->share,
@@ -118,8 +118,8 @@
 	if (!uses_load_limit(dispatch))
 		return true;
 	if (bypasses_limit(dispatch, now)) {
-		load_limit_take(load_limit_of(dispatch), dispatch->level,
-				dispatch->cost, now);
+		load_limit_admit_always(load_limit_of(dispatch),
+					dispatch->level, dispatch->cost, now);
 		dispatch->admitted = true;
 	} else {
 		dispatch->admitted = admit_within_limit(dispatch, now);
@@ -144,8 +144,8 @@
 	int64_t period = MSEC(dispatch->route->goal_ms) / 2;
 
 	if (!dispatch->route->sharded)
-		return load_limit_full(load_limit_of(dispatch), now);
-	return load_limit_overloaded(load_limit_of(dispatch), period, now);
+		return load_limit_servers_full(load_limit_of(dispatch), now);
+	return load_limit_lower(load_limit_of(dispatch), period, now);
 }
 
 static void handle_overload(struct dispatch *dispatch, int64_t now)
@@ -178,10 +178,10 @@
 		return;
 	dispatch->load_reported = true;
 	if (!code && now <= dispatch->soft_deadline)
-		load_limit_served(load_limit_of(dispatch), dispatch->cost,
-				  uses_priorities(dispatch)
-					  ? LIMIT_INCREASE_WITH_PRIORITIES
-					  : LIMIT_INCREASE);
+		load_limit_raise(load_limit_of(dispatch), dispatch->cost,
+				 uses_priorities(dispatch)
+					 ? LIMIT_INCREASE_WITH_PRIORITIES
+					 : LIMIT_INCREASE);
 	else if (is_overload(dispatch, code))
 		handle_overload(dispatch, now);
 }
@@ -198,10 +198,10 @@
 	if (!dispatch->admitted)
 		return;
 	if (was_answered(dispatch))
-		load_limit_worked(load_limit_of(dispatch), dispatch->cost,
-				  clock_now(dispatch->clock));
-	load_limit_end(load_limit_of(dispatch), dispatch->level,
-		       dispatch->cost);
+		load_limit_count_served(load_limit_of(dispatch), dispatch->cost,
+					clock_now(dispatch->clock));
+	load_limit_release(load_limit_of(dispatch), dispatch->level,
+			   dispatch->cost);
 	dispatch->admitted = false;
 }
 
@@ -221,18 +221,18 @@
 {
 	struct load_share *share = dispatch->limits->share;
 	const char *service = dispatch->parts[0].service->name;
-	struct load_view view = {0};
+	struct peer_load view = {0};
 
 	if (share)
-		load_share_look(share, str_hash(str_from(service)), &view);
-	return load_limit_room(load_limit_of(dispatch), dispatch->level, &view,
-			       clock_now(dispatch->clock));
+		load_share_peer_load(share, str_hash(str_from(service)), &view);
+	return load_limit_capacity(load_limit_of(dispatch), dispatch->level,
+				   &view, clock_now(dispatch->clock));
 }
 
 int64_t dispatch_capacity_delay(const struct dispatch *dispatch)
 {
-	int64_t excess = load_limit_excess(load_limit_of(dispatch),
-					   clock_now(dispatch->clock));
+	int64_t excess = load_limit_excess_time(load_limit_of(dispatch),
+						clock_now(dispatch->clock));
 
 	return excess > dispatch->capacity_delay ? excess
 						 : dispatch->capacity_delay;
--- a/forecast.c
+++ b/forecast.c
@@ -27,15 +27,15 @@
 	return needed > 0 ? needed : 1;
 }
 
-int64_t forecast_expected(const struct forecast_part *part)
+int64_t forecast_answer_time(const struct forecast_part *part)
 {
 	return part->ahead + part->run;
 }
 
 static int cmp_expected(const void *a, const void *b)
 {
-	int64_t left = forecast_expected(a);
-	int64_t right = forecast_expected(b);
+	int64_t left = forecast_answer_time(a);
+	int64_t right = forecast_answer_time(b);
 
 	return (left > right) - (left < right);
 }
@@ -55,7 +55,7 @@
 	int i;
 
 	for (i = 0; i < forecast->n; i++) {
-		if (forecast_expected(&forecast->parts[i]) > forecast->goal)
+		if (forecast_answer_time(&forecast->parts[i]) > forecast->goal)
 			break;
 	}
 	forecast->n_in_time = i;
@@ -79,17 +79,17 @@
 		due = due_of(forecast, part, in_time(forecast));
 	if (due > forecast->deadline)
 		due = forecast->deadline;
-	if (forecast->probe || forecast_expected(part) <= due)
+	if (forecast->probe || forecast_answer_time(part) <= due)
 		return false;
 	forecast->refused = true;
-	forecast->room_in = forecast_expected(part) - due;
+	forecast->room_in = forecast_answer_time(part) - due;
 	return true;
 }
 
 /* An answer that is late all the same waits for its other parts. */
 static int64_t leave_out_after(const struct forecast *forecast)
 {
-	int64_t due = forecast_expected(forecast->deciding);
+	int64_t due = forecast_answer_time(forecast->deciding);
 
 	if (due < forecast->goal)
 		due = forecast->goal;
@@ -106,7 +106,7 @@
 	for (i = forecast->n - 1; i >= 0 && forecast->n_left_out < most; i--) {
 		struct forecast_part *part = &forecast->parts[i];
 
-		if (forecast_expected(part) <= due_of(forecast, part, after))
+		if (forecast_answer_time(part) <= due_of(forecast, part, after))
 			continue;
 		part->left_out = true;
 		forecast->n_left_out++;
--- a/forecast.h
+++ b/forecast.h
@@ -66,9 +66,9 @@
 int forecast_needed(int n_parts, double coverage_min);
 
 /**
- * forecast_expected() - when the answer of a part is expected, from now
+ * forecast_answer_time() - when the answer of a part is expected, from now
  */
-int64_t forecast_expected(const struct forecast_part *part);
+int64_t forecast_answer_time(const struct forecast_part *part);
 
 /**
  * forecast_decide() - set what follows @probe from what comes before
--- a/gateway_forecast.c
+++ b/gateway_forecast.c
@@ -56,7 +56,7 @@
 		len += (size_t)snprintf(
 			out + len, size - len, "%s%s:%lld", n++ ? " " : "",
 			part_of(dispatch, expected)->service->name,
-			(long long)(forecast_expected(expected) /
+			(long long)(forecast_answer_time(expected) /
 				    USEC_PER_MSEC));
 	}
 }
@@ -74,11 +74,12 @@
 		 LOG_I64("in_time", forecast->n_in_time),
 		 LOG_I64("needed", forecast->needed),
 		 LOG_I64("goal_left_us", forecast->goal),
-		 LOG_I64("enough_in_us", forecast_expected(forecast->deciding)),
+		 LOG_I64("enough_in_us",
+			 forecast_answer_time(forecast->deciding)),
 		 LOG_TEXT("worst", worst));
 }
 
-void gateway_foreseen(void *arg, const struct forecast *forecast)
+void gateway_report_forecast(void *arg, const struct forecast *forecast)
 {
 	const struct gateway_request *request = arg;
 	struct gateway_stats *counters = &request->gateway->counters;
@@ -92,8 +93,8 @@
 	log_left_out(request, forecast);
 }
 
-void gateway_kept_back(void *arg, const struct dispatch_part *part,
-		       const struct forecast_part *expected)
+void gateway_report_resend_left_out(void *arg, const struct dispatch_part *part,
+				    const struct forecast_part *expected)
 {
 	const struct gateway_request *request = arg;
 	const struct dispatch *dispatch = &request->dispatch;
--- a/gateway_load.c
+++ b/gateway_load.c
@@ -20,7 +20,7 @@
 {
 	struct gateway *gateway = arg;
 	const struct view_share *views = &gateway->fleet.views;
-	int n = gateway_fleet_entries(&gateway->fleet);
+	int n = gateway_fleet_count_entries(&gateway->fleet);
 	int i;
 
 	for (i = 0; i < n && i < views->n_members; i++) {
@@ -36,7 +36,7 @@
 }
 
 static void adopted(void *arg, const char *service,
-		    const struct load_limit *load, const struct load_view *view)
+		    const struct load_limit *load, const struct peer_load *view)
 {
 	(void)arg;
 	LOG_INFO("load_limit_adopted", LOG_TEXT("service", service),
@@ -58,9 +58,9 @@
 	if (!is_on(gateway))
 		return;
 	gateway->load.share.n_others =
-		gateway_fleet_entries(&gateway->fleet) - 1;
-	load_share_told(&gateway->load.share, link->instance,
-			(const Peer__LoadShare *)frame->message);
+		gateway_fleet_count_entries(&gateway->fleet) - 1;
+	load_share_receive(&gateway->load.share, link->instance,
+			   (const Peer__LoadShare *)frame->message);
 }
 
 static void on_timer(void *arg)
@@ -68,14 +68,14 @@
 	struct gateway *gateway = arg;
 
 	load_share_tick(&gateway->load.share);
-	gateway_load_arm(gateway);
+	gateway_load_arm_timer(gateway);
 }
 
 void gateway_load_init(struct gateway *gateway)
 {
 	struct gateway_load *load = &gateway->load;
 
-	return_book_init(&load->book, &gateway->clock);
+	return_schedule_init(&load->book, &gateway->clock);
 	load_share_init(&load->share, &gateway->clock, &share_ops, gateway,
 			&load->book);
 	wake_timer_init(&load->timer, gateway->base, &gateway->clock, on_timer,
@@ -91,10 +91,10 @@
 void gateway_load_finish(struct gateway *gateway)
 {
 	wake_timer_finish(&gateway->load.timer);
-	return_book_finish(&gateway->load.book);
+	return_schedule_finish(&gateway->load.book);
 }
 
-void gateway_load_arm(struct gateway *gateway)
+void gateway_load_arm_timer(struct gateway *gateway)
 {
 	if (is_on(gateway))
 		wake_timer_move(&gateway->load.timer,
@@ -102,7 +102,8 @@
 }
 
 const struct route_service *
-gateway_load_target(const struct route *route, const struct return_entry *entry)
+gateway_load_return_target(const struct route *route,
+			   const struct scheduled_return *entry)
 {
 	int i;
 
@@ -116,9 +117,10 @@
 }
 
 static bool is_limited(struct gateway *gateway, const struct route *route,
-		       const struct return_entry *entry)
+		       const struct scheduled_return *entry)
 {
-	const struct route_service *target = gateway_load_target(route, entry);
+	const struct route_service *target =
+		gateway_load_return_target(route, entry);
 
 	return target &&
 	       registry_service(&gateway->registry, str_from(target->name))
@@ -126,7 +128,7 @@
 }
 
 static void log_arrival(const struct gateway *gateway, struct str id,
-			const struct return_entry *entry,
+			const struct scheduled_return *entry,
 			enum return_state state)
 {
 	int64_t early = entry->due - clock_now(&gateway->clock);
@@ -142,25 +144,25 @@
 			 LOG_I64("early_ms", early / USEC_PER_MSEC));
 }
 
-static void use_up(struct gateway *gateway, struct return_entry *entry)
+static void use_up(struct gateway *gateway, struct scheduled_return *entry)
 {
-	return_book_drop(&gateway->load.book, entry->fingerprint);
+	return_schedule_remove(&gateway->load.book, entry->fingerprint);
 	entry->taken = true;
-	load_share_return(&gateway->load.share, entry);
+	load_share_add_return(&gateway->load.share, entry);
 }
 
-enum return_state gateway_load_arrive(struct gateway *gateway,
-				      const struct route *route,
-				      uint64_t fingerprint, struct str id,
-				      struct return_entry *out)
+enum return_state gateway_load_check_return(struct gateway *gateway,
+					    const struct route *route,
+					    uint64_t fingerprint, struct str id,
+					    struct scheduled_return *out)
 {
-	const struct return_entry *entry;
+	const struct scheduled_return *entry;
 	enum return_state state;
 
 	if (!gateway->settings->load_control.returns)
 		return RETURN_NONE;
-	entry = return_book_find(&gateway->load.book, fingerprint);
-	state = return_book_arrive(&gateway->load.book, entry);
+	entry = return_schedule_find(&gateway->load.book, fingerprint);
+	state = return_schedule_check(&gateway->load.book, entry);
 	if (state == RETURN_NONE)
 		return RETURN_NONE;
 	*out = *entry;
@@ -170,7 +172,7 @@
 		return RETURN_EARLY;
 	}
 	use_up(gateway, out);
-	if (state == RETURN_EARLY || !gateway_load_target(route, out))
+	if (state == RETURN_EARLY || !gateway_load_return_target(route, out))
 		return RETURN_NONE;
 	metric_inc(&gateway->counters.return_taken);
 	log_arrival(gateway, id, out, state);
@@ -178,8 +180,8 @@
 }
 
 static void log_offer(const struct gateway_request *request,
-		      const struct return_ask *ask,
-		      const struct return_entry *entry, int64_t wait)
+		      const struct return_request *ask,
+		      const struct scheduled_return *entry, int64_t wait)
 {
 	LOG_INFO("return_promised", LOG_STR("request", request->request.id),
 		 LOG_TEXT("service", request->dispatch.parts[0].service->name),
@@ -190,12 +192,12 @@
 		 LOG_I64("wait_us", wait), LOG_I64("promised", entry->kept));
 }
 
-int64_t gateway_load_offer(struct gateway_request *request)
+int64_t gateway_load_offer_return(struct gateway_request *request)
 {
 	struct gateway *gateway = request->gateway;
 	const struct dispatch *dispatch = &request->dispatch;
 	int64_t now = clock_now(&gateway->clock);
-	const struct return_ask ask = {
+	const struct return_request ask = {
 		.fingerprint = request->fingerprint,
 		.service = str_hash(str_from(dispatch->parts[0].service->name)),
 		.level = dispatch->level,
@@ -204,17 +206,17 @@
 		.room_in = dispatch_capacity_delay(dispatch),
 		.patience = (dispatch->deadline - now) / PATIENCE_PART,
 	};
-	struct return_entry entry;
+	struct scheduled_return entry;
 	int64_t wait;
 
 	if (!gateway->settings->load_control.returns ||
 	    !dispatch_refused_for_load(dispatch) || ask.patience <= 0)
 		return dispatch_retry_after(dispatch);
-	wait = return_book_offer(&gateway->load.book, &ask, &entry);
+	wait = return_schedule_offer(&gateway->load.book, &ask, &entry);
 	metric_inc(entry.kept ? &gateway->counters.return_promised
 			      : &gateway->counters.return_unpromised);
 	log_offer(request, &ask, &entry, wait);
-	load_share_return(&gateway->load.share, &entry);
-	gateway_load_arm(gateway);
+	load_share_add_return(&gateway->load.share, &entry);
+	gateway_load_arm_timer(gateway);
 	return (wait + USEC_PER_MSEC - 1) / USEC_PER_MSEC;
 }
--- a/home_net.c
+++ b/home_net.c
@@ -254,7 +254,8 @@
 				     str_from(link->server->service));
 	int64_t now = clock_now(board->clock);
 
-	if (!service || !service->new_map_digest || holds(link, service->new_map_digest) ||
+	if (!service || !service->new_map_digest ||
+	    holds(link, service->new_map_digest) ||
 	    now - service->new_map_at > MOVE_RECENT_US ||
 	    now - link->asked_at < ASK_AGAIN_US)
 		return;
@@ -331,7 +332,7 @@
 
 	(void)fd;
 	(void)what;
-	if (link->probing || !server_pool_is_cut(&link->pool)) {
+	if (link->probing || !server_pool_is_disconnected(&link->pool)) {
 		end_lost(link, link->probing);
 		return;
 	}
@@ -531,7 +532,8 @@
 {
 	(void)arg;
 	if (job->handle)
-		server_pool_give_up(&link_of(job->server)->pool, job->handle);
+		server_pool_close_stalled(&link_of(job->server)->pool,
+					  job->handle);
 }
 
 static void cancel_job(void *arg, struct home_job *job)
@@ -786,7 +788,7 @@
 		return;
 	net->has_leftovers = false;
 	HASH_ITER (hh, net->home.servers, server, next) {
-		int row = table_server(table, str_from(server->name));
+		int row = table_find_server(table, str_from(server->name));
 
 		server->seen =
 			row >= 0 && !has_moved(server, &table->servers[row]);
@@ -855,7 +857,7 @@
 			 sync_servers, net);
 	blackboard_watch(board, BLACKBOARD_CATALOG, &net->catalog_watch,
 			 on_catalog, net);
-	blackboard_watch(board, BLACKBOARD_USE, &net->use_watch, report_use,
+	blackboard_watch(board, BLACKBOARD_USAGE, &net->use_watch, report_use,
 			 net);
 	on_poll(-1, 0, net);
 }
--- a/load_limit.c
+++ b/load_limit.c
@@ -36,7 +36,7 @@
 
 	load->at = now;
 	load->served *= left;
-	for (i = 0; i < OUTLOOK_LEVELS; i++) {
+	for (i = 0; i < ESTIMATE_LEVELS; i++) {
 		load->levels[i].asked *= left;
 		load->levels[i].admitted *= left;
 		load->levels[i].peak *= left;
@@ -69,13 +69,13 @@
 	double asked = 0;
 	int i;
 
-	for (i = 0; i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < ESTIMATE_LEVELS; i++)
 		asked += load->levels[i].asked;
 	return asked;
 }
 
-void load_limit_ask(struct load_limit *load, int level, int64_t cost,
-		    int64_t now)
+void load_limit_count_request(struct load_limit *load, int level, int64_t cost,
+			      int64_t now)
 {
 	fade(load, now);
 	load->unit = load->unit ? load->unit + ((double)cost - load->unit) /
@@ -85,8 +85,8 @@
 	load->levels[level].asked_at = now;
 }
 
-void load_limit_take(struct load_limit *load, int level, int64_t cost,
-		     int64_t now)
+void load_limit_admit_always(struct load_limit *load, int level, int64_t cost,
+			     int64_t now)
 {
 	int i;
 
@@ -94,7 +94,7 @@
 	load->open += cost;
 	load->levels[level].open += cost;
 	load->levels[level].admitted += per_second(cost);
-	for (i = level; i < OUTLOOK_LEVELS; i++)
+	for (i = level; i < ESTIMATE_LEVELS; i++)
 		load->levels[i].peak =
 			fmax(load->levels[i].peak, (double)open_up_to(load, i));
 }
@@ -116,7 +116,7 @@
  * all instances, this one's room by what it is asked for taken for that of all.
  */
 static double need_of_all(const struct load_limit *load, int level,
-			  const struct load_view *view)
+			  const struct peer_load *view)
 {
 	double own = asked_all(load);
 	double urgent = 0;
@@ -126,7 +126,7 @@
 
 	if (!view || !own || !load->served)
 		return 0;
-	for (i = 0; i < OUTLOOK_LEVELS; i++) {
+	for (i = 0; i < ESTIMATE_LEVELS; i++) {
 		double asked = load->levels[i].asked + view->asked[i];
 
 		all += asked;
@@ -138,7 +138,7 @@
 
 /* Work under way that more urgent requests than these have or will have. */
 static double need_of_more_urgent(const struct load_limit *load, int level,
-				  const struct load_view *view)
+				  const struct peer_load *view)
 {
 	double need;
 
@@ -158,7 +158,7 @@
 }
 
 static bool fits(const struct load_limit *load, int level,
-		 const struct load_view *view)
+		 const struct peer_load *view)
 {
 	double need = need_of_more_urgent(load, level, view);
 	int64_t above = level ? open_up_to(load, level - 1) : 0;
@@ -183,7 +183,7 @@
 	double all = 0;
 	int i;
 
-	for (i = 0; i < OUTLOOK_LEVELS; i++) {
+	for (i = 0; i < ESTIMATE_LEVELS; i++) {
 		all += load->levels[i].admitted;
 		rest += i >= level ? load->levels[i].admitted : 0;
 		if (i < level && is_recent(&load->levels[i], now) &&
@@ -194,18 +194,18 @@
 }
 
 bool load_limit_admit(struct load_limit *load, int level, int64_t cost,
-		      const struct load_view *view, int64_t now)
+		      const struct peer_load *view, int64_t now)
 {
 	fade(load, now);
 	if (load->limit && !fits(load, level, view) &&
 	    (!level || !is_owed_floor(load, level, now)))
 		return false;
-	load_limit_take(load, level, cost, now);
+	load_limit_admit_always(load, level, cost, now);
 	return true;
 }
 
-double load_limit_room(const struct load_limit *load, int level,
-		       const struct load_view *view, int64_t now)
+double load_limit_capacity(const struct load_limit *load, int level,
+			   const struct peer_load *view, int64_t now)
 {
 	double left = exp(-(double)(now - load->at) / (double)SPAN);
 	double own = asked_all(load);
@@ -215,22 +215,22 @@
 
 	for (i = 0; i < level; i++)
 		room -= load->levels[i].admitted;
-	for (i = 0; view && i < OUTLOOK_LEVELS; i++)
+	for (i = 0; view && i < ESTIMATE_LEVELS; i++)
 		all += view->asked[i];
 	room = fmax(room, load->served * FLOOR) * left;
 	return own > 0 ? room * all / own : room;
 }
 
-void load_limit_worked(struct load_limit *load, int64_t cost, int64_t now)
+void load_limit_count_served(struct load_limit *load, int64_t cost, int64_t now)
 {
 	fade(load, now);
 	load->served += per_second(cost);
 }
 
-int64_t load_limit_excess(const struct load_limit *load, int64_t now)
+int64_t load_limit_excess_time(const struct load_limit *load, int64_t now)
 {
 	double excess = (double)load->open - load->limit;
-	double room = load_limit_room(load, 0, NULL, now);
+	double room = load_limit_capacity(load, 0, NULL, now);
 	double wait;
 
 	if (!load->limit || excess <= 0 || room <= 0)
@@ -239,7 +239,7 @@
 	return wait < EXCESS_MOST ? (int64_t)wait : EXCESS_MOST;
 }
 
-void load_limit_served(struct load_limit *load, int64_t cost, double rise)
+void load_limit_raise(struct load_limit *load, int64_t cost, double rise)
 {
 	if (!load->limit)
 		return;
@@ -253,7 +253,7 @@
 	load->limit = fmax(limit, LIMIT_LEAST * load->unit);
 }
 
-bool load_limit_overloaded(struct load_limit *load, int64_t period, int64_t now)
+bool load_limit_lower(struct load_limit *load, int64_t period, int64_t now)
 {
 	double limit = load->limit;
 
@@ -266,13 +266,13 @@
 	return true;
 }
 
-bool load_limit_full(struct load_limit *load, int64_t now)
+bool load_limit_servers_full(struct load_limit *load, int64_t now)
 {
 	double limit = load->limit;
 	int n = 0;
 	int i;
 
-	for (i = 0; i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < ESTIMATE_LEVELS; i++)
 		n += is_recent(&load->levels[i], now);
 	if (n < 2 || (load->lowered_at && now - load->lowered_at < FULL_PERIOD))
 		return false;
@@ -283,7 +283,7 @@
 	return true;
 }
 
-bool load_limit_adopt(struct load_limit *load, const struct load_view *view,
+bool load_limit_adopt(struct load_limit *load, const struct peer_load *view,
 		      int64_t now)
 {
 	double limit;
@@ -298,7 +298,7 @@
 	return true;
 }
 
-void load_limit_end(struct load_limit *load, int level, int64_t cost)
+void load_limit_release(struct load_limit *load, int level, int64_t cost)
 {
 	load->open -= cost;
 	load->levels[level].open -= cost;
--- a/load_limit.h
+++ b/load_limit.h
@@ -48,49 +48,49 @@
 	double served;
 	int64_t at;
 	int64_t lowered_at;
-	struct load_level levels[OUTLOOK_LEVELS];
+	struct load_level levels[ESTIMATE_LEVELS];
 };
 
 /**
- * struct load_view - what other instances that take callers told lately
+ * struct peer_load - what other instances that take callers told lately
  * @n: that there are
  * @n_limited: of these, that have a limit which fell lately
  * @ratio: their limits by what they are asked for, the middle one; seconds
  * @limit: sum of their limits
  * @asked: work that callers ask of them, a second, by level
  */
-struct load_view {
+struct peer_load {
 	int n;
 	int n_limited;
 	double ratio;
 	double limit;
-	double asked[OUTLOOK_LEVELS];
+	double asked[ESTIMATE_LEVELS];
 };
 
 /**
- * load_limit_ask() - a request came
+ * load_limit_count_request() - a request came
  * @level: of urgency, 0 is the highest
  * @cost: its work
  */
-void load_limit_ask(struct load_limit *load, int level, int64_t cost,
-		    int64_t now);
+void load_limit_count_request(struct load_limit *load, int level, int64_t cost,
+			      int64_t now);
 
 /**
  * load_limit_admit() - decide about it
  * @view: may be NULL
  *
- * Return: whether it may be sent; then load_limit_end() follows once.
+ * Return: whether it may be sent; then load_limit_release() follows once.
  */
 bool load_limit_admit(struct load_limit *load, int level, int64_t cost,
-		      const struct load_view *view, int64_t now);
+		      const struct peer_load *view, int64_t now);
 
 /**
- * load_limit_take() - a request is sent whatever the limit is
+ * load_limit_admit_always() - a request is sent whatever the limit is
  *
- * load_limit_end() follows once.
+ * load_limit_release() follows once.
  */
-void load_limit_take(struct load_limit *load, int level, int64_t cost,
-		     int64_t now);
+void load_limit_admit_always(struct load_limit *load, int level, int64_t cost,
+			     int64_t now);
 
 /**
  * load_limit_is_most_urgent() - no more urgent request came lately
@@ -103,60 +103,60 @@
  *
  * Return: whether it fell.
  */
-bool load_limit_adopt(struct load_limit *load, const struct load_view *view,
+bool load_limit_adopt(struct load_limit *load, const struct peer_load *view,
 		      int64_t now);
 
 /**
- * load_limit_worked() - a request got its answer, in time or not
+ * load_limit_count_served() - a request got its answer, in time or not
  */
-void load_limit_worked(struct load_limit *load, int64_t cost, int64_t now);
+void load_limit_count_served(struct load_limit *load, int64_t cost,
+			     int64_t now);
 
 /**
- * load_limit_room() - work that all instances served lately
+ * load_limit_capacity() - work that all instances served lately
  * @level: without that of more urgent requests
  * @view: what is served there is to what is asked as it is here; may be NULL
  *
  * Return: a second; 0 if it is not known.
  */
-double load_limit_room(const struct load_limit *load, int level,
-		       const struct load_view *view, int64_t now);
+double load_limit_capacity(const struct load_limit *load, int level,
+			   const struct peer_load *view, int64_t now);
 
 /**
- * load_limit_excess() - until what is over the limit is worked off
+ * load_limit_excess_time() - until what is over the limit is worked off
  *
  * Return: microseconds.
  */
-int64_t load_limit_excess(const struct load_limit *load, int64_t now);
+int64_t load_limit_excess_time(const struct load_limit *load, int64_t now);
 
 /**
- * load_limit_served() - a request was answered in time
+ * load_limit_raise() - a request was answered in time
  * @rise: of the limit, in requests, for as many as it holds
  */
-void load_limit_served(struct load_limit *load, int64_t cost, double rise);
+void load_limit_raise(struct load_limit *load, int64_t cost, double rise);
 
 /**
- * load_limit_overloaded() - a request lacked many of its parts at its goal
+ * load_limit_lower() - a request lacked many of its parts at its goal
  * @period: the limit falls once in so long, microseconds: requests that were
  *	admitted before it fell are late all the same
  *
  * Return: whether it fell.
  */
-bool load_limit_overloaded(struct load_limit *load, int64_t period,
-			   int64_t now);
+bool load_limit_lower(struct load_limit *load, int64_t period, int64_t now);
 
 /**
- * load_limit_full() - servers had no room for a request, though they have for
- * those that are under way
+ * load_limit_servers_full() - servers had no room for a request, though they
+ * have for those that are under way
  *
  * With requests of one level nothing is gained by refusing them here.
  *
  * Return: whether the limit fell.
  */
-bool load_limit_full(struct load_limit *load, int64_t now);
+bool load_limit_servers_full(struct load_limit *load, int64_t now);
 
 /**
- * load_limit_end() - a request that was admitted is over
+ * load_limit_release() - a request that was admitted is over
  */
-void load_limit_end(struct load_limit *load, int level, int64_t cost);
+void load_limit_release(struct load_limit *load, int level, int64_t cost);
 
 #endif
--- a/load_share.c
+++ b/load_share.c
@@ -18,7 +18,7 @@
 
 void load_share_init(struct load_share *share, const struct clock *clock,
 		     const struct load_share_ops *ops, void *arg,
-		     struct return_book *book)
+		     struct return_schedule *book)
 {
 	memset(share, 0, sizeof(*share));
 	share->clock = clock;
@@ -27,8 +27,8 @@
 	share->book = book;
 }
 
-void load_share_limited(struct load_share *share, uint64_t service,
-			const struct load_limit *load)
+void load_share_add_limit(struct load_share *share, uint64_t service,
+			  const struct load_limit *load)
 {
 	int i;
 
@@ -36,17 +36,17 @@
 		if (share->limits[i].service == service)
 			return;
 	}
-	if (share->n_limits == LOAD_SHARE_SERVICES)
+	if (share->n_limits == LOAD_SHARE_SERVICES_MAX)
 		return;
 	share->limits[share->n_limits].service = service;
 	share->limits[share->n_limits++].load = load;
 	share->sent_at = 0;
 }
 
-void load_share_return(struct load_share *share,
-		       const struct return_entry *entry)
+void load_share_add_return(struct load_share *share,
+			   const struct scheduled_return *entry)
 {
-	if (share->n_returns == LOAD_SHARE_RETURNS)
+	if (share->n_returns == LOAD_SHARE_RETURNS_MAX)
 		load_share_tick(share);
 	if (!share->n_returns)
 		share->returned_at = clock_now(share->clock);
@@ -65,7 +65,7 @@
 /* One service in a message, and what it points to. */
 struct load_part {
 	Peer__ServiceLoad message;
-	uint32_t asked[OUTLOOK_LEVELS];
+	uint32_t asked[ESTIMATE_LEVELS];
 };
 
 static void fill_load(struct load_part *part, uint64_t service,
@@ -79,14 +79,14 @@
 	part->message.limit_us = to_u32(load->limit);
 	part->message.open_us = to_u32((double)load->open);
 	part->message.age_ms = to_u32((double)age / USEC_PER_MSEC);
-	for (i = 0; i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < ESTIMATE_LEVELS; i++)
 		part->asked[i] = to_u32(load->levels[i].asked);
-	part->message.n_asked_us = OUTLOOK_LEVELS;
+	part->message.n_asked_us = ESTIMATE_LEVELS;
 	part->message.asked_us = part->asked;
 }
 
-static void fill_return(Peer__Return *message, const struct return_entry *entry,
-			int64_t now)
+static void fill_return(Peer__Return *message,
+			const struct scheduled_return *entry, int64_t now)
 {
 	peer__return__init(message);
 	message->fingerprint = entry->fingerprint;
@@ -112,10 +112,10 @@
 
 static void tell(struct load_share *share, int64_t now)
 {
-	struct load_part loads[LOAD_SHARE_SERVICES];
-	Peer__ServiceLoad *load_list[LOAD_SHARE_SERVICES];
-	Peer__Return returns[LOAD_SHARE_RETURNS];
-	Peer__Return *return_list[LOAD_SHARE_RETURNS];
+	struct load_part loads[LOAD_SHARE_SERVICES_MAX];
+	Peer__ServiceLoad *load_list[LOAD_SHARE_SERVICES_MAX];
+	Peer__Return returns[LOAD_SHARE_RETURNS_MAX];
+	Peer__Return *return_list[LOAD_SHARE_RETURNS_MAX];
 	Peer__LoadShare message;
 	int i;
 
@@ -141,7 +141,7 @@
 	int64_t now = clock_now(share->clock);
 
 	if (load_share_due(share) > now &&
-	    share->n_returns < LOAD_SHARE_RETURNS)
+	    share->n_returns < LOAD_SHARE_RETURNS_MAX)
 		return;
 	drop_unlimited(share);
 	if (share->n_limits || share->n_returns)
@@ -175,14 +175,14 @@
 		if (share->peers[i].at < peer->at)
 			peer = &share->peers[i];
 	}
-	if (share->n_peers < LOAD_SHARE_PEERS)
+	if (share->n_peers < LOAD_SHARE_PEERS_MAX)
 		peer = &share->peers[share->n_peers++];
 	str_copy(peer->instance, sizeof(peer->instance), str_from(instance));
 	return peer;
 }
 
-static void read_load(struct load_told *told, const Peer__ServiceLoad *from,
-		      int64_t now)
+static void read_load(struct service_report *told,
+		      const Peer__ServiceLoad *from, int64_t now)
 {
 	size_t i;
 
@@ -190,28 +190,28 @@
 	told->service = from->service;
 	told->limit = from->limit_us;
 	told->fell_at = now - MSEC(from->age_ms);
-	for (i = 0; i < from->n_asked_us && i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < from->n_asked_us && i < ESTIMATE_LEVELS; i++)
 		told->asked[i] = from->asked_us[i];
 }
 
-static void read_return(struct return_book *book, const Peer__Return *from,
+static void read_return(struct return_schedule *book, const Peer__Return *from,
 			int64_t now)
 {
-	const struct return_entry entry = {
+	const struct scheduled_return entry = {
 		.fingerprint = from->fingerprint,
 		.service = from->service,
 		.due = now + MSEC(from->due_in_ms),
 		.cost = from->cost_us,
-		.level = server_outlook_level(from->level),
+		.level = server_estimate_level(from->level),
 		.kept = from->cost_us,
 		.taken = from->taken,
 	};
 
-	return_book_told(book, &entry);
+	return_schedule_receive(book, &entry);
 }
 
-void load_share_told(struct load_share *share, const char *instance,
-		     const Peer__LoadShare *message)
+void load_share_receive(struct load_share *share, const char *instance,
+			const Peer__LoadShare *message)
 {
 	int64_t now = clock_now(share->clock);
 	struct load_share_peer *peer = peer_of(share, instance);
@@ -219,19 +219,19 @@
 
 	peer->at = now;
 	peer->n = 0;
-	for (i = 0; i < message->n_services && i < LOAD_SHARE_SERVICES; i++)
+	for (i = 0; i < message->n_services && i < LOAD_SHARE_SERVICES_MAX; i++)
 		read_load(&peer->services[peer->n++], message->services[i],
 			  now);
-	for (i = 0; i < message->n_returns && i < LOAD_SHARE_RETURNS; i++)
+	for (i = 0; i < message->n_returns && i < LOAD_SHARE_RETURNS_MAX; i++)
 		read_return(share->book, message->returns[i], now);
 }
 
-static const struct load_told *told_by(const struct load_share_peer *peer,
-				       uint64_t service, int64_t now)
+static const struct service_report *told_by(const struct load_share_peer *peer,
+					    uint64_t service, int64_t now)
 {
 	int i;
 
-	if (now - peer->at > LOAD_SHARE_VALID)
+	if (now - peer->at > LOAD_SHARE_MAX_AGE)
 		return NULL;
 	for (i = 0; i < peer->n; i++) {
 		if (peer->services[i].service == service &&
@@ -249,25 +249,25 @@
 	return one < other ? -1 : one > other;
 }
 
-void load_share_look(const struct load_share *share, uint64_t service,
-		     struct load_view *out)
+void load_share_peer_load(const struct load_share *share, uint64_t service,
+			  struct peer_load *out)
 {
 	int64_t now = clock_now(share->clock);
-	double ratios[LOAD_SHARE_PEERS];
+	double ratios[LOAD_SHARE_PEERS_MAX];
 	int i;
 	int j;
 
 	memset(out, 0, sizeof(*out));
 	out->n = share->n_others;
 	for (i = 0; i < share->n_peers; i++) {
-		const struct load_told *told =
+		const struct service_report *told =
 			told_by(&share->peers[i], service, now);
 		double asked = 0;
 
 		if (!told)
 			continue;
 		out->limit += told->limit;
-		for (j = 0; j < OUTLOOK_LEVELS; j++) {
+		for (j = 0; j < ESTIMATE_LEVELS; j++) {
 			out->asked[j] += told->asked[j];
 			asked += told->asked[j];
 		}
@@ -281,9 +281,9 @@
 }
 
 void load_share_adopt(struct load_share *share, const char *service,
-		      struct load_limit *load, struct load_view *out)
+		      struct load_limit *load, struct peer_load *out)
 {
-	load_share_look(share, str_hash(str_from(service)), out);
+	load_share_peer_load(share, str_hash(str_from(service)), out);
 	if (load_limit_adopt(load, out, clock_now(share->clock)) &&
 	    share->ops->adopted)
 		share->ops->adopted(share->arg, service, load, out);
--- a/load_share.h
+++ b/load_share.h
@@ -4,7 +4,7 @@
  * all refuse the same kinds, and a caller that was promised room finds it at
  * any of them. Decides without sockets.
  *
- * What is older than LOAD_SHARE_VALID is not believed: an instance that hears
+ * What is older than LOAD_SHARE_MAX_AGE is not believed: an instance that hears
  * nothing goes by its own limits.
  */
 #ifndef LOAD_SHARE_H
@@ -19,12 +19,12 @@
 #include "peer.pb-c.h"
 #include "return_book.h"
 
-#define LOAD_SHARE_VALID MSEC(1000)
+#define LOAD_SHARE_MAX_AGE MSEC(1000)
 /* Others that are listened to. */
-#define LOAD_SHARE_PEERS 32
+#define LOAD_SHARE_PEERS_MAX 32
 /* Bounds of a message. */
-#define LOAD_SHARE_SERVICES 8
-#define LOAD_SHARE_RETURNS 64
+#define LOAD_SHARE_SERVICES_MAX 8
+#define LOAD_SHARE_RETURNS_MAX 64
 
 /**
  * struct load_share_ops - what the module wants done
@@ -35,24 +35,24 @@
 	void (*send)(void *arg, const Peer__LoadShare *message);
 	void (*adopted)(void *arg, const char *service,
 			const struct load_limit *load,
-			const struct load_view *view);
+			const struct peer_load *view);
 };
 
 /**
- * struct load_told - what one told of a service
+ * struct service_report - what one told of a service
  * @fell_at: its limit, last; microseconds
  */
-struct load_told {
+struct service_report {
 	uint64_t service;
 	double limit;
 	int64_t fell_at;
-	double asked[OUTLOOK_LEVELS];
+	double asked[ESTIMATE_LEVELS];
 };
 
 struct load_share_peer {
 	char instance[FLEET_NAME_SIZE];
 	int64_t at;
-	struct load_told services[LOAD_SHARE_SERVICES];
+	struct service_report services[LOAD_SHARE_SERVICES_MAX];
 	int n;
 };
 
@@ -67,16 +67,16 @@
 	const struct clock *clock;
 	const struct load_share_ops *ops;
 	void *arg;
-	struct return_book *book;
+	struct return_schedule *book;
 	int n_others;
-	struct load_share_peer peers[LOAD_SHARE_PEERS];
+	struct load_share_peer peers[LOAD_SHARE_PEERS_MAX];
 	int n_peers;
 	struct {
 		uint64_t service;
 		const struct load_limit *load;
-	} limits[LOAD_SHARE_SERVICES];
+	} limits[LOAD_SHARE_SERVICES_MAX];
 	int n_limits;
-	struct return_entry returns[LOAD_SHARE_RETURNS];
+	struct scheduled_return returns[LOAD_SHARE_RETURNS_MAX];
 	int n_returns;
 	int64_t sent_at;
 	int64_t returned_at;
@@ -84,40 +84,40 @@
 
 void load_share_init(struct load_share *share, const struct clock *clock,
 		     const struct load_share_ops *ops, void *arg,
-		     struct return_book *book);
+		     struct return_schedule *book);
 
 /**
- * load_share_limited() - a service of this instance has a limit
+ * load_share_add_limit() - a service of this instance has a limit
  * @load: outlives the module
  */
-void load_share_limited(struct load_share *share, uint64_t service,
-			const struct load_limit *load);
+void load_share_add_limit(struct load_share *share, uint64_t service,
+			  const struct load_limit *load);
 
 /**
- * load_share_return() - tell a promise that was given or used here
+ * load_share_add_return() - tell a promise that was given or used here
  */
-void load_share_return(struct load_share *share,
-		       const struct return_entry *entry);
+void load_share_add_return(struct load_share *share,
+			   const struct scheduled_return *entry);
 
 /**
- * load_share_told() - another instance told of its limits and promises
+ * load_share_receive() - another instance told of its limits and promises
  */
-void load_share_told(struct load_share *share, const char *instance,
-		     const Peer__LoadShare *message);
+void load_share_receive(struct load_share *share, const char *instance,
+			const Peer__LoadShare *message);
 
 /**
- * load_share_look() - what is believed of the others
+ * load_share_peer_load() - what is believed of the others
  * @out: set
  */
-void load_share_look(const struct load_share *share, uint64_t service,
-		     struct load_view *out);
+void load_share_peer_load(const struct load_share *share, uint64_t service,
+			  struct peer_load *out);
 
 /**
  * load_share_adopt() - take the limit that most others have, if there is one
- * @out: set as by load_share_look()
+ * @out: set as by load_share_peer_load()
  */
 void load_share_adopt(struct load_share *share, const char *service,
-		      struct load_limit *load, struct load_view *out);
+		      struct load_limit *load, struct peer_load *out);
 
 /**
  * load_share_tick() - tell what is due
--- a/outage.c
+++ b/outage.c
@@ -107,8 +107,8 @@
 	check->wanted_until = now + WANTED_FOR;
 }
 
-bool outage_hits(struct outage *outage, const struct registry_service *service,
-		 int64_t *since)
+bool outage_affects(struct outage *outage,
+		    const struct registry_service *service, int64_t *since)
 {
 	bool hit = true;
 	int i;
@@ -129,14 +129,14 @@
 	return hit;
 }
 
-void outage_checked(struct outage *outage, struct outage_server *check,
-		    bool listens)
+void outage_check_done(struct outage *outage, struct outage_server *check,
+		       bool listens)
 {
 	int64_t now = clock_now(outage->clock);
 
 	check->open--;
 	if (listens) {
-		server_score_reached(&check->server->score);
+		server_score_reconnected(&check->server->score);
 		check->next_at = now;
 	} else if (check->server->score.unreachable) {
 		server_score_unreachable(&check->server->score, now);
--- a/outage.h
+++ b/outage.h
@@ -25,7 +25,7 @@
 /**
  * struct outage_ops - what the module wants done
  * @check: find out whether anybody listens at a server's address, and call
- *	outage_checked() with @check, now or later
+ *	outage_check_done() with @check, now or later
  * @changed: a server is taken for lost, or not any more, for the log; may be
  *	NULL
  */
@@ -52,20 +52,20 @@
 void outage_finish(struct outage *outage);
 
 /**
- * outage_hits() - whether no server of a service can be reached
+ * outage_affects() - whether no server of a service can be reached
  * @since: since when, if so, microseconds
  *
  * Those of its servers that a connection was not made to are checked from now
  * on, for as long as requests ask for the service.
  */
-bool outage_hits(struct outage *outage, const struct registry_service *service,
-		 int64_t *since);
+bool outage_affects(struct outage *outage,
+		    const struct registry_service *service, int64_t *since);
 
 /**
- * outage_checked() - a check ended
+ * outage_check_done() - a check ended
  */
-void outage_checked(struct outage *outage, struct outage_server *check,
-		    bool listens);
+void outage_check_done(struct outage *outage, struct outage_server *check,
+		       bool listens);
 
 /**
  * outage_tick() - time passed; starts the checks that are due
@@ -74,7 +74,7 @@
 
 /**
  * outage_due() - when to call outage_tick() at the latest, microseconds;
- * INT64_MAX: only after outage_hits()
+ * INT64_MAX: only after outage_affects()
  */
 int64_t outage_due(const struct outage *outage);
 
--- a/policy.c
+++ b/policy.c
@@ -64,7 +64,8 @@
 	return observe_service(&policy->observe, str_from(service->name));
 }
 
-void policy_needed(struct policy *policy, const struct service *service, int n)
+void policy_count_needed(struct policy *policy, const struct service *service,
+			 int n)
 {
 	struct observe_service *seen = seen_of(policy, service);
 	struct budget_limit hedges = hedge_limit(policy, service);
@@ -73,19 +74,19 @@
 
 	if (!seen)
 		return;
-	budget_need(&seen->hedges, &hedges, n, now);
-	budget_need(&seen->retries, &retries, n, now);
+	budget_count_needed(&seen->hedges, &hedges, n, now);
+	budget_count_needed(&seen->retries, &retries, n, now);
 }
 
-void policy_sent(struct policy *policy, struct observe_server *server,
-		 uint64_t instance)
+void policy_request_sent(struct policy *policy, struct observe_server *server,
+			 uint64_t instance)
 {
 	observe_sent(&policy->observe, server, instance);
 }
 
-void policy_done(struct policy *policy, struct observe_server *server,
-		 uint64_t instance, bool was_late,
-		 const struct observe_result *result)
+void policy_request_done(struct policy *policy, struct observe_server *server,
+			 uint64_t instance, bool was_late,
+			 const struct observe_result *result)
 {
 	observe_done(&policy->observe, server, instance, was_late, result);
 	replica_review(&policy->observe, server,
@@ -93,7 +94,8 @@
 		       result->elapsed_us);
 }
 
-void policy_unsent(struct policy *policy, const struct service *service)
+void policy_hedge_cancelled(struct policy *policy,
+			    const struct service *service)
 {
 	struct observe_service *seen = seen_of(policy, service);
 
@@ -101,8 +103,8 @@
 		budget_refund(&seen->hedges);
 }
 
-void policy_searched(struct policy *policy, const struct service *service,
-		     int64_t elapsed_us)
+void policy_search_done(struct policy *policy, const struct service *service,
+			int64_t elapsed_us)
 {
 	struct observe_service *seen = seen_of(policy, service);
 
--- a/policy.h
+++ b/policy.h
@@ -94,38 +94,40 @@
 void policy_set_table(struct policy *policy, const struct table *table);
 
 /**
- * policy_needed() - a search begins, with that many requests to servers
+ * policy_count_needed() - a search begins, with that many requests to servers
  *
  * Budgets of extra requests are filled by these alone.
  */
-void policy_needed(struct policy *policy, const struct service *service, int n);
+void policy_count_needed(struct policy *policy, const struct service *service,
+			 int n);
 
 /**
- * policy_sent() - a request goes out to a server
+ * policy_request_sent() - a request goes out to a server
  * @instance: hash of the home's name
  */
-void policy_sent(struct policy *policy, struct observe_server *server,
-		 uint64_t instance);
+void policy_request_sent(struct policy *policy, struct observe_server *server,
+			 uint64_t instance);
 
 /**
- * policy_done() - it is over; every policy_sent() needs one
+ * policy_request_done() - it is over; every policy_request_sent() needs one
  * @was_late: observe_late() was called for it
  */
-void policy_done(struct policy *policy, struct observe_server *server,
-		 uint64_t instance, bool was_late,
-		 const struct observe_result *result);
+void policy_request_done(struct policy *policy, struct observe_server *server,
+			 uint64_t instance, bool was_late,
+			 const struct observe_result *result);
 
 /**
- * policy_unsent() - a hedge was cancelled before any server was asked
+ * policy_hedge_cancelled() - a hedge was cancelled before any server was asked
  */
-void policy_unsent(struct policy *policy, const struct service *service);
+void policy_hedge_cancelled(struct policy *policy,
+			    const struct service *service);
 
 /**
- * policy_searched() - a search reached full coverage, or was late
+ * policy_search_done() - a search reached full coverage, or was late
  *
  * Not to be called for one that failed at once: failures are no speed.
  */
-void policy_searched(struct policy *policy, const struct service *service,
-		     int64_t elapsed_us);
+void policy_search_done(struct policy *policy, const struct service *service,
+			int64_t elapsed_us);
 
 #endif
--- a/return_book.c
+++ b/return_book.c
@@ -18,36 +18,37 @@
 #define KEPT_FOR MSEC(500)
 #define SWEEP_PERIOD MSEC(200)
 
-void return_book_init(struct return_book *book, const struct clock *clock)
+void return_schedule_init(struct return_schedule *book,
+			  const struct clock *clock)
 {
 	memset(book, 0, sizeof(*book));
 	book->clock = clock;
 }
 
-static void forget(struct return_book *book, struct return_entry *entry)
+static void forget(struct return_schedule *book, struct scheduled_return *entry)
 {
 	HASH_DEL(book->entries, entry);
 	free(entry);
 }
 
-void return_book_finish(struct return_book *book)
+void return_schedule_finish(struct return_schedule *book)
 {
-	struct return_entry *entry;
-	struct return_entry *next;
+	struct scheduled_return *entry;
+	struct scheduled_return *next;
 
 	HASH_ITER (hh, book->entries, entry, next)
 		forget(book, entry);
 }
 
-static bool is_over(const struct return_entry *entry, int64_t now)
+static bool is_over(const struct scheduled_return *entry, int64_t now)
 {
 	return now > entry->due + KEPT_FOR;
 }
 
-static void sweep(struct return_book *book, int64_t now)
+static void sweep(struct return_schedule *book, int64_t now)
 {
-	struct return_entry *entry;
-	struct return_entry *next;
+	struct scheduled_return *entry;
+	struct scheduled_return *next;
 
 	if (now - book->swept_at < SWEEP_PERIOD)
 		return;
@@ -58,9 +59,9 @@
 	}
 }
 
-static struct return_line *oldest_line(struct return_book *book)
+static struct return_queue *oldest_line(struct return_schedule *book)
 {
-	struct return_line *oldest = &book->lines[0];
+	struct return_queue *oldest = &book->lines[0];
 	int i;
 
 	for (i = 1; i < book->n_lines; i++) {
@@ -70,10 +71,10 @@
 	return oldest;
 }
 
-static struct return_line *line_of(struct return_book *book, uint64_t service,
-				   int64_t now)
+static struct return_queue *line_of(struct return_schedule *book,
+				    uint64_t service, int64_t now)
 {
-	struct return_line *line = NULL;
+	struct return_queue *line = NULL;
 	int i;
 
 	for (i = 0; i < book->n_lines && !line; i++) {
@@ -81,7 +82,7 @@
 			line = &book->lines[i];
 	}
 	if (!line) {
-		line = book->n_lines < RETURN_LINES_MOST
+		line = book->n_lines < RETURN_QUEUES_MAX
 			       ? &book->lines[book->n_lines++]
 			       : oldest_line(book);
 		memset(line, 0, sizeof(*line));
@@ -92,12 +93,12 @@
 }
 
 /* The less urgent come after it; promises they have already are kept. */
-static void book_room(struct return_line *line, int level, int64_t cost,
+static void book_room(struct return_queue *line, int level, int64_t cost,
 		      int64_t now)
 {
 	int i;
 
-	for (i = level; i < OUTLOOK_LEVELS; i++) {
+	for (i = level; i < ESTIMATE_LEVELS; i++) {
 		if (!line->room[i])
 			continue;
 		if (line->free_at[i] < now)
@@ -107,16 +108,16 @@
 	}
 }
 
-static struct return_entry *put(struct return_book *book,
-				const struct return_entry *from)
+static struct scheduled_return *put(struct return_schedule *book,
+				    const struct scheduled_return *from)
 {
-	struct return_entry *entry;
+	struct scheduled_return *entry;
 
 	HASH_FIND(hh, book->entries, &from->fingerprint,
 		  sizeof(from->fingerprint), entry);
 	if (entry)
 		forget(book, entry);
-	if (HASH_COUNT(book->entries) >= RETURN_BOOK_MOST)
+	if (HASH_COUNT(book->entries) >= RETURN_SCHEDULE_MAX)
 		return NULL;
 	entry = mem_zalloc(sizeof(*entry));
 	*entry = *from;
@@ -126,8 +127,8 @@
 }
 
 /* Until the room that this request needs is not promised to others. */
-static int64_t wait_for_room(const struct return_line *line,
-			     const struct return_ask *ask, int64_t now)
+static int64_t wait_for_room(const struct return_queue *line,
+			     const struct return_request *ask, int64_t now)
 {
 	double room = line->room[ask->level];
 	int64_t start = now + ask->room_in;
@@ -143,12 +144,12 @@
 	return wait < WAIT_MOST ? wait : WAIT_MOST;
 }
 
-int64_t return_book_offer(struct return_book *book,
-			  const struct return_ask *ask,
-			  struct return_entry *out)
+int64_t return_schedule_offer(struct return_schedule *book,
+			      const struct return_request *ask,
+			      struct scheduled_return *out)
 {
 	int64_t now = clock_now(book->clock);
-	struct return_line *line = line_of(book, ask->service, now);
+	struct return_queue *line = line_of(book, ask->service, now);
 	int64_t wait;
 
 	sweep(book, now);
@@ -168,10 +169,10 @@
 	return wait;
 }
 
-const struct return_entry *return_book_find(struct return_book *book,
-					    uint64_t fingerprint)
+const struct scheduled_return *
+return_schedule_find(struct return_schedule *book, uint64_t fingerprint)
 {
-	struct return_entry *entry;
+	struct scheduled_return *entry;
 
 	HASH_FIND(hh, book->entries, &fingerprint, sizeof(fingerprint), entry);
 	if (!entry || is_over(entry, clock_now(book->clock)))
@@ -179,8 +180,8 @@
 	return entry;
 }
 
-enum return_state return_book_arrive(const struct return_book *book,
-				     const struct return_entry *entry)
+enum return_state return_schedule_check(const struct return_schedule *book,
+					const struct scheduled_return *entry)
 {
 	if (!entry)
 		return RETURN_NONE;
@@ -189,23 +190,23 @@
 	return entry->kept ? RETURN_DUE : RETURN_NONE;
 }
 
-void return_book_drop(struct return_book *book, uint64_t fingerprint)
+void return_schedule_remove(struct return_schedule *book, uint64_t fingerprint)
 {
-	struct return_entry *entry;
+	struct scheduled_return *entry;
 
 	HASH_FIND(hh, book->entries, &fingerprint, sizeof(fingerprint), entry);
 	if (entry)
 		forget(book, entry);
 }
 
-void return_book_told(struct return_book *book,
-		      const struct return_entry *entry)
+void return_schedule_receive(struct return_schedule *book,
+			     const struct scheduled_return *entry)
 {
 	int64_t now = clock_now(book->clock);
 
 	sweep(book, now);
 	if (entry->taken) {
-		return_book_drop(book, entry->fingerprint);
+		return_schedule_remove(book, entry->fingerprint);
 		return;
 	}
 	if (is_over(entry, now) || entry->due > now + WAIT_MOST)
--- a/return_book.h
+++ b/return_book.h
@@ -5,8 +5,8 @@
  * callers that are refused again and again, and those that repeat at once:
  * these gain nothing. Decides without sockets.
  */
-#ifndef RETURN_BOOK_H
-#define RETURN_BOOK_H
+#ifndef RETURN_SCHEDULE_H
+#define RETURN_SCHEDULE_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -17,12 +17,12 @@
 #include "server_outlook.h"
 
 /* Callers that are remembered at a time. */
-#define RETURN_BOOK_MOST 2048
+#define RETURN_SCHEDULE_MAX 2048
 /* Services whose promises are counted. */
-#define RETURN_LINES_MOST 64
+#define RETURN_QUEUES_MAX 64
 
 /**
- * struct return_entry - a request that was refused
+ * struct scheduled_return - a request that was refused
  * @fingerprint: the same when it comes again
  * @service: hash of the name of the one that is short
  * @due: before that it is refused again, microseconds
@@ -30,7 +30,7 @@
  * @kept: there is room for it from then on
  * @taken: for other instances: it came back
  */
-struct return_entry {
+struct scheduled_return {
 	uint64_t fingerprint;
 	uint64_t service;
 	int64_t due;
@@ -42,32 +42,32 @@
 };
 
 /**
- * struct return_line - promises of a service
+ * struct return_queue - promises of a service
  * @free_at: by level: from when on room is not promised
  * @room: by level: work a second that is promised at most; 0: not known
  */
-struct return_line {
+struct return_queue {
 	uint64_t service;
-	double room[OUTLOOK_LEVELS];
-	int64_t free_at[OUTLOOK_LEVELS];
+	double room[ESTIMATE_LEVELS];
+	int64_t free_at[ESTIMATE_LEVELS];
 	int64_t used_at;
 };
 
-struct return_book {
+struct return_schedule {
 	const struct clock *clock;
-	struct return_entry *entries;
-	struct return_line lines[RETURN_LINES_MOST];
+	struct scheduled_return *entries;
+	struct return_queue lines[RETURN_QUEUES_MAX];
 	int n_lines;
 	int64_t swept_at;
 };
 
 /**
- * struct return_ask - a request that is refused for load
+ * struct return_request - a request that is refused for load
  * @room: work a second that all instances serve of the service; 0: not known
  * @room_in: there is none before, microseconds; 0: not known
  * @patience: the caller waits so long at most, microseconds
  */
-struct return_ask {
+struct return_request {
 	uint64_t fingerprint;
 	uint64_t service;
 	int level;
@@ -83,45 +83,48 @@
 	RETURN_DUE,   /* there is room for it */
 };
 
-void return_book_init(struct return_book *book, const struct clock *clock);
-void return_book_finish(struct return_book *book);
+void return_schedule_init(struct return_schedule *book,
+			  const struct clock *clock);
+void return_schedule_finish(struct return_schedule *book);
 
 /**
- * return_book_offer() - when a refused request may come back
+ * return_schedule_offer() - when a refused request may come back
  * @out: set; @out->kept says whether it is a promise
  *
  * A caller that will not wait so long is promised nothing.
  *
  * Return: after how many microseconds there is room.
  */
-int64_t return_book_offer(struct return_book *book,
-			  const struct return_ask *ask,
-			  struct return_entry *out);
+int64_t return_schedule_offer(struct return_schedule *book,
+			      const struct return_request *ask,
+			      struct scheduled_return *out);
 
 /**
- * return_book_find() - what is known of a request that came
+ * return_schedule_find() - what is known of a request that came
  *
  * Return: NULL if nothing, or it came too late.
  */
-const struct return_entry *return_book_find(struct return_book *book,
-					    uint64_t fingerprint);
+const struct scheduled_return *
+return_schedule_find(struct return_schedule *book, uint64_t fingerprint);
 
 /**
- * return_book_arrive() - whether it comes at its time
+ * return_schedule_check() - whether it comes at its time
  * @entry: may be NULL
  */
-enum return_state return_book_arrive(const struct return_book *book,
-				     const struct return_entry *entry);
+enum return_state return_schedule_check(const struct return_schedule *book,
+					const struct scheduled_return *entry);
 
 /**
- * return_book_drop() - the request is let in, or needs no promise any more
+ * return_schedule_remove() - the request is let in, or needs no promise any
+ * more
  */
-void return_book_drop(struct return_book *book, uint64_t fingerprint);
+void return_schedule_remove(struct return_schedule *book, uint64_t fingerprint);
 
 /**
- * return_book_told() - another instance gave a promise, or it was used there
+ * return_schedule_receive() - another instance gave a promise, or it was used
+ * there
  */
-void return_book_told(struct return_book *book,
-		      const struct return_entry *entry);
+void return_schedule_receive(struct return_schedule *book,
+			     const struct scheduled_return *entry);
 
 #endif
--- a/run_net.c
+++ b/run_net.c
@@ -346,7 +346,7 @@
 					  struct str name)
 {
 	const struct table *table = net->board->table;
-	int row = table ? table_service(table, name) : ERR_NO_SERVICE;
+	int row = table ? table_find_service(table, name) : ERR_NO_SERVICE;
 
 	return row < 0 ? NULL : &table->services[row];
 }
--- a/search.c
+++ b/search.c
@@ -136,8 +136,8 @@
 	bool whole = search->n_answered == search->map->n_shards;
 
 	if (service && (whole || search_now(search) >= search->answer_at))
-		policy_searched(&search->searches->policy, service,
-				search_now(search) - search->started_at);
+		policy_search_done(&search->searches->policy, service,
+				   search_now(search) - search->started_at);
 }
 
 static void conclude(struct search *search)
@@ -222,7 +222,7 @@
 {
 	const struct catalog_placement *best =
 		catalog_best_placement(search_catalog(search),
-			     str_from(search->request.service));
+				       str_from(search->request.service));
 	double ratio;
 
 	if (!best || best->map == search->map || !best->map->total)
@@ -332,7 +332,8 @@
 
 	if (!board->table)
 		return ERR_NOT_RUN;
-	row = table_service(board->table, str_from(search->request.service));
+	row = table_find_service(board->table,
+				 str_from(search->request.service));
 	if (row < 0)
 		return error_set(&search->error, ERR_NO_SERVICE, "service",
 				 search->request.service,
--- a/search_part.c
+++ b/search_part.c
@@ -11,8 +11,8 @@
 	search_trace_back(search, (int)(part - search->parts), result);
 	if (!part->seen)
 		return;
-	policy_done(&search->searches->policy, part->seen, part->home->hash,
-		    part->is_late, result);
+	policy_request_done(&search->searches->policy, part->seen,
+			    part->home->hash, part->is_late, result);
 	part->seen = NULL;
 }
 
--- a/search_result.c
+++ b/search_result.c
@@ -153,7 +153,7 @@
 
 	if (part->is_hedge && part->is_cancelled && !result->sent &&
 	    result->code == ERR_CANCELLED && service)
-		policy_unsent(&search->searches->policy, service);
+		policy_hedge_cancelled(&search->searches->policy, service);
 	part->is_cancelled = false;
 }
 
--- a/search_round.c
+++ b/search_round.c
@@ -141,7 +141,7 @@
 		observe_server(&policy->observe, str_from(part->server->name));
 	if (!part->seen)
 		return;
-	policy_sent(policy, part->seen, part->home->hash);
+	policy_request_sent(policy, part->seen, part->home->hash);
 	asked.server = part->seen;
 	part->hedge_after =
 		policy->ops->hedge_delay(policy, round->service, &asked,
@@ -254,8 +254,8 @@
 	if (!n_new)
 		return;
 	if (round->hedged < 0 && round->service)
-		policy_needed(&search->searches->policy, round->service,
-			      count_first(round));
+		policy_count_needed(&search->searches->policy, round->service,
+				    count_first(round));
 	search_round_wire_id(search, search->n_rounds, round->wire_id);
 	search->n_rounds++;
 	send_round(round);
@@ -268,7 +268,8 @@
 
 	memset(round, 0, sizeof(*round));
 	round->search = search;
-	round->placement = catalog_find_placement(search_catalog(search), search->map);
+	round->placement =
+		catalog_find_placement(search_catalog(search), search->map);
 	round->service = search_service(search);
 	round->id = searches->next_id++;
 	round->first_part = search->n_parts;
--- a/search_trace.c
+++ b/search_trace.c
@@ -55,7 +55,8 @@
 
 		if (search->shards[i].state != SEARCH_SHARD_ANSWERED)
 			trace_summary_miss(summary, search->shards[i].code,
-					   shard->lo, shard->hi, shard->n_records);
+					   shard->lo, shard->hi,
+					   shard->n_records);
 	}
 }
 
@@ -199,7 +200,7 @@
 
 	if (!table)
 		return NULL;
-	row = table_service(table, str_from(search->request.service));
+	row = table_find_service(table, str_from(search->request.service));
 	return row < 0 ? NULL : &table->services[row];
 }
 
--- a/store_sync.c
+++ b/store_sync.c
@@ -124,7 +124,7 @@
 	if (feed->topic == STORE_SERVERS)
 		apply_server(sync, item, feed->listing);
 	else if (item->kind == STORE_ITEM_CORDON)
-		cordon_sync_item(&sync->cordons, item);
+		cordon_sync_apply_item(&sync->cordons, item);
 	else if (item->kind == STORE_ITEM_PLAIN && !item->removed)
 		store_sync_apply_routes(sync, item->value, "store");
 }
@@ -197,7 +197,7 @@
 	struct store_feed *feed = &sync->feeds[STORE_SERVERS];
 
 	if (feed->fresh_at >= 0)
-		server_view_returned(&sync->servers);
+		server_view_store_returned(&sync->servers);
 	server_view_end_list(&sync->servers, at);
 }
 
@@ -281,7 +281,7 @@
 		LOG_INFO("store_regained", LOG_I64("topic", feed->topic),
 			 LOG_I64("failures", feed->failures));
 	if (was_failing || is_view_outdated(sync))
-		server_view_returned(&sync->servers);
+		server_view_store_returned(&sync->servers);
 }
 
 static void call_failed(struct store_sync *sync, struct store_feed *feed,
@@ -393,7 +393,7 @@
 				  .after = feed->revision};
 
 	if (feed->topic == STORE_ROUTES &&
-	    cordon_sync_wants_list(&sync->cordons))
+	    cordon_sync_needs_list(&sync->cordons))
 		feed->listed = false;
 	if (!feed->listed && !feed->listing)
 		start_list(sync, feed);
--- a/table_sync.c
+++ b/table_sync.c
@@ -68,7 +68,9 @@
 	reader_set_starting(&sync->reader, false);
 	LOG_INFO("table_start_over",
 		 LOG_U64("revision", table_sync_revision(sync)),
-		 LOG_TEXT("state", table_doubt_names[table_sync_doubt(sync)]),
+		 LOG_TEXT("state",
+			  table_confirmation_names[table_sync_confirmation(
+				  sync)]),
 		 LOG_I64("peers_heard", sync->n_heard));
 }
 
@@ -101,7 +103,8 @@
 	watch->after = table_sync_revision(sync);
 	if (sync->platform_refused > watch->after)
 		watch->after = sync->platform_refused;
-	sync->reader.revision_unseen = sync->platform_shown < table_sync_revision(sync);
+	sync->reader.revision_unseen =
+		sync->platform_shown < table_sync_revision(sync);
 	while (reader_next(&sync->reader, &call)) {
 		sync->counts.calls++;
 		sync->ops->call(sync->ctx, &call);
--- a/tests/fake_fleet.c
+++ b/tests/fake_fleet.c
@@ -238,8 +238,8 @@
 	job->delay = fleet->policy.ops->hedge_delay(
 		&fleet->policy, service_of(fleet), &replicas[replica], replicas,
 		fleet->config.replicas, state->attempts > 1);
-	policy_sent(&fleet->policy, fleet->servers[job->server].seen,
-		    FAKE_HOME);
+	policy_request_sent(&fleet->policy, fleet->servers[job->server].seen,
+			    FAKE_HOME);
 	if (job->delay != INT64_MAX)
 		push(fleet, job->sent_at + job->delay, EVENT_HEDGE, index, 0);
 	receive(fleet, index);
@@ -252,7 +252,7 @@
 	search->over = true;
 	if (search->covered == fleet->config.groups ||
 	    now_of(fleet) >= search->deadline)
-		policy_searched(&fleet->policy, service_of(fleet), elapsed);
+		policy_search_done(&fleet->policy, service_of(fleet), elapsed);
 	MEM_GROW(fleet->latencies, fleet->n_latencies, fleet->cap_latencies);
 	fleet->latencies[fleet->n_latencies++] = elapsed;
 	fleet->coverage += (double)search->covered / fleet->config.groups;
@@ -337,8 +337,8 @@
 	job->alive = false;
 	state->in_flight--;
 	state->flying &= ~(1u << job->server % fleet->config.replicas);
-	policy_done(&fleet->policy, server->seen, FAKE_HOME, job->late,
-		    &result);
+	policy_request_done(&fleet->policy, server->seen, FAKE_HOME, job->late,
+			    &result);
 	release_slot(fleet, job);
 }
 
@@ -487,7 +487,8 @@
 	search->groups = mem_zalloc((size_t)fleet->config.groups *
 				    sizeof(*search->groups));
 	fleet->needed += (uint64_t)fleet->config.groups;
-	policy_needed(&fleet->policy, service_of(fleet), fleet->config.groups);
+	policy_count_needed(&fleet->policy, service_of(fleet),
+			    fleet->config.groups);
 	push(fleet, search->deadline, EVENT_DEADLINE, index, 0);
 	for (i = 0; i < fleet->config.groups; i++)
 		ask(fleet, index, i, false);
--- a/tests/retry_fleet.c
+++ b/tests/retry_fleet.c
@@ -126,7 +126,7 @@
 	if (!instance->has_budget)
 		budget_init(&instance->budget, limit, fleet->now);
 	instance->has_budget = true;
-	budget_need(&instance->budget, limit, 1, fleet->now);
+	budget_count_needed(&instance->budget, limit, 1, fleet->now);
 	MEM_GROW(fleet->needed, fleet->n_needed, fleet->cap_needed);
 	fleet->needed[fleet->n_needed++] = fleet->now;
 	if (rng_unit(&fleet->rng) >= fleet->refuse_ratio)
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -323,14 +323,14 @@
 	setup(&f, 1000);
 	for (i = 0; i < 400; i++) {
 		clock_advance(&f.clock, MSEC(10));
-		admission_lag(&f.admission, MSEC(100));
+		admission_add_lag(&f.admission, MSEC(100));
 	}
 	CU_ASSERT(f.admission.whole.limit < 10);
 	f.admission.whole.full = true;
 	for (i = 0; i < 4000; i++) {
 		clock_advance(&f.clock, MSEC(10));
 		f.admission.whole.full = true;
-		admission_lag(&f.admission, 0);
+		admission_add_lag(&f.admission, 0);
 	}
 	CU_ASSERT_EQUAL(f.admission.whole.limit, 1000);
 	admission_finish(&f.admission);
@@ -565,7 +565,7 @@
 			continue;
 		DL_DELETE(pool->running, job);
 		pool->busy--;
-		slot_queue_served(&pool->queue, job->served);
+		slot_queue_record_time(&pool->queue, job->served);
 		leave_entry(model, job, sample);
 		end_job(model, job, true);
 	}
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -34,7 +34,7 @@
 	budget_init(&budget, &limit, now);
 	for (i = 0; i < 10000; i++) {
 		now += 1000;
-		budget_need(&budget, &limit, 10, now);
+		budget_count_needed(&budget, &limit, 10, now);
 		taken += take_all(&budget, now);
 	}
 	CU_ASSERT(taken <= 10000 + 5);
@@ -55,10 +55,10 @@
 
 	budget_init(&budget, &limit, now);
 	for (i = 0; i < 1000; i++)
-		budget_need(&budget, &limit, 100, now += 1000);
+		budget_count_needed(&budget, &limit, 100, now += 1000);
 	now += 3600LL * SECOND;
 	CU_ASSERT_EQUAL(take_all(&budget, now), 5);
-	budget_need(&budget, &limit, 10, now);
+	budget_count_needed(&budget, &limit, 10, now);
 	CU_ASSERT_EQUAL(take_all(&budget, now), 1);
 }
 
@@ -71,7 +71,7 @@
 
 	budget_init(&budget, &limit, now);
 	for (i = 0; i < 1000; i++)
-		budget_need(&budget, &limit, 10, now += 1000);
+		budget_count_needed(&budget, &limit, 10, now += 1000);
 	/* 10,000 a second within a window of 0.2 s: 200 tokens. */
 	CU_ASSERT(take_all(&budget, now) <= 5 + 200);
 }
@@ -106,7 +106,7 @@
 	budget_init(&budget, &small, now);
 	for (i = 0; i < 100; i++) {
 		now += SECOND / 10;
-		budget_need(&budget, &small, 1, now);
+		budget_count_needed(&budget, &small, 1, now);
 		if (i % 2)
 			n += budget_take(&budget, &small, 10, now);
 	}
@@ -124,7 +124,7 @@
 	struct budget budget;
 
 	budget_init(&budget, &none, SECOND);
-	budget_need(&budget, &none, 1000, SECOND);
+	budget_count_needed(&budget, &none, 1000, SECOND);
 	CU_ASSERT_FALSE(budget_take(&budget, &none, 1, SECOND));
 }
 
@@ -135,7 +135,7 @@
 
 	budget_init(&budget, &decaying, SECOND);
 	CU_ASSERT_FALSE(budget_take(&budget, &decaying, 1, SECOND));
-	budget_need(&budget, &decaying, 10, SECOND);
+	budget_count_needed(&budget, &decaying, 10, SECOND);
 	CU_ASSERT(budget_take(&budget, &decaying, 1, SECOND));
 	CU_ASSERT_FALSE(budget_take(&budget, &decaying, 1, SECOND));
 }
@@ -150,13 +150,13 @@
 
 	budget_init(&budget, &decaying, now);
 	for (i = 0; i < 1000; i++)
-		budget_need(&budget, &decaying, 1, now += 10000);
+		budget_count_needed(&budget, &decaying, 1, now += 10000);
 	for (n = 0; budget_take(&budget, &decaying, 1, now); n++)
 		;
 	/* 100 requests a second at a ratio of 0.1, over about 2 s. */
 	CU_ASSERT(n >= 15 && n <= 20);
 	for (i = 0; i < 1000; i++)
-		budget_need(&budget, &decaying, 1, now += 10000);
+		budget_count_needed(&budget, &decaying, 1, now += 10000);
 	now += 20 * SECOND;
 	CU_ASSERT(budget_take(&budget, &decaying, 1, now));
 	CU_ASSERT_FALSE(budget_take(&budget, &decaying, 1, now));
@@ -178,7 +178,7 @@
 	budget_init(&budget, &with_rate, now);
 	CU_ASSERT_FALSE(budget_take(&budget, &with_rate, 1, now));
 	for (i = 0; i < 1000; i++) {
-		budget_need(&budget, &with_rate, 1, now += 10000);
+		budget_count_needed(&budget, &with_rate, 1, now += 10000);
 		n += budget_take(&budget, &with_rate, 1, now);
 	}
 	/* 10 s: 0.1 for each of 1000 requests, plus 2 a second. */
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -224,8 +224,8 @@
 	make_unreachable(&world, "s1");
 	clock_advance(&world.clock, MSEC(3000));
 	load = &registry_service(&world.registry, STR("s0"))->load;
-	load_limit_ask(load, 0, 1, clock_now(&world.clock));
-	load_limit_take(load, 0, 2, clock_now(&world.clock));
+	load_limit_count_request(load, 0, 1, clock_now(&world.clock));
+	load_limit_admit_always(load, 0, 2, clock_now(&world.clock));
 	load->limit = 2;
 	CU_ASSERT(start(&world, "/shards/") == DISPATCH_REFUSED);
 	CU_ASSERT(world.n_sent == 0);
@@ -269,7 +269,7 @@
 	dispatch_finish(&world.dispatch);
 	outage_tick(&world.outage);
 	CU_ASSERT(world.n_checks == 4);
-	outage_checked(&world.outage, world.check, true);
+	outage_check_done(&world.outage, world.check, true);
 	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 3);
 	world_finish(&world);
@@ -371,8 +371,8 @@
 	service = registry_service(&world.registry, STR("s0"));
 	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_PENDING);
 	CU_ASSERT(world.n_sent == 1);
-	budget_need(&service->budget, &world.limits.budget, 20,
-		    clock_now(&world.clock));
+	budget_count_needed(&service->budget, &world.limits.budget, 20,
+			    clock_now(&world.clock));
 	CU_ASSERT(dispatch_due(&world.dispatch) <=
 		  clock_now(&world.clock) + MSEC(5));
 	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
--- a/tests/test_forecast.c
+++ b/tests/test_forecast.c
@@ -222,7 +222,7 @@
 	if (left_out)
 		latency_add_forecast_error(latency,
 					   took[kind->needed - 1] -
-						   forecast_expected(
+						   forecast_answer_time(
 							   forecast.deciding));
 	return in < kind->needed ? 0 : (double)in * in / PARTS / PARTS;
 }
--- a/tests/test_load_limit.c
+++ b/tests/test_load_limit.c
@@ -420,7 +420,7 @@
 
 static bool admit(struct load_limit *load)
 {
-	load_limit_ask(load, 0, 1, START);
+	load_limit_count_request(load, 0, 1, START);
 	return load_limit_admit(load, 0, 1, NULL, START);
 }
 
@@ -431,26 +431,25 @@
 
 	for (i = 0; i < 100; i++)
 		CU_ASSERT(admit(&load));
-	load_limit_overloaded(&load, MSEC(60), START);
+	load_limit_lower(&load, MSEC(60), START);
 	CU_ASSERT(load.limit == 50);
 	/* Those that were admitted before are late as well. */
-	load_limit_overloaded(&load, MSEC(60), START + MSEC(59));
+	load_limit_lower(&load, MSEC(60), START + MSEC(59));
 	CU_ASSERT(load.limit == 50);
 	CU_ASSERT(!admit(&load));
 	for (i = 0; i < 60; i++)
-		load_limit_end(&load, 0, 1);
+		load_limit_release(&load, 0, 1);
 	CU_ASSERT(admit(&load));
 	for (i = 0; i < 10; i++)
-		load_limit_overloaded(&load, MSEC(60),
-				      START + MSEC(100) * (i + 1));
+		load_limit_lower(&load, MSEC(60), START + MSEC(100) * (i + 1));
 	CU_ASSERT(load.limit == 2);
 	CU_ASSERT(!admit(&load));
 	for (i = 0; i < 41; i++)
-		load_limit_end(&load, 0, 1);
+		load_limit_release(&load, 0, 1);
 	/* One is always sent: it shows whether the load is over. */
 	CU_ASSERT(admit(&load));
 	for (i = 0; i < 40000; i++)
-		load_limit_served(&load, 1, 1);
+		load_limit_raise(&load, 1, 1);
 	CU_ASSERT(load.limit == 0);
 }
 
@@ -461,14 +460,14 @@
 	int i;
 
 	for (i = 0; i < 10; i++) {
-		load_limit_ask(&load, 1, 1, START);
-		load_limit_take(&load, 1, 1, START);
+		load_limit_count_request(&load, 1, 1, START);
+		load_limit_admit_always(&load, 1, 1, START);
 	}
-	CU_ASSERT(!load_limit_full(&load, START));
+	CU_ASSERT(!load_limit_servers_full(&load, START));
 	CU_ASSERT(load_limit_is_most_urgent(&load, 1, START));
-	load_limit_ask(&load, 0, 1, START);
+	load_limit_count_request(&load, 0, 1, START);
 	CU_ASSERT(!load_limit_is_most_urgent(&load, 1, START));
-	CU_ASSERT(load_limit_full(&load, START));
+	CU_ASSERT(load_limit_servers_full(&load, START));
 	CU_ASSERT(load_limit_admit(&load, 0, 1, NULL, START));
 	CU_ASSERT(!load_limit_admit(&load, 1, 1, NULL, START));
 }
--- a/tests/test_load_share.c
+++ b/tests/test_load_share.c
@@ -69,7 +69,7 @@
 	struct world *world;
 	int id;
 	struct load_limit load;
-	struct return_book book;
+	struct return_schedule book;
 	struct load_share share;
 	bool cut_off;
 };
@@ -126,7 +126,7 @@
 
 	entry->world = world;
 	entry->id = world->n_entries++;
-	return_book_init(&entry->book, &world->clock);
+	return_schedule_init(&entry->book, &world->clock);
 	load_share_init(&entry->share, &world->clock, &share_ops, entry,
 			&entry->book);
 	entry->share.n_others = ENTRIES - 1;
@@ -149,7 +149,7 @@
 	int i;
 
 	for (i = 0; i < world->n_entries; i++)
-		return_book_finish(&world->entries[i].book);
+		return_schedule_finish(&world->entries[i].book);
 	free(world);
 }
 
@@ -171,7 +171,7 @@
 		}
 		share = peer__load_share__unpack(NULL, message->len,
 						 message->bytes);
-		load_share_told(&to->share, names[message->from], share);
+		load_share_receive(&to->share, names[message->from], share);
 		peer__load_share__free_unpacked(share, NULL);
 	}
 	world->n_messages = n;
@@ -206,38 +206,38 @@
 }
 
 static int64_t offer(struct entry *entry, const struct caller *caller,
-		     uint64_t fingerprint, struct return_entry *out)
+		     uint64_t fingerprint, struct scheduled_return *out)
 {
 	int64_t now = clock_now(&entry->world->clock);
-	struct load_view view;
+	struct peer_load view;
 
-	load_share_look(&entry->share, SERVICE, &view);
-	return return_book_offer(
+	load_share_peer_load(&entry->share, SERVICE, &view);
+	return return_schedule_offer(
 		&entry->book,
-		&(struct return_ask){
+		&(struct return_request){
 			.fingerprint = fingerprint,
 			.service = SERVICE,
 			.level = caller->kind,
 			.cost = kinds[caller->kind].work,
-			.room = load_limit_room(&entry->load, caller->kind,
-						&view, now),
-			.room_in = load_limit_excess(&entry->load, now),
+			.room = load_limit_capacity(&entry->load, caller->kind,
+						    &view, now),
+			.room_in = load_limit_excess_time(&entry->load, now),
 			.patience = PATIENCE},
 		out);
 }
 
-/* As gateway_load_arrive() and dispatch_load_limit do. */
+/* As gateway_load_check_return() and dispatch_load_limit do. */
 static void arrive(struct world *world, struct caller *caller)
 {
 	struct entry *entry = &world->entries[caller->entry];
 	uint64_t fingerprint = (uint64_t)(caller - world->callers) + 1;
 	int64_t cost = kinds[caller->kind].work;
 	int64_t now = clock_now(&world->clock);
-	const struct return_entry *known =
-		return_book_find(&entry->book, fingerprint);
-	enum return_state state = return_book_arrive(&entry->book, known);
-	struct return_entry out;
-	struct load_view view;
+	const struct scheduled_return *known =
+		return_schedule_find(&entry->book, fingerprint);
+	enum return_state state = return_schedule_check(&entry->book, known);
+	struct scheduled_return out;
+	struct peer_load view;
 
 	caller->sent_at = now;
 	if (state == RETURN_EARLY && entry->load.limit) {
@@ -245,17 +245,17 @@
 		return;
 	}
 	if (state == RETURN_DUE) {
-		struct return_entry taken = *known;
+		struct scheduled_return taken = *known;
 
-		return_book_drop(&entry->book, fingerprint);
+		return_schedule_remove(&entry->book, fingerprint);
 		taken.taken = true;
-		load_share_return(&entry->share, &taken);
-		load_limit_take(&entry->load, caller->kind, cost, now);
+		load_share_add_return(&entry->share, &taken);
+		load_limit_admit_always(&entry->load, caller->kind, cost, now);
 		send_on(world, caller);
 		return;
 	}
-	load_limit_ask(&entry->load, caller->kind, cost, now);
-	load_share_look(&entry->share, SERVICE, &view);
+	load_limit_count_request(&entry->load, caller->kind, cost, now);
+	load_share_peer_load(&entry->share, SERVICE, &view);
 	load_limit_adopt(&entry->load, &view, now);
 	if (load_limit_admit(&entry->load, caller->kind, cost, &view, now)) {
 		send_on(world, caller);
@@ -263,10 +263,10 @@
 		refuse(world, caller, MSEC(100));
 	} else {
 		refuse(world, caller, offer(entry, caller, fingerprint, &out));
-		load_share_return(&entry->share, &out);
+		load_share_add_return(&entry->share, &out);
 	}
 	if (entry->load.limit)
-		load_share_limited(&entry->share, SERVICE, &entry->load);
+		load_share_add_limit(&entry->share, SERVICE, &entry->load);
 }
 
 static void end(struct world *world, struct caller *caller)
@@ -277,12 +277,12 @@
 	bool late = now - caller->sent_at > kind->goal;
 
 	caller->state = late ? CALLER_LATE : CALLER_SERVED;
-	load_limit_worked(&entry->load, kind->work, now);
+	load_limit_count_served(&entry->load, kind->work, now);
 	if (late)
-		load_limit_overloaded(&entry->load, kind->goal / 2, now);
+		load_limit_lower(&entry->load, kind->goal / 2, now);
 	else
-		load_limit_served(&entry->load, kind->work, 2);
-	load_limit_end(&entry->load, caller->kind, kind->work);
+		load_limit_raise(&entry->load, kind->work, 2);
+	load_limit_release(&entry->load, caller->kind, kind->work);
 }
 
 /* The first of the queue run. */
@@ -475,14 +475,14 @@
 static void test_cut_off(void)
 {
 	struct world *world = world_new(ENTRIES, true);
-	struct load_view view;
+	struct peer_load view;
 
 	play(world, 2000, 4);
-	load_share_look(&world->entries[0].share, SERVICE, &view);
+	load_share_peer_load(&world->entries[0].share, SERVICE, &view);
 	CU_ASSERT(view.n_limited == 2);
 	world->entries[0].cut_off = true;
 	play(world, 1500, 4);
-	load_share_look(&world->entries[0].share, SERVICE, &view);
+	load_share_peer_load(&world->entries[0].share, SERVICE, &view);
 	CU_ASSERT(!view.n_limited && !view.asked[0] && !view.asked[1]);
 	CU_ASSERT(world->entries[0].load.limit > 0);
 	check_kinds(world);
--- a/tests/test_outage.c
+++ b/tests/test_outage.c
@@ -20,7 +20,7 @@
 	int n_changes;
 };
 
-static const struct registry_choice anywhere;
+static const struct registry_criteria anywhere;
 
 static void on_check(void *arg, struct registry_server *server,
 		     struct outage_server *check)
@@ -95,9 +95,9 @@
 {
 	int64_t since;
 
-	return outage_hits(&world->outage,
-			   registry_service(&world->registry, STR("s")),
-			   &since);
+	return outage_affects(&world->outage,
+			      registry_service(&world->registry, STR("s")),
+			      &since);
 }
 
 static void lose_all(struct world *world)
@@ -116,9 +116,9 @@
 		while (world->n_ended < world->n_checks &&
 		       world->answers_after >= 0 &&
 		       world->ends[world->n_ended] <= clock_now(&world->clock))
-			outage_checked(&world->outage,
-				       world->checks[world->n_ended++],
-				       world->listens);
+			outage_check_done(&world->outage,
+					  world->checks[world->n_ended++],
+					  world->listens);
 		if (outage_due(&world->outage) <= clock_now(&world->clock))
 			outage_tick(&world->outage);
 		clock_advance(&world->clock, MSEC(1));
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -82,7 +82,7 @@
 
 static void sent(struct world *world, int i)
 {
-	policy_sent(&world->policy, world->replicas[i].server, HOME);
+	policy_request_sent(&world->policy, world->replicas[i].server, HOME);
 }
 
 static void done(struct world *world, int i, int code, int64_t usec)
@@ -94,8 +94,8 @@
 		.latency_us = code ? 0 : usec,
 	};
 
-	policy_done(&world->policy, world->replicas[i].server, HOME, false,
-		    &result);
+	policy_request_done(&world->policy, world->replicas[i].server, HOME,
+			    false, &result);
 }
 
 static void ask(struct world *world, int i, int code, int64_t usec)
--- a/tests/test_store_order.c
+++ b/tests/test_store_order.c
@@ -423,16 +423,16 @@
 	restore_backup(&world, 20);
 	world_give_routes(&world, 2);
 	CU_ASSERT_EQUAL(world.sync.routes->version, 3);
-	CU_ASSERT(cordons_hold(cordons, STR("dc2")));
+	CU_ASSERT(cordon_set_contains(cordons, STR("dc2")));
 	/* Operators had time to write the cordon again: the list counts. */
 	world_pass(&world, 2200);
 	CU_ASSERT(world.calls[STORE_ROUTES].watch);
 	world_answer(&world, STORE_ROUTES, 25, NULL, 0);
-	CU_ASSERT(cordons_hold(cordons, STR("dc2")));
+	CU_ASSERT(cordon_set_contains(cordons, STR("dc2")));
 	world_pass(&world, 200);
 	CU_ASSERT(!world.calls[STORE_ROUTES].watch);
 	world_answer(&world, STORE_ROUTES, 26, NULL, 0);
-	CU_ASSERT(!cordons_hold(cordons, STR("dc2")));
+	CU_ASSERT(!cordon_set_contains(cordons, STR("dc2")));
 	CU_ASSERT_EQUAL(world.sync.routes->version, 3);
 	world_finish(&world);
 }
--- a/tests/test_warmup.c
+++ b/tests/test_warmup.c
@@ -69,8 +69,8 @@
 	while (clock_now(&world->clock) < end) {
 		for (i = 0; i < world->n; i++) {
 			if (!world->frozen[i] &&
-			    warmup_take(&world->senders[i], STR("server"),
-					&limit, &world->sends[i]))
+			    warmup_try_send(&world->senders[i], STR("server"),
+					    &limit, &world->sends[i]))
 				world->sent[world->n_sent++] =
 					clock_now(&world->clock);
 		}
@@ -211,8 +211,8 @@
 	for (i = 0; i < 12; i++) {
 		bool first = i == first_of(&world);
 
-		CU_ASSERT(warmup_take(&world.senders[i], STR("server"), &limit,
-				      &world.sends[i]) == first);
+		CU_ASSERT(warmup_try_send(&world.senders[i], STR("server"),
+					  &limit, &world.sends[i]) == first);
 	}
 }
 
--- a/upstream_limits.c
+++ b/upstream_limits.c
@@ -30,8 +30,9 @@
 		return false;
 	if (!server->cold_sends)
 		server->cold_sends = mem_zalloc(sizeof(*server->cold_sends));
-	return warmup_take(upstream->limits.warmup, str_from(server->entry.id),
-			   &server->service->warmup, server->cold_sends);
+	return warmup_try_send(upstream->limits.warmup,
+			       str_from(server->entry.id),
+			       &server->service->warmup, server->cold_sends);
 }
 
 int upstream_may_send(const struct upstream *upstream,
@@ -81,7 +82,7 @@
 		max = floor((double)connections_max * limits->share_local);
 	if (!server->remote && max < LOCAL_CONNS_MIN)
 		max = LOCAL_CONNS_MIN;
-	return registry_conns(server) < max;
+	return registry_count_conns(server) < max;
 }
 
 /*
--- a/view_take.c
+++ b/view_take.c
@@ -51,10 +51,10 @@
 	if (message->routes_age_ms == UINT32_MAX)
 		return;
 	for (i = 0; i < message->n_cordons && i < CORDONS_MAX; i++)
-		cordons_put(&cordons,
-			    str_from(message->cordons[i]->data_centre),
-			    message->cordons[i]->changed_at);
-	cordon_sync_take(&share->sync->cordons, &cordons);
+		cordon_set_add(&cordons,
+			       str_from(message->cordons[i]->data_centre),
+			       message->cordons[i]->changed_at);
+	cordon_sync_apply_peer_set(&share->sync->cordons, &cordons);
 }
 
 static int take_document(struct view_share *share,
@@ -111,8 +111,8 @@
 }
 
 /* Servers are taken also if the routes are not. */
-int view_take(struct view_share *share, const char *member,
-	      const Peer__ViewUpdate *message, const Peer__ViewBody *body)
+int view_apply(struct view_share *share, const char *member,
+	       const Peer__ViewUpdate *message, const Peer__ViewBody *body)
 {
 	const ProtobufCBinaryData *routes =
 		body ? &body->routes : &message->routes;
--- a/warmup.c
+++ b/warmup.c
@@ -86,7 +86,7 @@
 	}
 }
 
-uint64_t warmup_score(struct str server, const char *instance)
+uint64_t warmup_hash(struct str server, const char *instance)
 {
 	return str_hash_mix(str_hash(server), str_hash(str_from(instance)));
 }
@@ -106,7 +106,7 @@
 
 	for (i = 0; i < warmup->n; i++) {
 		const struct warmup_sender *sender = &warmup->senders[i];
-		uint64_t score = warmup_score(server, sender->instance);
+		uint64_t score = warmup_hash(server, sender->instance);
 
 		if (!sender->alive || (best && score >= least))
 			continue;
@@ -119,7 +119,7 @@
 /* Those that are before this instance, dead or not. */
 static int rank_of(const struct warmup *warmup, struct str server)
 {
-	uint64_t own = warmup_score(server, warmup->instance);
+	uint64_t own = warmup_hash(server, warmup->instance);
 	int rank = 0;
 	int i;
 
@@ -127,14 +127,15 @@
 		const struct warmup_sender *sender = &warmup->senders[i];
 
 		if (is_kept(warmup, sender) &&
-		    warmup_score(server, sender->instance) < own)
+		    warmup_hash(server, sender->instance) < own)
 			rank++;
 	}
 	return rank;
 }
 
-bool warmup_take(const struct warmup *warmup, struct str server,
-		 const struct warmup_limit *limit, struct warmup_sends *sends)
+bool warmup_try_send(const struct warmup *warmup, struct str server,
+		     const struct warmup_limit *limit,
+		     struct warmup_sends *sends)
 {
 	const char *sender = warmup_sender(warmup, server);
 	int64_t now = clock_now(warmup->clock);
--- a/warmup.h
+++ b/warmup.h
@@ -97,17 +97,18 @@
 const char *warmup_sender(const struct warmup *warmup, struct str server);
 
 /**
- * warmup_score() - an instance's place for a server, the least is the first
+ * warmup_hash() - an instance's place for a server, the least is the first
  */
-uint64_t warmup_score(struct str server, const char *instance);
+uint64_t warmup_hash(struct str server, const char *instance);
 
 /**
- * warmup_take() - one more send to a cold server
+ * warmup_try_send() - one more send to a cold server
  * @sends: of that server
  *
  * Return: whether it may go out; it counts then.
  */
-bool warmup_take(const struct warmup *warmup, struct str server,
-		 const struct warmup_limit *limit, struct warmup_sends *sends);
+bool warmup_try_send(const struct warmup *warmup, struct str server,
+		     const struct warmup_limit *limit,
+		     struct warmup_sends *sends);
 
 #endif
