--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -224,7 +224,8 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++)
-		sim_sync(sim, i)->reader.watches[READER_TABLE].by_all = true;
+		sim_sync(sim, i)->reader.watches[READER_TABLE].watched_by_all =
+			true;
 }
 
 /* What is counted from a moment on. */
@@ -307,7 +308,7 @@
 		const struct reader *reader = &sim_sync(sim, i)->reader;
 
 		count += reader_is_watching(reader) ||
-			 reader->watches[READER_TABLE].by_all;
+			 reader->watches[READER_TABLE].watched_by_all;
 	}
 	return count;
 }
--- a/gateway.c
+++ b/gateway.c
@@ -177,8 +177,8 @@
 
 static const struct store_sync_ops sync_ops = {
 	.call = call_store,
-	.routes = on_routes,
-	.server = on_server,
+	.routes_changed = on_routes,
+	.server_changed = on_server,
 };
 
 static void on_server_closing(void *arg, struct registry_server *server)
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -439,9 +439,10 @@
 		candidate->region =
 			regions_find(&fleet->config.settings->regions,
 				     member->data_centre);
-		candidate->home = !fleet->config.sync->routes ||
-				  route_set_allows(fleet->config.sync->routes,
-						   host, candidate->region);
+		candidate->region_allowed =
+			!fleet->config.sync->routes ||
+			route_set_allows(fleet->config.sync->routes, host,
+					 candidate->region);
 		candidate->address = member->caller_address;
 		candidate->capacity = member->capacity;
 		candidate->ready = gateway_fleet_is_ready(fleet, member);
--- a/search.c
+++ b/search.c
@@ -156,8 +156,8 @@
 		catalog_find_service(search_catalog(search),
 				     str_from(search->request.service));
 
-	return service && service->arrived &&
-	       search_now(search) - service->arrived_at < MOVE_RECENT_US;
+	return service && service->new_map_digest &&
+	       search_now(search) - service->new_map_at < MOVE_RECENT_US;
 }
 
 /*
--- a/table_control.c
+++ b/table_control.c
@@ -205,7 +205,7 @@
 
 static const struct platform_ops platform_ops = {
 	.answered = on_platform_answered,
-	.part = on_platform_part,
+	.part_answered = on_platform_part,
 };
 
 static void receive_digest(struct table_control *control, const char *peer,
--- a/table_sync.c
+++ b/table_sync.c
@@ -109,7 +109,7 @@
 	watch->after = table_sync_revision(sync);
 	if (sync->platform_refused_revision > watch->after)
 		watch->after = sync->platform_refused_revision;
-	sync->reader.unseen =
+	sync->reader.revision_unseen =
 		sync->platform_revision < table_sync_revision(sync);
 	while (reader_next(&sync->reader, &call)) {
 		sync->counts.calls++;
--- a/table_sync_platform.c
+++ b/table_sync_platform.c
@@ -10,7 +10,7 @@
 static void set_platform_behind(struct table_sync *sync, uint64_t revision)
 {
 	sync->counts.stale++;
-	sync->reader.behind = true;
+	sync->reader.platform_behind = true;
 	sync->platform_behind_at = clock_now(sync->clock);
 	table_sync_raise_alarm(sync, TABLE_ALARM_PLATFORM_BEHIND, revision);
 }
@@ -178,7 +178,7 @@
 {
 	const struct reader_watch *watch = &sync->reader.watches[READER_TABLE];
 
-	if (sync->reader.behind || !watch->conditional ||
+	if (sync->reader.platform_behind || !watch->conditional ||
 	    watch->sent_after < table_sync_revision(sync))
 		return;
 	confirm_by_platform(sync);
--- a/tests/test_table_sync.c
+++ b/tests/test_table_sync.c
@@ -1085,7 +1085,7 @@
 	sim_run(sim, 20000);
 	CU_ASSERT_NOT_EQUAL(sync->reader.watches[READER_TABLE].call_id, id);
 	table_sync_receive_answer(sync, READER_TABLE, id, &late);
-	CU_ASSERT_FALSE(sync->reader.behind);
+	CU_ASSERT_FALSE(sync->reader.platform_behind);
 	world_finish(&world);
 }
 
--- a/view_apply.c
+++ b/view_apply.c
@@ -10,7 +10,7 @@
 	struct server_entry entry;
 
 	/* From an earlier era, retained by the peer until it reads a list. */
-	if (!row->changed_at && share->sync->feeds[STORE_SERVERS].at)
+	if (!row->changed_at && share->sync->feeds[STORE_SERVERS].revision)
 		return;
 	if (row->removed) {
 		server_view_remove(&share->sync->servers, row->id,
@@ -103,7 +103,7 @@
 		apply_row(share, servers[i], message->whole);
 	if (message->whole)
 		store_sync_end_snapshot(share->sync, message->servers_at);
-	else if (feed->fresh_at < 0 || feed->at < message->servers_from)
+	else if (feed->fresh_at < 0 || feed->revision < message->servers_from)
 		return ERR_VERSION;
 	store_sync_confirm(share->sync, STORE_SERVERS, message->servers_at,
 			   confirmed_at(share, message->servers_age_ms));
--- a/view_share.c
+++ b/view_share.c
@@ -140,7 +140,7 @@
 		share->snapshot.packed = NULL;
 	}
 	if (share->changes_since == UINT64_MAX && feed->listed)
-		share->changes_since = feed->at;
+		share->changes_since = feed->revision;
 }
 
 static uint64_t max_u64(uint64_t a, uint64_t b)
@@ -151,7 +151,7 @@
 void view_share_record_change(struct view_share *share, const char *id,
 			      uint64_t changed_at, bool removed)
 {
-	uint64_t at = share->sync->feeds[STORE_SERVERS].at;
+	uint64_t at = share->sync->feeds[STORE_SERVERS].revision;
 	struct view_change *change;
 
 	view_share_follow_era(share);
@@ -168,7 +168,7 @@
 static void mark_sent(struct view_share *share)
 {
 	share->sent_version = share->sync->routes->version;
-	share->sent_revision = share->sync->feeds[STORE_SERVERS].at;
+	share->sent_revision = share->sync->feeds[STORE_SERVERS].revision;
 	share->sent_changes = share->n_changes;
 	share->sent_cordons = share->sync->registry->cordons.n_changes;
 }
@@ -181,7 +181,7 @@
 static uint64_t base_revision(const struct view_share *share, int n)
 {
 	if ((uint64_t)n < share->n_changes - share->sent_changes)
-		return max_u64(share->sync->feeds[STORE_SERVERS].at,
+		return max_u64(share->sync->feeds[STORE_SERVERS].revision,
 			       share->last_change);
 	return share->sent_revision;
 }
@@ -203,7 +203,7 @@
 	 * removed servers.
 	 */
 	view_share_follow_era(share);
-	if (!routes || feed->fresh_at < 0 || !feed->at ||
+	if (!routes || feed->fresh_at < 0 || !feed->revision ||
 	    server_view_holds_back(&share->sync->servers))
 		return;
 	/*
@@ -314,7 +314,7 @@
 				     message->servers_at, member);
 	view_share_follow_era(share);
 	/* A view without a revision is useless to a member that has one. */
-	if (message->servers_at && !feed->at)
+	if (message->servers_at && !feed->revision)
 		return;
 	n = view_update_count_changes(share, message->servers_at);
 	if (!message->servers_at || message->store_era != share->sync->era ||
@@ -341,7 +341,7 @@
 	request.routes_version = routes ? routes->version : 0;
 	request.store_era = share->sync->era;
 	if (!whole)
-		request.servers_at = share->sync->feeds[STORE_SERVERS].at;
+		request.servers_at = share->sync->feeds[STORE_SERVERS].revision;
 	share->requested_at = clock_now(share->clock);
 	return share->ops->request(share->arg, member, &request);
 }
