--- a/home.c
+++ b/home.c
@@ -10,7 +10,8 @@
 #include "mem.h"
 #include "share.h"
 
-#define LATENCY_WEIGHT 8
+/* Weight of a sample in the mean latency: 1/8. */
+#define LATENCY_EWMA_DIVISOR 8
 
 void home_init(struct home *home, struct blackboard *board,
 	       const struct home_ops *ops, void *arg)
@@ -59,7 +60,7 @@
 	return server;
 }
 
-struct home_server *home_put_server(struct home *home, struct str name)
+struct home_server *home_find_or_add_server(struct home *home, struct str name)
 {
 	struct home_server *server = home_find_server(home, name);
 
@@ -79,43 +80,43 @@
 	free(server);
 }
 
-static struct home_job *job_of(struct slot_item *item)
+static struct home_job *job_from_item(struct slot_item *item)
 {
 	return (struct home_job *)((char *)item -
 				   offsetof(struct home_job, item));
 }
 
-static void report(struct home_job *job, int code)
+static void finish_job(struct home_job *job, int code)
 {
 	struct home_query *query = job->query;
 
 	if (!job->started_at)
 		job->done_at = clock_now(query->home->board->clock);
-	/* Its end says more than that it is late. */
-	query->n_unsent -= job->tells_late;
-	job->tells_late = false;
+	/* The result supersedes the notice that the job is late. */
+	query->n_unreported -= job->late_unreported;
+	job->late_unreported = false;
 	job->state = HOME_JOB_DONE;
 	job->code = code;
-	query->n_open--;
-	query->n_unsent++;
+	query->n_pending--;
+	query->n_unreported++;
 	query->home->ops->want_flush(query->home->arg);
 }
 
-static void left_queue(struct home_job *job)
+static void count_dequeued(struct home_job *job)
 {
 	job->server->queued--;
 	metric_add(&job->query->home->board->counters.home_queued, -1);
 }
 
-/* Dropped by the queue: it provably did not run. */
+/* Only jobs that were never sent are dropped. */
 static void on_drop(void *ctx, struct slot_item *item, int code)
 {
-	struct home_job *job = job_of(item);
+	struct home_job *job = job_from_item(item);
 
 	(void)ctx;
-	left_queue(job);
+	count_dequeued(job);
 	metric_inc(&job->query->home->board->counters.home_dropped);
-	report(job, code);
+	finish_job(job, code);
 }
 
 static int enqueue(struct home_job *job)
@@ -146,66 +147,69 @@
 static void dequeue(struct home_job *job)
 {
 	slot_queue_remove(&job->server->queue, &job->item);
-	left_queue(job);
+	count_dequeued(job);
 }
 
-/* Few samples say nothing of what is unusual. */
-#define TIMES_MIN 8.0
+/* Fewer samples don't show which duration is unusual. */
+#define RUN_TIMES_MIN_SAMPLES 8.0
 #define LATE_QUANTILE 0.985
 #define SILENT_QUANTILE 0.99
-#define MEDIAN 0.5
+#define MEDIAN_QUANTILE 0.5
 
-static int64_t half_life(const struct home *home)
+static int64_t run_times_half_life(const struct home *home)
 {
 	return MSEC(blackboard_tunables(home->board)->observe_half_life_ms);
 }
 
 /*
- * The entry sees a request that runs and one that waits behind it for a slot
- * alike. The home tells it of those that run for too long: they hold the slot
- * until somebody else has answered in their place.
+ * Duration after which a running job is reported to the entry as late. The
+ * entry can't tell a slow job from those queued behind it; hedging the slow one
+ * frees its slot as soon as another server has answered.
  */
-static int64_t late_after(const struct tunables *tunables,
-			  const struct sketch *times)
+static int64_t late_threshold(const struct tunables *tunables,
+			      const struct sketch *run_times)
 {
 	double most = tunables->hedge_median_factor *
-		      (double)sketch_quantile(times, MEDIAN);
-	int64_t late = sketch_quantile(times, LATE_QUANTILE);
+		      (double)sketch_quantile(run_times, MEDIAN_QUANTILE);
+	int64_t late = sketch_quantile(run_times, LATE_QUANTILE);
 
 	return (double)late < most ? late : (int64_t)most;
 }
 
-static int64_t silent_after(const struct tunables *tunables,
-			    const struct sketch *times)
+/* Duration after which the connection of a running job is closed. */
+static int64_t silence_threshold(const struct tunables *tunables,
+				 const struct sketch *run_times)
 {
 	int64_t floor = MSEC(tunables->silent_floor_ms);
 	double bound = tunables->silent_factor *
-		       (double)sketch_quantile(times, SILENT_QUANTILE);
+		       (double)sketch_quantile(run_times, SILENT_QUANTILE);
 
 	return bound > (double)floor ? (int64_t)bound : floor;
 }
 
-static void wake(struct home *home, int64_t at)
+static void schedule_tick(struct home *home, int64_t at)
 {
 	if (at < home->wake_at)
 		home->wake_at = at;
 }
 
-/* What must not be repeated is neither hedged nor given up. */
-static void watch(struct home *home, struct home_job *job)
+/* A non-repeatable request is neither hedged nor abandoned. */
+static void set_run_limits(struct home *home, struct home_job *job)
 {
 	const struct tunables *tunables = blackboard_tunables(home->board);
-	const struct sketch *times = &job->server->times;
+	const struct sketch *run_times = &job->server->run_times;
 
 	job->late_at = INT64_MAX;
 	job->silent_at = INT64_MAX;
-	if (job->query->run || !home->ops->silent ||
-	    sketch_count(times, job->started_at, half_life(home)) < TIMES_MIN)
+	if (job->query->run || !home->ops->close_silent ||
+	    sketch_count(run_times, job->started_at,
+			 run_times_half_life(home)) < RUN_TIMES_MIN_SAMPLES)
 		return;
-	job->late_at = job->started_at + late_after(tunables, times);
-	job->silent_at = job->started_at + silent_after(tunables, times);
-	wake(home, job->late_at);
-	wake(home, job->silent_at);
+	job->late_at = job->started_at + late_threshold(tunables, run_times);
+	job->silent_at =
+		job->started_at + silence_threshold(tunables, run_times);
+	schedule_tick(home, job->late_at);
+	schedule_tick(home, job->silent_at);
 }
 
 static struct str replica_set_of(const struct home *home,
@@ -217,7 +221,7 @@
 	return row < 0 ? STR("") : str_from(table->servers[row].replica_set);
 }
 
-/* One that must not be repeated runs on one server anyway. */
+/* A non-repeatable request runs on one server only, so it counts as watched. */
 static int begin_poison(struct home *home, struct home_job *job)
 {
 	const struct home_query *query = job->query;
@@ -231,15 +235,15 @@
 			    query->run || query->message->watched);
 }
 
-static void start(struct home_job *job)
+static void start_job(struct home_job *job)
 {
 	struct home *home = job->query->home;
 	int ret;
 
-	left_queue(job);
+	count_dequeued(job);
 	ret = begin_poison(home, job);
 	if (ret) {
-		report(job, ret);
+		finish_job(job, ret);
 		return;
 	}
 	job->state = HOME_JOB_RUNNING;
@@ -247,38 +251,38 @@
 	job->server->in_flight++;
 	metric_add(&home->board->counters.home_in_flight, 1);
 	metric_inc(&home->board->counters.home_sent);
-	watch(home, job);
+	set_run_limits(home, job);
 	home->ops->start(home->arg, job);
 }
 
 /*
- * A process that was stopped wakes with a queue of requests nobody waits for:
- * the queue reads the time again before each is sent.
+ * Starts queued jobs while slots are free. The queue reads the clock before
+ * each, as a process that was suspended may resume with expired requests.
  */
-static void serve_queue(struct home *home, struct home_server *server)
+static void start_queued_jobs(struct home *home, struct home_server *server)
 {
 	struct share *share = home->board->share;
 	struct slot_item *item;
 
 	/*
-	 * Against a process that was stopped and wakes with requests in its
-	 * queue and shares that others have taken over: the lease ran out
-	 * meanwhile, and the check takes the shares away.
+	 * A process that was suspended may resume after other instances have
+	 * taken over its shares. Its lease has expired by then, and this check
+	 * drops the shares.
 	 */
 	if (share && !share_lease_valid(share))
 		return;
 	while (server->in_flight < server->slots &&
 	       (item = slot_queue_pop(&server->queue, on_drop, home)))
-		start(job_of(item));
+		start_job(job_from_item(item));
 }
 
-static void refuse_queue(struct home_server *server, int code)
+static void fail_queued_jobs(struct home_server *server, int code)
 {
 	while (server->queue.n) {
-		struct home_job *job = job_of(server->queue.items[0]);
+		struct home_job *job = job_from_item(server->queue.items[0]);
 
 		dequeue(job);
-		report(job, code);
+		finish_job(job, code);
 	}
 }
 
@@ -288,11 +292,11 @@
 	server->slots = slots;
 	server->connections = connections;
 	if (!slots)
-		refuse_queue(server, ERR_NOT_HOME);
-	serve_queue(home, server);
+		fail_queued_jobs(server, ERR_NOT_HOME);
+	start_queued_jobs(home, server);
 }
 
-static int home_priority(const struct home *home, const char *service)
+static int service_priority(const struct home *home, const char *service)
 {
 	const struct table *table = home->board->table;
 	int row = table ? table_service(table, str_from(service)) : -1;
@@ -322,21 +326,21 @@
 
 	metric_inc(&home->board->counters.home_requests);
 	if (!job->server || !job->server->slots) {
-		report(job, ERR_NOT_HOME);
+		finish_job(job, ERR_NOT_HOME);
 		return;
 	}
 	job->state = HOME_JOB_QUEUED;
 	ret = enqueue(job);
 	if (ret) {
 		metric_inc(&home->board->counters.home_dropped);
-		report(job, ret);
+		finish_job(job, ret);
 		return;
 	}
-	serve_queue(home, job->server);
+	start_queued_jobs(home, job->server);
 }
 
-static void take_query(struct home *home, void *link, Peer__Query *message,
-		       Peer__Run *run)
+static void accept_query(struct home *home, void *link, Peer__Query *message,
+			 Peer__Run *run)
 {
 	struct home_query *query = mem_zalloc(sizeof(*query));
 	int i;
@@ -349,7 +353,7 @@
 			     blackboard_stall(home->board) +
 			     MSEC(message->deadline_ms);
 	query->n_jobs = (int)message->n_parts;
-	query->n_open = query->n_jobs;
+	query->n_pending = query->n_jobs;
 	query->jobs = mem_zalloc((size_t)query->n_jobs * sizeof(*query->jobs));
 	DL_APPEND(home->queries, query);
 	for (i = 0; i < query->n_jobs; i++)
@@ -361,11 +365,12 @@
 
 void home_query(struct home *home, void *link, Peer__Query *message)
 {
-	take_query(home, link, message, NULL);
+	accept_query(home, link, message, NULL);
 }
 
-/* Released like one that came in a frame. */
-static Peer__Query *query_of_run(const struct home *home, const Peer__Run *run)
+/* All strings are allocated: the result is freed like an unpacked message. */
+static Peer__Query *make_run_query(const struct home *home,
+				   const Peer__Run *run)
 {
 	Peer__Query *query = mem_zalloc(sizeof(*query));
 	Peer__ServerPart *part = mem_zalloc(sizeof(*part));
@@ -380,7 +385,7 @@
 				   (struct str){(char *)run->payload.data,
 						run->payload.len},
 				   POISON_KIND_RUN);
-	query->priority = (uint32_t)home_priority(home, run->service);
+	query->priority = (uint32_t)service_priority(home, run->service);
 	peer__server_part__init(part);
 	part->server = mem_dup(run->server);
 	query->parts = mem_zalloc(sizeof(*query->parts));
@@ -391,12 +396,12 @@
 
 void home_run(struct home *home, void *link, Peer__Run *message)
 {
-	take_query(home, link, query_of_run(home, message), message);
+	accept_query(home, link, make_run_query(home, message), message);
 }
 
 /*
- * A request that must not be repeated is left to its server while its time
- * lasts, also when its issuer is gone: half of it may have been done.
+ * A non-repeatable request runs until its deadline even if its issuer is gone:
+ * the server may have executed a part of it.
  */
 static bool may_cancel(const struct home_job *job)
 {
@@ -406,28 +411,28 @@
 	       clock_now(query->home->board->clock) >= query->deadline_at;
 }
 
-static void give_up(struct home_job *job, int code)
+static void abort_job(struct home_job *job, int code)
 {
 	struct home *home;
 
-	/* A reported job has no query any more. */
+	/* The query of a reported job is NULL. */
 	if (job->state == HOME_JOB_DONE)
 		return;
 	home = job->query->home;
 	if (job->state == HOME_JOB_QUEUED) {
 		dequeue(job);
-		report(job, code);
+		finish_job(job, code);
 	} else if (job->state == HOME_JOB_RUNNING && may_cancel(job)) {
 		home->ops->cancel(home->arg, job);
 	}
 }
 
-static void give_up_all(struct home_query *query, int code)
+static void abort_query(struct home_query *query, int code)
 {
 	int i;
 
 	for (i = 0; i < query->n_jobs; i++)
-		give_up(&query->jobs[i], code);
+		abort_job(&query->jobs[i], code);
 }
 
 void home_cancel(struct home *home, void *link, const Peer__Cancel *cancel)
@@ -441,7 +446,7 @@
 		for (i = 0; i < query->n_jobs; i++) {
 			if (cancel->whole ||
 			    query->jobs[i].part == cancel->part)
-				give_up(&query->jobs[i], ERR_CANCELLED);
+				abort_job(&query->jobs[i], ERR_CANCELLED);
 		}
 	}
 }
@@ -454,16 +459,17 @@
 		if (query->link != link)
 			continue;
 		query->link = NULL;
-		give_up_all(query, ERR_CANCELLED);
+		abort_query(query, ERR_CANCELLED);
 	}
 	home->ops->want_flush(home->arg);
 }
 
-static void learn_latency(struct home_server *server, int64_t latency)
+static void update_latency(struct home_server *server, int64_t latency)
 {
 	if (!server->latency_us)
 		server->latency_us = latency;
-	server->latency_us += (latency - server->latency_us) / LATENCY_WEIGHT;
+	server->latency_us +=
+		(latency - server->latency_us) / LATENCY_EWMA_DIVISOR;
 }
 
 void home_job_done(struct home *home, struct home_job *job, int code, bool sent,
@@ -483,14 +489,14 @@
 	job->answer = answer.len ? mem_dup_len(answer.data, answer.len) : NULL;
 	job->answer_len = answer.len;
 	/*
-	 * Silence counts as a time too: if the server is slow and its
-	 * connections are not at fault, the bound rises above what it takes.
+	 * Silent jobs are samples too: if the server is slow and its
+	 * connections are sound, the threshold rises above its run times.
 	 */
 	if (!code || code == ERR_SILENT)
-		sketch_add(&server->times, latency, job->done_at,
-			   half_life(home));
+		sketch_add(&server->run_times, latency, job->done_at,
+			   run_times_half_life(home));
 	if (!code) {
-		learn_latency(server, latency);
+		update_latency(server, latency);
 		slot_queue_served(&server->queue, latency);
 		metric_histogram_add(
 			&home->board->counters.server_time.histogram, latency);
@@ -498,8 +504,8 @@
 	poison_end(&home->board->poison, &job->poison, !code);
 	server->in_flight--;
 	metric_add(&home->board->counters.home_in_flight, -1);
-	report(job, code);
-	serve_queue(home, server);
+	finish_job(job, code);
+	start_queued_jobs(home, server);
 }
 
 static void fill_result(struct home_job *job, Peer__ServerResult *out)
@@ -526,16 +532,16 @@
 	out->answer.len = job->answer_len;
 }
 
-/* Done jobs are marked reported by a NULL query. */
+/* A done job was reported if its query is NULL. */
 static bool is_reportable(const struct home_job *job)
 {
-	return job->tells_late || (job->state == HOME_JOB_DONE && job->query);
+	return job->late_unreported ||
+	       (job->state == HOME_JOB_DONE && job->query);
 }
 
 /*
- * Fills in results until their answers would be more than a frame may carry:
- * a frame that is too large is not sent at all, and the entry would wait for
- * it until its deadline.
+ * Adds results up to the size limit of a frame. An oversized frame would not be
+ * sent at all, and the entry would wait for it until its deadline.
  */
 static void fill_results(struct home_query *query, Peer__ServerResult *results,
 			 Peer__QueryResult *out)
@@ -555,8 +561,8 @@
 			return;
 		if (job->state == HOME_JOB_DONE)
 			job->query = NULL;
-		job->tells_late = false;
-		query->n_unsent--;
+		job->late_unreported = false;
+		query->n_unreported--;
 		fill_result(job, result);
 		out->results[out->n_results++] = result;
 	}
@@ -566,14 +572,14 @@
 {
 	Peer__QueryResult result = PEER__QUERY_RESULT__INIT;
 	Peer__ServerResult *results =
-		mem_zalloc((size_t)query->n_unsent * sizeof(*results));
+		mem_zalloc((size_t)query->n_unreported * sizeof(*results));
 
 	result.id = query->message->id;
-	result.results =
-		mem_zalloc((size_t)query->n_unsent * sizeof(*result.results));
-	while (query->n_unsent) {
+	result.results = mem_zalloc((size_t)query->n_unreported *
+				    sizeof(*result.results));
+	while (query->n_unreported) {
 		fill_results(query, results, &result);
-		result.done = !query->n_open && !query->n_unsent;
+		result.done = !query->n_pending && !query->n_unreported;
 		if (query->link)
 			home->ops->reply(home->arg, query->link, &result);
 	}
@@ -591,7 +597,7 @@
 	result.retry_after_ms = job->retry_after_ms;
 	result.body.data = (uint8_t *)job->answer;
 	result.body.len = job->answer_len;
-	query->n_unsent = 0;
+	query->n_unreported = 0;
 	if (query->link)
 		home->ops->reply_run(home->arg, query->link, &result);
 }
@@ -602,11 +608,11 @@
 	struct home_query *next;
 
 	DL_FOREACH_SAFE (home->queries, query, next) {
-		if (query->n_unsent && query->run)
+		if (query->n_unreported && query->run)
 			flush_run(home, query);
-		else if (query->n_unsent)
+		else if (query->n_unreported)
 			flush_query(home, query);
-		if (!query->n_open)
+		if (!query->n_pending)
 			free_query(query);
 	}
 }
@@ -617,19 +623,19 @@
 		return;
 	if (time >= job->silent_at) {
 		metric_inc(&home->board->counters.server_silences);
-		home->ops->silent(home->arg, job);
+		home->ops->close_silent(home->arg, job);
 		return;
 	}
-	wake(home, job->silent_at);
+	schedule_tick(home, job->silent_at);
 	if (job->is_late)
 		return;
 	if (time < job->late_at) {
-		wake(home, job->late_at);
+		schedule_tick(home, job->late_at);
 		return;
 	}
 	job->is_late = true;
-	job->tells_late = true;
-	job->query->n_unsent++;
+	job->late_unreported = true;
+	job->query->n_unreported++;
 	home->ops->want_flush(home->arg);
 }
 
@@ -639,10 +645,10 @@
 	int i;
 
 	if (time >= query->deadline_at) {
-		give_up_all(query, ERR_TOO_LATE);
+		abort_query(query, ERR_TOO_LATE);
 		return;
 	}
-	wake(home, query->deadline_at);
+	schedule_tick(home, query->deadline_at);
 	for (i = 0; i < query->n_jobs; i++)
 		tick_job(home, &query->jobs[i], time);
 }
@@ -658,7 +664,7 @@
 	HASH_ITER (hh, home->servers, server, next_server)
 		slot_queue_expire(&server->queue, on_drop, home);
 	DL_FOREACH (home->queries, query) {
-		if (query->n_open)
+		if (query->n_pending)
 			tick_query(home, query, time);
 	}
 	return home->wake_at;
--- a/home.h
+++ b/home.h
@@ -1,10 +1,11 @@
 /*
- * The home of backend servers: slots, queues and partial answers on their way
- * back to the entry.
+ * Queues and running jobs of the backend servers that this instance holds a
+ * share of, i.e. whose home it is.
  *
- * A decision module without sockets. Queries come in by entries, jobs go out
- * to servers through struct home_ops.start, and each job comes back exactly
- * once by home_job_done().
+ * Performs no I/O. Queries arrive from entries, the instances that callers
+ * connect to. Each job of a query is sent to its server by
+ * struct home_ops.start and ends with exactly one call of home_job_done(). The
+ * results are collected per query and returned to the entry.
  */
 #ifndef HOME_H
 #define HOME_H
@@ -22,7 +23,10 @@
 
 #define HOME_NAME_SIZE 65
 
-/* The largest answer that is passed on: it must fit a frame, with others. */
+/*
+ * Largest answer that is passed on, and the limit for all answers in one
+ * message, so that it fits a frame.
+ */
 #define HOME_ANSWER_MAX_BYTES (4 * 1024 * 1024)
 
 struct home;
@@ -37,17 +41,29 @@
 
 /**
  * struct home_job - one backend server's part of a query
+ * @query: set to NULL once the result was reported
+ * @server: NULL if this home doesn't know it
  * @part: number within the query, chosen by the entry
- * @ranges: the shards asked for, owned
- * @late_at: when it has run for longer than nearly all others at the server
- * @silent_at: when its connection is held for dead
- * @tells_late: its entry is yet to be told that it is late
- * @handle: of whoever runs it, set by struct home_ops.start
- * @code: result, 0 or an error
+ * @ranges: requested shards, owned
+ * @n_ranges: entries in @ranges
+ * @state: queued, running or done
+ * @handle: identifies the running request, set by struct home_ops.start
+ * @queued_at: microseconds, as all times here
+ * @started_at: 0 if it never ran
+ * @done_at: when it ended
+ * @late_at: when the entry is told that it runs unusually long; INT64_MAX for
+ * never
+ * @silent_at: when its connection is considered dead and closed; INT64_MAX for
+ * never
+ * @is_late: @late_at has passed
+ * @late_unreported: it is late and the entry was not told yet
+ * @code: 0 or an error
  * @sent: bytes may have reached the server
- * @answer: as the server gave it, owned; empty unless @code is 0
- * @item: its place in the server's queue
- * @poison: its run while it has a slot
+ * @retry_after_ms: from the server, milliseconds
+ * @answer: unmodified answer of the server, owned; NULL unless @code is 0
+ * @answer_len: bytes in @answer
+ * @item: entry in the server's queue
+ * @poison: tracks the request while it runs, in case it crashes the server
  */
 struct home_job {
 	struct home_query *query;
@@ -63,7 +79,7 @@
 	int64_t late_at;
 	int64_t silent_at;
 	bool is_late;
-	bool tells_late;
+	bool late_unreported;
 	int code;
 	bool sent;
 	uint32_t retry_after_ms;
@@ -75,12 +91,17 @@
 
 /**
  * struct home_query - a query of an entry
- * @link: where it came from and the answers go
- * @message: the query as it came, owned; of a request that must not be
- * repeated, one made from it
- * @run: a request that must not be repeated, owned; NULL for a search
- * @n_open: jobs that are not done
- * @n_unsent: jobs done and not reported yet
+ * @home: the owner
+ * @link: connection that results are sent to; NULL once it is closed
+ * @message: the query, owned; built from @run if that is set
+ * @run: a non-repeatable request, owned; NULL for a search
+ * @deadline_at: microseconds
+ * @jobs: one for each part, owned
+ * @n_jobs: entries in @jobs
+ * @n_pending: jobs that are queued or running
+ * @n_unreported: results, and notices of late jobs, to be sent to the entry
+ * @prev: in struct home.queries
+ * @next: in struct home.queries
  */
 struct home_query {
 	struct home *home;
@@ -90,21 +111,28 @@
 	int64_t deadline_at;
 	struct home_job *jobs;
 	int n_jobs;
-	int n_open;
-	int n_unsent;
+	int n_pending;
+	int n_unreported;
 	struct home_query *prev;
 	struct home_query *next;
 };
 
 /**
  * struct home_server - a backend server this instance has a share of
- * @slots: share of its slots; 0 while none is leased
+ * @name: key of struct home.servers
+ * @service: the service it belongs to
+ * @address: where it is connected to
+ * @slots: share of its slots; 0 while the lease is not valid
  * @connections: share of its connections
  * @in_flight: jobs running
- * @queue: jobs waiting
- * @times: how long answered jobs ran
- * @latency_us: exponentially weighted mean
- * @pool: of the connections, for the wiring
+ * @queued: jobs in @queue
+ * @queue: jobs waiting for a slot
+ * @run_times: durations of jobs that were answered or timed out as silent
+ * @latency_us: exponentially weighted mean of answered jobs, microseconds
+ * @backoff_until: unused
+ * @transport: connection state, owned by home_net
+ * @in_table: for home_net: the table in force has it at the same address
+ * @hh: in struct home.servers
  */
 struct home_server {
 	char name[HOME_NAME_SIZE];
@@ -115,34 +143,46 @@
 	uint32_t in_flight;
 	uint32_t queued;
 	struct slot_queue queue;
-	struct sketch times;
+	struct sketch run_times;
 	int64_t latency_us;
 	int64_t backoff_until;
-	void *pool;
-	bool seen;
+	void *transport;
+	bool in_table;
 	UT_hash_handle hh;
 };
 
 /**
- * struct home_ops - what a home does to the world
- * @start: run a job at its server; home_job_done() follows in any case, but
- *	   not during the call
- * @cancel: a running job is not wanted any more; home_job_done() follows
- * @silent: a running job's connection makes no progress: close it;
- *	    home_job_done() with ERR_SILENT follows, also during the call
- * @reply: send results to the entry; valid during the call only
- * @reply_run: likewise, to the issuer of a ticket
- * @want_flush: call home_flush() soon
+ * struct home_ops - I/O callbacks
+ * @start: send a job to its server; home_job_done() always follows, but never
+ *	   during the call
+ * @cancel: cancel a running job; home_job_done() follows
+ * @close_silent: close the connection of a running job that makes no progress;
+ *	    home_job_done() with ERR_SILENT follows, possibly during the call;
+ *	    NULL disables the detection of late and silent jobs
+ * @reply: send results to the entry; @result is valid during the call only
+ * @reply_run: send the result of a non-repeatable request to the issuer of its
+ *	    ticket; @result is valid during the call only
+ * @want_flush: schedule a call of home_flush()
  */
 struct home_ops {
 	void (*start)(void *arg, struct home_job *job);
 	void (*cancel)(void *arg, struct home_job *job);
-	void (*silent)(void *arg, struct home_job *job);
+	void (*close_silent)(void *arg, struct home_job *job);
 	void (*reply)(void *arg, void *link, const Peer__QueryResult *result);
 	void (*reply_run)(void *arg, void *link, const Peer__RunResult *result);
 	void (*want_flush)(void *arg);
 };
 
+/**
+ * struct home - the queries and servers of this instance
+ * @board: shared state of the process, not owned
+ * @ops: I/O callbacks, not owned
+ * @arg: first argument of each callback
+ * @servers: by name, owned
+ * @queries: in the order of arrival, owned
+ * @wake_at: when home_tick() is due, microseconds; may be lowered when a job
+ *	     starts
+ */
 struct home {
 	struct blackboard *board;
 	const struct home_ops *ops;
@@ -156,53 +196,64 @@
 	       const struct home_ops *ops, void *arg);
 
 /**
- * home_finish() - drop all queries and servers; no job may be running
+ * home_finish() - free all queries and servers; no job may be running
  */
 void home_finish(struct home *home);
 
 struct home_server *home_find_server(const struct home *home, struct str name);
-struct home_server *home_put_server(struct home *home, struct str name);
 
 /**
- * home_remove_server() - forget a server without jobs
+ * home_find_or_add_server() - return the server, added without a share if new
+ */
+struct home_server *home_find_or_add_server(struct home *home, struct str name);
+
+/**
+ * home_remove_server() - remove and free a server that has no jobs
  */
 void home_remove_server(struct home *home, struct home_server *server);
 
 /**
- * home_set_share() - take another share of a server
+ * home_set_share() - change the share of a server
  *
- * Jobs running above the new share end by themselves; waiting ones are
- * refused as not run when nothing is left.
+ * Jobs that run above a smaller share are not interrupted. With 0 slots the
+ * queued ones end with ERR_NOT_HOME, not sent.
  */
 void home_set_share(struct home *home, struct home_server *server,
 		    uint32_t slots, uint32_t connections);
 
 /**
- * home_query() - take a query of an entry
- * @message: moved into the home
+ * home_query() - accept a query of an entry
+ * @link: connection that results are sent to
+ * @message: ownership passes to @home
  */
 void home_query(struct home *home, void *link, Peer__Query *message);
 
 /**
- * home_run() - take a request that must not be repeated, from the issuer of
- * its ticket
- * @message: moved into the home; its server is set
+ * home_run() - accept a non-repeatable request from the issuer of its ticket
+ * @link: connection that the result is sent to
+ * @message: ownership passes to @home; its server is set
  *
- * It is sent to that server at most once. A started one is never cancelled: it
- * ends with what the server answers, or unknown.
+ * It is sent to that server at most once. Once started it isn't cancelled
+ * before its deadline: it ends with the server's answer or an unknown outcome.
  */
 void home_run(struct home *home, void *link, Peer__Run *message);
+
+/**
+ * home_cancel() - cancel one part of a query, or all of it
+ * @link: connection that the query came from
+ */
 void home_cancel(struct home *home, void *link, const Peer__Cancel *cancel);
 
 /**
- * home_link_lost() - an entry's connection broke: its queries are given up
+ * home_link_lost() - cancel the queries of an entry whose connection broke
  */
 void home_link_lost(struct home *home, void *link);
 
 /**
- * home_job_done() - a started job has ended
- * @code: 0, or why not
- * @sent: bytes of it may have reached the server
+ * home_job_done() - end a started job
+ * @code: 0 or an error
+ * @sent: bytes of the request may have reached the server
+ * @retry_after_ms: from the server, milliseconds
  * @answer: copied; of length 0 unless @code is 0; the body of the server's
  * RunAnswer for a job of home_run()
  */
@@ -210,19 +261,20 @@
 		   uint32_t retry_after_ms, struct str answer);
 
 /**
- * home_flush() - report what is done
+ * home_flush() - send unreported results and free finished queries
  */
 void home_flush(struct home *home);
 
 /**
- * home_tick() - let time pass: deadlines, late jobs, silent connections
+ * home_tick() - process deadlines, late jobs and silent connections
  *
- * Return: when to call again at the latest, INT64_MAX if nothing waits.
+ * Return: latest time of the next call, microseconds; INT64_MAX if none is
+ * needed.
  */
 int64_t home_tick(struct home *home);
 
 /**
- * home_is_idle() - whether no query is open
+ * home_is_idle() - whether there is no query
  */
 bool home_is_idle(const struct home *home);
 
--- a/home_net.c
+++ b/home_net.c
@@ -15,24 +15,35 @@
 #include "server_pool.h"
 #include "share.h"
 
-#define LOST_HOLD_MS 3
-#define PROBE_MAX_MS 50
-#define UNREACHABLE_AFTER 3
+/* Time for the other connections of a crashed server to break, too. */
+#define LOST_REPORT_DELAY_MS 3
+#define PROBE_TIMEOUT_MS 50
+/* Consecutive failed requests for holdings. */
+#define UNREACHABLE_FAILURES 3
 #define ETAG_SIZE 40
-#define MOVE_RECENT_US MSEC(500)
-#define ASK_AGAIN_US MSEC(10)
+#define VERSION_SWITCH_WINDOW_US MSEC(500)
+#define HOLDINGS_MIN_INTERVAL_US MSEC(10)
 
 /**
- * struct server_link - what the wiring knows of one backend server
- * @holdings: as the server last gave them, NULL before
+ * struct server_link - connections and holdings of one backend server
+ * @net: the owner
+ * @server: the server, owned by struct home
+ * @pool: connections
+ * @holdings: last received, owned; NULL before
  * @digests: of the maps of @holdings
  * @etag: of @holdings
- * @lost: jobs whose connections broke, held for a moment
- * @lost_timer: ends that moment
- * @probing: whether the server still makes connections
- * @asked_at: when it was last asked
- * @failures: questions for holdings that failed in a row
- * @row: in the table in force; -1 when it is not there any more
+ * @requested_at: when @holdings were last requested, microseconds
+ * @failures: consecutive failed requests for holdings
+ * @row: in the table in force; -1 if it was removed
+ * @request_pending: a request for holdings is running
+ * @reachable: it answers requests for holdings: false at the start and after
+ *	UNREACHABLE_FAILURES failures
+ * @has_draining_answer: unused
+ * @lost_jobs: jobs whose connections broke, reported after a delay, owned
+ * @n_lost: entries in @lost_jobs
+ * @cap_lost: allocated entries of @lost_jobs
+ * @lost_timer: ends that delay, or the wait for the probe
+ * @probing: a probe for whether the server accepts connections is running
  */
 struct server_link {
 	struct home_net *net;
@@ -41,13 +52,13 @@
 	Backend__Holdings *holdings;
 	uint64_t digests[CATALOG_VERSIONS_MAX];
 	char etag[ETAG_SIZE];
-	int64_t asked_at;
+	int64_t requested_at;
 	int failures;
 	int row;
-	bool asking;
+	bool request_pending;
 	bool reachable;
 	bool has_draining_answer;
-	struct home_job **lost;
+	struct home_job **lost_jobs;
 	int n_lost;
 	int cap_lost;
 	struct event *lost_timer;
@@ -56,10 +67,10 @@
 
 static struct server_link *link_of(const struct home_server *server)
 {
-	return server->pool;
+	return server->transport;
 }
 
-/* What entries are told. */
+/* Sending server states to entries. */
 
 static uint64_t snapshot_digest(const Backend__Holdings *holdings,
 				const Backend__Snapshot *snapshot)
@@ -88,7 +99,7 @@
 		held[i].here = snapshot->here;
 		state->held[i] = &held[i];
 	}
-	/* Freed by free_state(): the first points at the whole array. */
+	/* free_state() frees the array by state->held[0]. */
 	if (!n)
 		free(held);
 }
@@ -142,10 +153,10 @@
 	}
 }
 
-/* Asking servers what they hold. */
+/* Polling the holdings of servers. */
 
-static bool is_plausible(const struct server_link *link,
-			 const Backend__Holdings *holdings)
+static bool is_valid_holdings(const struct server_link *link,
+			      const Backend__Holdings *holdings)
 {
 	size_t i;
 	size_t k;
@@ -174,7 +185,7 @@
 
 	if (!holdings)
 		return ERR_PROTOCOL;
-	if (!is_plausible(link, holdings)) {
+	if (!is_valid_holdings(link, holdings)) {
 		backend__holdings__free_unpacked(holdings, NULL);
 		return ERR_FOREIGN;
 	}
@@ -192,7 +203,7 @@
 static void holdings_failed(struct server_link *link, int code)
 {
 	link->failures++;
-	if (!link->reachable || link->failures < UNREACHABLE_AFTER)
+	if (!link->reachable || link->failures < UNREACHABLE_FAILURES)
 		return;
 	link->reachable = false;
 	LOG_WARN("server_unreachable", LOG_TEXT("server", link->server->name),
@@ -206,7 +217,7 @@
 	bool changed = !link->reachable;
 	int code = reply->code;
 
-	link->asking = false;
+	link->request_pending = false;
 	if (!code && reply->status == 200) {
 		code = unpack_holdings(link, reply);
 		changed = true;
@@ -221,16 +232,16 @@
 		push_state(link);
 }
 
-static void ask_holdings(struct server_link *link)
+static void request_holdings(struct server_link *link)
 {
-	if (link->asking || !link->server->slots)
+	if (link->request_pending || !link->server->slots)
 		return;
-	link->asked_at = clock_now(link->net->board->clock);
-	link->asking = !server_pool_get(&link->pool, "/v1/holdings", link->etag,
-					on_holdings, link);
+	link->requested_at = clock_now(link->net->board->clock);
+	link->request_pending = !server_pool_get(&link->pool, "/v1/holdings",
+						 link->etag, on_holdings, link);
 }
 
-static bool holds(const struct server_link *link, uint64_t digest)
+static bool has_snapshot(const struct server_link *link, uint64_t digest)
 {
 	size_t i;
 
@@ -242,11 +253,12 @@
 }
 
 /*
- * Servers of a service switch versions together. The first to say so, maybe to
- * another home, makes the others worth asking: otherwise searches see half of
- * either version until the next regular question.
+ * Servers of a service switch versions at about the same time. When the first
+ * one reports the new version, possibly to another home, the others are polled
+ * at once: otherwise neither version would be complete for searches until the
+ * next regular poll.
  */
-static void follow_move(struct server_link *link)
+static void follow_version_switch(struct server_link *link)
 {
 	const struct blackboard *board = link->net->board;
 	const struct catalog_service *service =
@@ -254,11 +266,12 @@
 				     str_from(link->server->service));
 	int64_t now = clock_now(board->clock);
 
-	if (!service || !service->arrived || holds(link, service->arrived) ||
-	    now - service->arrived_at > MOVE_RECENT_US ||
-	    now - link->asked_at < ASK_AGAIN_US)
+	if (!service || !service->arrived ||
+	    has_snapshot(link, service->arrived) ||
+	    now - service->arrived_at > VERSION_SWITCH_WINDOW_US ||
+	    now - link->requested_at < HOLDINGS_MIN_INTERVAL_US)
 		return;
-	ask_holdings(link);
+	request_holdings(link);
 }
 
 static void on_catalog(void *arg)
@@ -268,29 +281,29 @@
 	struct home_server *next;
 
 	HASH_ITER (hh, net->home.servers, server, next)
-		follow_move(link_of(server));
+		follow_version_switch(link_of(server));
 }
 
 /* Running jobs. */
 
-/* Jobs that began since may be late, or silent, sooner. */
-static void arm_sooner(struct home_net *net)
+/* Jobs started since may become late or silent before the timer is due. */
+static void arm_tick_earlier(struct home_net *net)
 {
-	wake_timer_arm(&net->deadline, net->home.wake_at);
+	wake_timer_arm(&net->tick_timer, net->home.wake_at);
 }
 
-static void arm_deadline(struct home_net *net)
+static void tick_and_rearm(struct home_net *net)
 {
 	home_tick(&net->home);
-	wake_timer_move(&net->deadline, net->home.wake_at);
+	wake_timer_move(&net->tick_timer, net->home.wake_at);
 }
 
-static void on_deadline(void *arg)
+static void on_tick_timer(void *arg)
 {
-	arm_deadline(arg);
+	tick_and_rearm(arg);
 }
 
-static void end_lost(struct server_link *link, bool crashed)
+static void report_lost_jobs(struct server_link *link, bool crashed)
 {
 	struct home_net *net = link->net;
 	struct str none = {NULL, 0};
@@ -304,7 +317,7 @@
 				   str_from(link->server->name));
 	link->n_lost = 0;
 	for (i = 0; i < n; i++)
-		home_job_done(&net->home, link->lost[i], ERR_LOST, true, 0,
+		home_job_done(&net->home, link->lost_jobs[i], ERR_LOST, true, 0,
 			      none);
 }
 
@@ -313,26 +326,27 @@
 	struct server_link *link = arg;
 
 	if (link->probing)
-		end_lost(link, reply->code == ERR_CONNECT);
+		report_lost_jobs(link, reply->code == ERR_CONNECT);
 }
 
 /*
- * A crash shows as all connections broken, one after the other, and no new one
- * made; a server that only closes connections makes new ones. The requests
- * that ran there are blamed before they are reported as lost: an entry would
- * else take the one that crashed it to the next server before any instance
- * knew.
+ * A server has crashed if all its connections broke, one after the other, and
+ * it refuses a new one; a server that only closed connections accepts it. The
+ * requests that ran there are marked as suspects before they are reported as
+ * lost: otherwise an entry could retry the one that caused the crash on the
+ * next server before any instance knew of it.
  */
 static void on_lost_timer(evutil_socket_t fd, short what, void *arg)
 {
-	static const struct timeval most = {0, PROBE_MAX_MS * USEC_PER_MSEC};
+	static const struct timeval most = {0,
+					    PROBE_TIMEOUT_MS * USEC_PER_MSEC};
 	struct server_link *link = arg;
 	int ret;
 
 	(void)fd;
 	(void)what;
 	if (link->probing || !server_pool_is_cut(&link->pool)) {
-		end_lost(link, link->probing);
+		report_lost_jobs(link, link->probing);
 		return;
 	}
 	link->probing = true;
@@ -340,19 +354,20 @@
 	ret = server_pool_get(&link->pool, "/v1/holdings", NULL, on_probe,
 			      link);
 	if (ret)
-		end_lost(link, ret == ERR_CONNECT);
+		report_lost_jobs(link, ret == ERR_CONNECT);
 }
 
-/* Return: whether the job's end is put off. */
-static bool hold_lost(struct home_job *job, int code, bool sent)
+/* Return: whether the job is kept to be reported later as lost. */
+static bool delay_lost_job(struct home_job *job, int code, bool sent)
 {
-	static const struct timeval moment = {0, LOST_HOLD_MS * USEC_PER_MSEC};
+	static const struct timeval moment = {0, LOST_REPORT_DELAY_MS *
+							 USEC_PER_MSEC};
 	struct server_link *link = link_of(job->server);
 
 	if (code != ERR_LOST || !sent || !job->query->message->fingerprint)
 		return false;
-	MEM_GROW(link->lost, link->n_lost, link->cap_lost);
-	link->lost[link->n_lost++] = job;
+	MEM_GROW(link->lost_jobs, link->n_lost, link->cap_lost);
+	link->lost_jobs[link->n_lost++] = job;
 	job->handle = NULL;
 	if (!evtimer_pending(link->lost_timer, NULL))
 		evtimer_add(link->lost_timer, &moment);
@@ -366,18 +381,18 @@
 	struct str answer = {NULL, 0};
 	int code = reply->code;
 
-	if (hold_lost(job, code, reply->sent))
+	if (delay_lost_job(job, code, reply->sent))
 		return;
-	/* The entry unpacks and checks it: it alone knows what it asked. */
+	/* Validated by the entry, which knows what it requested. */
 	if (!code && reply->body) {
 		answer.data = (char *)evbuffer_pullup(reply->body, -1);
 		answer.len = evbuffer_get_length(reply->body);
 	}
 	if (!code && !answer.len)
 		code = ERR_PROTOCOL;
-	/* The server moved on: the entry will soon want to know what to. */
+	/* Entries need the server's new state for their next queries. */
 	if (code == ERR_WRONG_VERSION || code == ERR_DRAINING)
-		ask_holdings(link);
+		request_holdings(link);
 	home_job_done(&link->net->home, job, code, reply->sent,
 		      reply->retry_after_ms, answer);
 }
@@ -419,7 +434,7 @@
 	return ret;
 }
 
-/* Running requests that must not be repeated. */
+/* Running non-repeatable requests. */
 
 static int unpack_run_answer(const struct home_job *job, struct evbuffer *body,
 			     Backend__RunAnswer **out)
@@ -447,7 +462,7 @@
 	struct str body = {NULL, 0};
 	int code = run_code(reply->status, reply->code, reply->sent);
 
-	if (hold_lost(job, code, reply->sent))
+	if (delay_lost_job(job, code, reply->sent))
 		return;
 	if (!code && reply->body)
 		code = unpack_run_answer(job, reply->body, &answer);
@@ -457,7 +472,7 @@
 		body = (struct str){(char *)answer->body.data,
 				    answer->body.len};
 	if (code == ERR_NOT_HELD || code == ERR_WRONG_VERSION)
-		ask_holdings(link);
+		request_holdings(link);
 	home_job_done(&link->net->home, job, code, reply->sent,
 		      reply->retry_after_ms, body);
 	if (answer)
@@ -506,7 +521,7 @@
 	free(failed);
 }
 
-/* struct home_ops.start may not report during the call. */
+/* struct home_ops.start must not call home_job_done() itself. */
 static void fail_job_later(struct home_net *net, struct home_job *job, int code)
 {
 	static const struct timeval at_once = {0, 0};
@@ -527,7 +542,7 @@
 		fail_job_later(net, job, ret);
 }
 
-static void silent_job(void *arg, struct home_job *job)
+static void close_silent_job(void *arg, struct home_job *job)
 {
 	(void)arg;
 	if (job->handle)
@@ -539,7 +554,7 @@
 	(void)arg;
 	if (!job->handle)
 		return;
-	/* The server is not asked to stop half way what it may not repeat. */
+	/* The server isn't asked to stop a non-repeatable request halfway. */
 	server_pool_abandon(&link_of(job->server)->pool, job->handle,
 			    job->query->run ? NULL
 					    : job->query->message->request_id);
@@ -562,7 +577,7 @@
 {
 	struct home_net *net = arg;
 
-	event_active(net->flush, EV_TIMEOUT, 1);
+	event_active(net->flush_event, EV_TIMEOUT, 1);
 }
 
 static void on_flush(evutil_socket_t fd, short what, void *arg)
@@ -572,19 +587,19 @@
 	(void)fd;
 	(void)what;
 	home_flush(&net->home);
-	arm_sooner(net);
+	arm_tick_earlier(net);
 }
 
 static const struct home_ops ops = {
 	.start = start_job,
 	.cancel = cancel_job,
-	.silent = silent_job,
+	.close_silent = close_silent_job,
 	.reply = reply_to_entry,
 	.reply_run = reply_run,
 	.want_flush = want_flush,
 };
 
-/* Frames of entries. */
+/* Frames from entries. */
 
 static void send_map(struct home_net *net, struct peer_link *link,
 		     const Peer__MapRequest *wanted)
@@ -616,9 +631,9 @@
 	}
 }
 
-/* Without a server it is for the issuer of its ticket, see run_net. */
-static void take_run(struct home_net *net, struct peer_link *link,
-		     struct frame *frame)
+/* A request without a server is for the ticket's issuer, see run_net. */
+static void handle_run(struct home_net *net, struct peer_link *link,
+		       struct frame *frame)
 {
 	Peer__Run *run = (Peer__Run *)frame->message;
 
@@ -626,7 +641,7 @@
 		return;
 	frame->message = NULL;
 	home_run(&net->home, link, run);
-	arm_deadline(net);
+	tick_and_rearm(net);
 }
 
 static void on_frame(void *arg, struct peer_link *link, struct frame *frame)
@@ -637,10 +652,10 @@
 	case FRAME_QUERY:
 		home_query(&net->home, link, (Peer__Query *)frame->message);
 		frame->message = NULL;
-		arm_deadline(net);
+		tick_and_rearm(net);
 		break;
 	case FRAME_RUN:
-		take_run(net, link, frame);
+		handle_run(net, link, frame);
 		break;
 	case FRAME_CANCEL:
 		home_cancel(&net->home, link, (Peer__Cancel *)frame->message);
@@ -673,11 +688,11 @@
 		home_link_lost(&net->home, link);
 }
 
-/* Which servers, and how much of each. */
+/* Following the table and the shares. */
 
 /*
- * Without a lease nothing may be sent; the open connections stay for when it
- * is back.
+ * Without a lease nothing may be sent. Open connections are kept for when the
+ * lease is renewed.
  */
 static void read_share(const struct home_net *net, int row,
 		       const struct home_server *server, uint32_t *slots,
@@ -695,20 +710,20 @@
 		*connections = server->connections;
 }
 
-static struct home_server *put_server(struct home_net *net,
-				      const struct backend_server *row,
-				      uint32_t connections)
+static struct home_server *find_or_add_server(struct home_net *net,
+					      const struct backend_server *row,
+					      uint32_t connections)
 {
 	struct home_server *server =
-		home_put_server(&net->home, str_from(row->name));
+		home_find_or_add_server(&net->home, str_from(row->name));
 	struct server_link *link;
 
-	if (server->pool)
+	if (server->transport)
 		return server;
 	link = mem_zalloc(sizeof(*link));
 	link->net = net;
 	link->server = server;
-	server->pool = link;
+	server->transport = link;
 	server->address = row->address;
 	str_copy(server->service, sizeof(server->service),
 		 str_from(row->service));
@@ -726,14 +741,14 @@
 	uint32_t slots;
 	uint32_t connections;
 
-	/* Jobs still run at its old address, see drop_server(). */
-	if (server && !server->seen)
+	/* It still runs jobs at its old address, see drop_server(). */
+	if (server && !server->in_table)
 		return;
 	read_share(net, index, server, &slots, &connections);
 	if (!slots && !server)
 		return;
-	server = put_server(net, row, connections);
-	server->seen = true;
+	server = find_or_add_server(net, row, connections);
+	server->in_table = true;
 	link = link_of(server);
 	link->row = index;
 	if (server->slots == slots && server->connections == connections)
@@ -741,7 +756,7 @@
 	home_set_share(&net->home, server, slots, connections);
 	server_pool_set_max(&link->pool, connections);
 	push_state(link);
-	ask_holdings(link);
+	request_holdings(link);
 }
 
 static void drop_server(struct home_net *net, struct home_server *server)
@@ -752,23 +767,23 @@
 		home_set_share(&net->home, server, 0, 0);
 		push_state(link);
 	}
-	/* Jobs still running end first; the next sync comes back to it. */
+	/* Removed by a later sync_servers(), once its jobs have ended. */
 	home_flush(&net->home);
 	if (server->in_flight) {
-		net->has_leftovers = true;
+		net->has_removed_servers = true;
 		return;
 	}
 	server_pool_finish(&link->pool);
 	if (link->holdings)
 		backend__holdings__free_unpacked(link->holdings, NULL);
 	event_free(link->lost_timer);
-	free(link->lost);
+	free(link->lost_jobs);
 	free(link);
 	home_remove_server(&net->home, server);
 }
 
-static bool has_moved(const struct home_server *server,
-		      const struct backend_server *row)
+static bool has_changed(const struct home_server *server,
+			const struct backend_server *row)
 {
 	return strcmp(server->service, row->service) ||
 	       !address_eq(&server->address, &row->address);
@@ -784,21 +799,21 @@
 
 	if (!table)
 		return;
-	net->has_leftovers = false;
+	net->has_removed_servers = false;
 	HASH_ITER (hh, net->home.servers, server, next) {
 		int row = table_server(table, str_from(server->name));
 
-		server->seen =
-			row >= 0 && !has_moved(server, &table->servers[row]);
+		server->in_table =
+			row >= 0 && !has_changed(server, &table->servers[row]);
 		link_of(server)->row = -1;
-		if (!server->seen)
+		if (!server->in_table)
 			drop_server(net, server);
 	}
 	for (i = 0; i < table->n_servers; i++)
 		sync_row(net, i);
 }
 
-static void report_use(void *arg)
+static void report_usage(void *arg)
 {
 	struct home_net *net = arg;
 	struct home_server *server;
@@ -824,11 +839,11 @@
 
 	(void)fd;
 	(void)what;
-	if (net->has_leftovers)
+	if (net->has_removed_servers)
 		sync_servers(net);
 	HASH_ITER (hh, net->home.servers, server, next)
-		ask_holdings(link_of(server));
-	evtimer_add(net->poll, &tv);
+		request_holdings(link_of(server));
+	evtimer_add(net->poll_timer, &tv);
 }
 
 void home_net_init(struct home_net *net, struct blackboard *board,
@@ -838,10 +853,10 @@
 	net->board = board;
 	net->peers = peers;
 	home_init(&net->home, board, &ops, net);
-	net->flush = evtimer_new(board->base, on_flush, net);
-	wake_timer_init(&net->deadline, board->base, board->clock, on_deadline,
-			net);
-	net->poll = evtimer_new(board->base, on_poll, net);
+	net->flush_event = evtimer_new(board->base, on_flush, net);
+	wake_timer_init(&net->tick_timer, board->base, board->clock,
+			on_tick_timer, net);
+	net->poll_timer = evtimer_new(board->base, on_poll, net);
 	net->handler.up = on_link_up;
 	net->handler.down = on_link_down;
 	net->handler.frame = on_frame;
@@ -855,7 +870,7 @@
 			 sync_servers, net);
 	blackboard_watch(board, BLACKBOARD_CATALOG, &net->catalog_watch,
 			 on_catalog, net);
-	blackboard_watch(board, BLACKBOARD_USE, &net->use_watch, report_use,
+	blackboard_watch(board, BLACKBOARD_USE, &net->usage_watch, report_usage,
 			 net);
 	on_poll(-1, 0, net);
 }
@@ -872,11 +887,11 @@
 		if (link->holdings)
 			backend__holdings__free_unpacked(link->holdings, NULL);
 		event_free(link->lost_timer);
-		free(link->lost);
+		free(link->lost_jobs);
 		free(link);
 	}
 	home_finish(&net->home);
-	event_free(net->flush);
-	wake_timer_finish(&net->deadline);
-	event_free(net->poll);
+	event_free(net->flush_event);
+	wake_timer_finish(&net->tick_timer);
+	event_free(net->poll_timer);
 }
