--- a/home.h
+++ b/home.h
@@ -192,28 +192,49 @@
 	int64_t wake_at;
 };
 
+/**
+ * home_init() - start without servers and queries
+ * @home: to be finished with home_finish()
+ * @board: outlives the home
+ * @ops: outlives the home
+ * @arg: first argument of each callback
+ */
 void home_init(struct home *home, struct blackboard *board,
 	       const struct home_ops *ops, void *arg);
 
 /**
  * home_finish() - free all queries and servers; no job may be running
+ * @home: the home
  */
 void home_finish(struct home *home);
 
+/**
+ * home_find_server() - return a server, NULL if the home doesn't know it
+ * @home: the home
+ * @name: of the server
+ */
 struct home_server *home_find_server(const struct home *home, struct str name);
 
 /**
  * home_find_or_add_server() - return the server, added without a share if new
+ * @home: the home
+ * @name: copied
  */
 struct home_server *home_find_or_add_server(struct home *home, struct str name);
 
 /**
  * home_remove_server() - remove and free a server that has no jobs
+ * @home: the home
+ * @server: freed
  */
 void home_remove_server(struct home *home, struct home_server *server);
 
 /**
  * home_set_share() - change the share of a server
+ * @home: the home
+ * @server: of this home
+ * @slots: requests that may run at once
+ * @connections: connections that may be open
  *
  * Jobs that run above a smaller share are not interrupted. With 0 slots the
  * queued ones end with ERR_NOT_HOME, not sent.
@@ -223,6 +244,7 @@
 
 /**
  * home_query() - accept a query of an entry
+ * @home: the home
  * @link: connection that results are sent to
  * @message: ownership passes to @home
  */
@@ -230,6 +252,7 @@
 
 /**
  * home_run() - accept a non-repeatable request from the issuer of its ticket
+ * @home: the home
  * @link: connection that the result is sent to
  * @message: ownership passes to @home; its server is set
  *
@@ -240,17 +263,23 @@
 
 /**
  * home_cancel() - cancel one part of a query, or all of it
+ * @home: the home
  * @link: connection that the query came from
+ * @cancel: not kept
  */
 void home_cancel(struct home *home, void *link, const Peer__Cancel *cancel);
 
 /**
  * home_link_lost() - cancel the queries of an entry whose connection broke
+ * @home: the home
+ * @link: the connection
  */
 void home_link_lost(struct home *home, void *link);
 
 /**
  * home_job_done() - end a started job
+ * @home: the home
+ * @job: valid until the next home_flush()
  * @code: 0 or an error
  * @sent: bytes of the request may have reached the server
  * @retry_after_ms: from the server, milliseconds
@@ -262,11 +291,13 @@
 
 /**
  * home_flush() - send unreported results and free finished queries
+ * @home: the home
  */
 void home_flush(struct home *home);
 
 /**
  * home_tick() - process deadlines, late jobs and silent connections
+ * @home: the home
  *
  * Return: latest time of the next call, microseconds; INT64_MAX if none is
  * needed.
@@ -275,6 +306,7 @@
 
 /**
  * home_is_idle() - whether there is no query
+ * @home: the home
  */
 bool home_is_idle(const struct home *home);
 
--- a/home_net.h
+++ b/home_net.h
@@ -43,8 +43,18 @@
 	struct blackboard_watch catalog_watch;
 };
 
+/**
+ * home_net_init() - connect to the servers that this instance has a share of
+ * @net: to be finished with home_net_finish()
+ * @board: outlives @net
+ * @peers: outlives @net
+ */
 void home_net_init(struct home_net *net, struct blackboard *board,
 		   struct peers *peers);
+/**
+ * home_net_finish() - close all connections and free all memory
+ * @net: initialised
+ */
 void home_net_finish(struct home_net *net);
 
 #endif
