--- a/blackboard.h
+++ b/blackboard.h
@@ -31,7 +31,7 @@
 	BLACKBOARD_CATALOG,   /* what servers hold, or who is their home */
 	BLACKBOARD_INSTANCES, /* the platform's list came */
 	BLACKBOARD_SHARES,    /* shares of backend servers changed */
-	BLACKBOARD_USE,	      /* report what is used, see share_in_use() */
+	BLACKBOARD_USE,	      /* report what is used, see share_report_usage() */
 	BLACKBOARD_LIFECYCLE, /* this instance serves, leaves or stops */
 	BLACKBOARD_N_TOPICS,
 };
--- a/home_net.c
+++ b/home_net.c
@@ -823,9 +823,9 @@
 		const struct server_link *link = link_of(server);
 
 		if (link->row >= 0)
-			share_in_use(net->board->share, link->row,
-				     (int)server->in_flight,
-				     (int)link->pool.n_conns);
+			share_report_usage(net->board->share, link->row,
+					   (int)server->in_flight,
+					   (int)link->pool.n_conns);
 	}
 }
 
--- a/share.c
+++ b/share.c
@@ -15,7 +15,7 @@
 {
 	const struct quota none = {0, 0};
 
-	if (row->pool->fresh || !share_lease_runs(share))
+	if (row->pool->suspended || !share_lease_runs(share))
 		return none;
 	return row->cap;
 }
@@ -24,7 +24,7 @@
 				 const struct share_row *row)
 {
 	(void)share;
-	return row->want;
+	return row->target;
 }
 
 const struct share_rule share_settled = {
@@ -37,47 +37,47 @@
 	.usable = usable_naive,
 };
 
-static void check_lapse(struct share *share)
+static void check_lease_expiry(struct share *share)
 {
 	struct share_pool *pool;
 
 	if (share_lease_runs(share))
 		return;
 	for (pool = share->pools; pool; pool = pool->hh.next) {
-		if (pool->fresh)
+		if (pool->suspended)
 			continue;
-		share->started = clock_now(share->clock);
-		share_pool_reset(share, pool, false);
+		share->started_at = clock_now(share->clock);
+		share_pool_suspend(share, pool, false);
 	}
 }
 
-static void note_incarnation(struct share *share)
+static void check_incarnation(struct share *share)
 {
 	struct share_pool *pool;
 
 	if (share->incarnation == share->members->self.incarnation)
 		return;
 	share->incarnation = share->members->self.incarnation;
-	share->started = clock_now(share->clock);
-	share->confirmed = INT64_MIN / 2;
+	share->started_at = clock_now(share->clock);
+	share->lease_confirmed_at = INT64_MIN / 2;
 	for (pool = share->pools; pool; pool = pool->hh.next)
-		share_pool_reset(share, pool, true);
+		share_pool_suspend(share, pool, true);
 }
 
 /*
- * All entries begin here: whatever happened to the members or the lease since
- * is seen before anything is answered.
+ * Applies changes of the members and the lease. Called first by all public
+ * functions, so that none of them works on an outdated state.
  */
 static void refresh(struct share *share)
 {
 	const struct member *member;
 	struct share_pool *pool;
 
-	note_incarnation(share);
-	check_lapse(share);
-	if (share->seen_version == share->members->version)
+	check_incarnation(share);
+	check_lease_expiry(share);
+	if (share->members_version == share->members->version)
 		return;
-	share->seen_version = share->members->version;
+	share->members_version = share->members->version;
 	share_pool_get(share, share->members->self.data_centre);
 	for (member = member_table_next(share->members, NULL); member;
 	     member = member_table_next(share->members, member)) {
@@ -85,7 +85,7 @@
 			share_pool_get(share, member->data_centre);
 	}
 	for (pool = share->pools; pool; pool = pool->hh.next)
-		share_pool_want(share, pool);
+		share_pool_update_view(share, pool);
 }
 
 void share_init(struct share *share, const struct clock *clock,
@@ -120,7 +120,7 @@
 	share->lease = lease;
 }
 
-/* Rows by the name's hash, to carry over what is used. */
+/* Index of the previous table's rows by the hash of the server's name. */
 struct old_row {
 	uint64_t hash;
 	struct share_row *row;
@@ -143,16 +143,16 @@
 	return entries;
 }
 
-static void carry_over(struct share_row *row, struct old_row *index)
+static void carry_over_usage(struct share_row *row, struct old_row *index)
 {
 	struct old_row *old;
 
 	HASH_FIND(hh, index, &row->hash, sizeof(row->hash), old);
 	if (old)
 		row->used = old->row->used;
-	if (!row->pool->overflow)
+	if (!row->pool->views_dropped)
 		return;
-	/* Views were forgotten: what they allowed is known of old rows only. */
+	/* The caps under dropped views are known for old rows only. */
 	if (!old || old->row->pool != row->pool) {
 		row->cap = (struct quota){0, 0};
 		return;
@@ -180,8 +180,8 @@
 		rows[i].limit.slots = (int)server->slots;
 		rows[i].limit.connections = (int)server->connections;
 		rows[i].pool = share_pool_get(share, server->data_centre);
-		share_row_caps(share, &rows[i]);
-		carry_over(&rows[i], index);
+		share_row_update_caps(share, &rows[i]);
+		carry_over_usage(&rows[i], index);
 	}
 	HASH_CLEAR(hh, index);
 	free(entries);
@@ -192,24 +192,25 @@
 		share->ops->changed(share->arg);
 }
 
-void share_in_use(struct share *share, int row, int slots, int connections)
+void share_report_usage(struct share *share, int row, int slots,
+			int connections)
 {
 	share->rows[row].used.slots = slots;
 	share->rows[row].used.connections = connections;
 }
 
-void share_confirmed(struct share *share, int64_t sent_at)
+void share_confirm_lease(struct share *share, int64_t sent_at)
 {
 	refresh(share);
-	if (sent_at > share->confirmed)
-		share->confirmed = sent_at;
+	if (sent_at > share->lease_confirmed_at)
+		share->lease_confirmed_at = sent_at;
 }
 
 /*
- * With nobody to ask, the list that names us is confirmation enough; so is
- * having nobody at all.
+ * Whether the lease needs no confirmation by a peer: no peer responds, and
+ * either the platform's list names this instance or no other member is present.
  */
-static bool is_alone(const struct share *share)
+static bool may_self_confirm(const struct share *share)
 {
 	const struct member *member;
 
@@ -229,9 +230,9 @@
 	struct share_pool *pool;
 
 	refresh(share);
-	/* A late tick confirms nothing: others may have come meanwhile. */
-	if (now - share->last_tick < share->lease && is_alone(share))
-		share->confirmed = now;
+	/* After a late tick other members may have joined unnoticed. */
+	if (now - share->last_tick < share->lease && may_self_confirm(share))
+		share->lease_confirmed_at = now;
 	share->last_tick = now;
 	for (pool = share->pools; pool; pool = pool->hh.next)
 		share_pool_settle(share, pool);
@@ -255,10 +256,10 @@
 	return share_lease_runs(share);
 }
 
-void share_view_state(struct share *share, const Peer__ViewState *state)
+void share_receive_view_state(struct share *share, const Peer__ViewState *state)
 {
 	refresh(share);
-	share_pool_hear(share, state);
+	share_pool_receive(share, state);
 }
 
 bool share_drained(struct share *share)
@@ -276,16 +277,16 @@
 	return true;
 }
 
-static const struct member *seat_member(const struct share *share,
-					const struct share_seat *seat)
+static const struct member *holder_member(const struct share *share,
+					  const struct share_holder *holder)
 {
 	const struct member *member;
 
-	if (seat->hash == share->members->self.hash)
+	if (holder->hash == share->members->self.hash)
 		return &share->members->self;
 	for (member = member_table_next(share->members, NULL); member;
 	     member = member_table_next(share->members, member)) {
-		if (member->hash == seat->hash)
+		if (member->hash == holder->hash)
 			return member;
 	}
 	return NULL;
@@ -294,17 +295,17 @@
 int share_homes(struct share *share, int row,
 		const struct member *out[SHARE_HOMES])
 {
-	const struct share_seat *rank[SHARE_HOMES];
+	const struct share_holder *rank[SHARE_HOMES];
 	const struct share_view *view;
 	int n;
 	int i;
 
 	refresh(share);
-	view = share_pool_wanted(share->rows[row].pool);
+	view = share_pool_target_view(share->rows[row].pool);
 	if (!view)
 		return 0;
-	n = share_rank(view, &share->rows[row], rank);
+	n = share_rank_homes(view, &share->rows[row], rank);
 	for (i = 0; i < n; i++)
-		out[i] = seat_member(share, rank[i]);
+		out[i] = holder_member(share, rank[i]);
 	return n;
 }
--- a/share_pool.c
+++ b/share_pool.c
@@ -1,4 +1,15 @@
-/* How the instances that hold one data centre's shares settle a new view. */
+/*
+ * Agreement on a new view between the instances that hold the shares of one
+ * data centre. Each change of the target view starts a generation, in which the
+ * caps allow no more than any view that may still be in force somewhere:
+ *
+ * 1. An instance is drained when it uses no more than its caps.
+ * 2. It is settled when it and all required peers are drained.
+ * 3. It brings the target view into force, and so raises its caps, when all
+ *    required peers are settled, too, and its lease runs. After a suspension
+ *    (a start or an expired lease) an established peer, or else the whole
+ *    fleet, has to agree as well.
+ */
 #define LOG_MODULE "share"
 #include <stdlib.h>
 #include <string.h>
@@ -10,16 +21,16 @@
 #include "peer.pb-c.h"
 #include "share_private.h"
 
-#define RESEND_USEC MSEC(1000)
-/* An instance that the list names and nobody ever heard holds up a start. */
-#define STRANGER_USEC MSEC(30000)
-/* With nobody to ask and no list that names us, we wait this long. */
-#define ALONE_USEC MSEC(10000)
-#define START_PERIODS 3
+#define RESEND_INTERVAL_USEC MSEC(1000)
+/* Time that a start waits for a listed instance that never responded. */
+#define UNRESPONSIVE_WAIT_USEC MSEC(30000)
+/* Time that a start waits while an instance may be missing from the members. */
+#define INCOMPLETE_WAIT_USEC MSEC(10000)
+#define START_PROBE_PERIODS 3
 
 static void finish_view(struct share_view *view)
 {
-	free(view->seats);
+	free(view->holders);
 	memset(view, 0, sizeof(*view));
 }
 
@@ -27,7 +38,7 @@
 {
 	while (pool->n_views)
 		finish_view(&pool->views[--pool->n_views]);
-	pool->overflow = false;
+	pool->views_dropped = false;
 }
 
 static void remove_peer(struct share_pool *pool, struct share_peer *peer)
@@ -64,20 +75,20 @@
 	pool = mem_zalloc(sizeof(*pool));
 	pool->data_centre = mem_dup(data_centre);
 	pool->dc_hash = hash;
-	pool->fresh = true;
+	pool->suspended = true;
 	HASH_ADD(hh, share->pools, dc_hash, sizeof(pool->dc_hash), pool);
-	share_pool_want(share, pool);
+	share_pool_update_view(share, pool);
 	return pool;
 }
 
-/* Whether a member takes part in homes; @any: also those that are leaving. */
-static bool takes_part(const struct member *member, bool any)
+/* @any: members that are leaving may hold shares, too. */
+static bool may_hold_shares(const struct member *member, bool any)
 {
 	return member_present(member) &&
 	       (any || member->status != MEMBER_LEAVING);
 }
 
-/* The members, this instance first. */
+/* Iterates over the members, beginning with this instance. */
 static const struct member *next_member(const struct share *share,
 					const struct member *prev)
 {
@@ -89,12 +100,14 @@
 }
 
 /*
- * The data centre itself if anybody is there; else the one that stands in for
- * it. With everybody leaving, the leaving ones go on.
+ * Chooses the data centre whose instances hold the pool's shares: its own if an
+ * instance is present there, otherwise one by rendezvous hashing.
+ *
+ * @any: count leaving members, for when there are no others
  */
-static bool choose_holder(const struct share *share,
-			  const struct share_pool *pool, bool any,
-			  uint64_t *out)
+static bool choose_holding_dc(const struct share *share,
+			      const struct share_pool *pool, bool any,
+			      uint64_t *out)
 {
 	const struct member *member;
 	uint64_t best = 0;
@@ -104,7 +117,7 @@
 	     member = next_member(share, member)) {
 		uint64_t score = str_hash_mix(pool->dc_hash, member->dc_hash);
 
-		if (!takes_part(member, any))
+		if (!may_hold_shares(member, any))
 			continue;
 		if (member->dc_hash == pool->dc_hash)
 			score = UINT64_MAX;
@@ -117,15 +130,15 @@
 	return found;
 }
 
-static void add_seat(struct share_view *view, int *cap,
-		     const struct member *member)
+static void add_holder(struct share_view *view, int *cap,
+		       const struct member *member)
 {
 	uint64_t identity = str_hash_mix(member->hash, member->incarnation);
 
-	MEM_GROW(view->seats, view->n, *cap);
-	view->seats[view->n++] =
-		(struct share_seat){member->hash, member->incarnation};
-	/* The order of members differs between instances. */
+	MEM_GROW(view->holders, view->n, *cap);
+	view->holders[view->n++] =
+		(struct share_holder){member->hash, member->incarnation};
+	/* XOR, as the order of members differs between instances. */
 	view->digest ^= str_hash_mix(identity, 0);
 }
 
@@ -133,20 +146,21 @@
 		      struct share_view *view)
 {
 	const struct member *member;
-	uint64_t holder = 0;
+	uint64_t holding_dc = 0;
 	bool any = false;
 	int cap = 0;
 
 	memset(view, 0, sizeof(*view));
-	if (!choose_holder(share, pool, false, &holder)) {
+	if (!choose_holding_dc(share, pool, false, &holding_dc)) {
 		any = true;
-		choose_holder(share, pool, true, &holder);
+		choose_holding_dc(share, pool, true, &holding_dc);
 	}
 	for (member = next_member(share, NULL); member;
 	     member = next_member(share, member)) {
-		if (!takes_part(member, any) || member->dc_hash != holder)
+		if (!may_hold_shares(member, any) ||
+		    member->dc_hash != holding_dc)
 			continue;
-		add_seat(view, &cap, member);
+		add_holder(view, &cap, member);
 		if (member == &share->members->self)
 			view->has_self = true;
 	}
@@ -174,14 +188,14 @@
 	int i;
 
 	for (i = 0; i < view->n; i++) {
-		if (view->seats[i].incarnation == incarnation)
+		if (view->holders[i].incarnation == incarnation)
 			return true;
 	}
 	return false;
 }
 
-static void require_view(struct share *share, struct share_pool *pool,
-			 const struct share_view *view)
+static void require_peers(struct share *share, struct share_pool *pool,
+			  const struct share_view *view)
 {
 	const struct member *member;
 
@@ -204,27 +218,27 @@
 	return false;
 }
 
-static int least(int a, int b)
+static int min_int(int a, int b)
 {
 	return a < b ? a : b;
 }
 
-void share_row_caps(const struct share *share, struct share_row *row)
+void share_row_update_caps(const struct share *share, struct share_row *row)
 {
 	const struct share_pool *pool = row->pool;
 	uint64_t self = share->members->self.hash;
 	int i;
 
 	row->cap = row->limit;
-	row->want = (struct quota){0, 0};
+	row->target = (struct quota){0, 0};
 	for (i = 0; i < pool->n_views; i++) {
-		row->want = share_quota(&pool->views[i], row, self);
-		row->cap.slots = least(row->cap.slots, row->want.slots);
+		row->target = share_quota(&pool->views[i], row, self);
+		row->cap.slots = min_int(row->cap.slots, row->target.slots);
 		row->cap.connections =
-			least(row->cap.connections, row->want.connections);
+			min_int(row->cap.connections, row->target.connections);
 	}
 	if (!pool->n_views)
-		row->cap = row->want;
+		row->cap = row->target;
 }
 
 static bool is_home(struct quota quota)
@@ -232,25 +246,25 @@
 	return quota.slots > 0;
 }
 
-/* One more view: shares can only shrink until it is settled. */
+/* A view was added: until it is settled, caps can only shrink. */
 static void lower_caps(struct share *share, const struct share_pool *pool)
 {
-	const struct share_view *view = share_pool_wanted(pool);
+	const struct share_view *view = share_pool_target_view(pool);
 	uint64_t self = share->members->self.hash;
 	int i;
 
 	for (i = 0; i < share->n_rows; i++) {
 		struct share_row *row = &share->rows[i];
-		bool before = is_home(row->want);
+		bool before = is_home(row->target);
 
 		if (row->pool != pool)
 			continue;
-		row->want = share_quota(view, row, self);
-		if (before != is_home(row->want))
-			share->moves++;
-		row->cap.slots = least(row->cap.slots, row->want.slots);
+		row->target = share_quota(view, row, self);
+		if (before != is_home(row->target))
+			share->home_changes++;
+		row->cap.slots = min_int(row->cap.slots, row->target.slots);
 		row->cap.connections =
-			least(row->cap.connections, row->want.connections);
+			min_int(row->cap.connections, row->target.connections);
 	}
 }
 
@@ -260,7 +274,7 @@
 
 	for (i = 0; i < share->n_rows; i++) {
 		if (share->rows[i].pool == pool)
-			share->rows[i].cap = share->rows[i].want;
+			share->rows[i].cap = share->rows[i].target;
 	}
 }
 
@@ -271,13 +285,13 @@
 		memmove(&pool->views[0], &pool->views[1],
 			(SHARE_VIEWS - 1) * sizeof(*pool->views));
 		pool->n_views--;
-		pool->overflow = true;
+		pool->views_dropped = true;
 	}
 	pool->views[pool->n_views++] = *view;
 }
 
-/* Against a flapping view: one that is unsettled already is not kept twice. */
-static bool bring_to_end(struct share_pool *pool, uint64_t digest)
+/* Keeps an unsettled view only once when the target view flaps. */
+static bool move_view_to_end(struct share_pool *pool, uint64_t digest)
 {
 	struct share_view view;
 	int i;
@@ -294,66 +308,69 @@
 	return false;
 }
 
-static void begin_round(struct share *share, struct share_pool *pool)
+static void begin_generation(struct share *share, struct share_pool *pool)
 {
 	pool->generation = ++share->generation;
-	pool->full = false;
+	pool->in_force = false;
 	pool->dirty = true;
 	pool->drained = false;
 	pool->settled = false;
 }
 
-void share_pool_want(struct share *share, struct share_pool *pool)
+void share_pool_update_view(struct share *share, struct share_pool *pool)
 {
-	const struct share_view *wanted = share_pool_wanted(pool);
+	const struct share_view *target_view = share_pool_target_view(pool);
 	struct share_view view;
 
 	make_view(share, pool, &view);
-	if (wanted && wanted->digest == view.digest) {
+	if (target_view && target_view->digest == view.digest) {
 		finish_view(&view);
 		return;
 	}
 	if (!is_involved(pool)) {
 		clear_views(pool);
 		if (!view.has_self)
-			pool->fresh = true;
+			pool->suspended = true;
 	}
-	if (bring_to_end(pool, view.digest))
+	if (move_view_to_end(pool, view.digest))
 		finish_view(&view);
 	else
 		append_view(pool, &view);
-	wanted = share_pool_wanted(pool);
-	begin_round(share, pool);
+	target_view = share_pool_target_view(pool);
+	begin_generation(share, pool);
 	if (is_involved(pool))
-		require_view(share, pool, wanted);
+		require_peers(share, pool, target_view);
 	lower_caps(share, pool);
 	if (share->ops->changed)
 		share->ops->changed(share->arg);
 }
 
-void share_pool_reset(struct share *share, struct share_pool *pool, bool forget)
+void share_pool_suspend(struct share *share, struct share_pool *pool,
+			bool new_incarnation)
 {
-	if (!pool->fresh)
+	if (!pool->suspended)
 		LOG_WARN("share_stopped",
 			 LOG_TEXT("data_centre", pool->data_centre),
-			 LOG_TEXT("cause", forget ? "incarnation" : "lease"));
-	pool->fresh = true;
+			 LOG_TEXT("cause",
+				  new_incarnation ? "incarnation" : "lease"));
+	pool->suspended = true;
 	pool->established = false;
-	begin_round(share, pool);
-	if (forget) {
+	begin_generation(share, pool);
+	if (new_incarnation) {
 		clear_views(pool);
 		clear_peers(pool);
-		share_pool_want(share, pool);
+		share_pool_update_view(share, pool);
 	} else {
-		share_pool_want(share, pool);
+		share_pool_update_view(share, pool);
 		if (is_involved(pool))
-			require_view(share, pool, share_pool_wanted(pool));
+			require_peers(share, pool,
+				      share_pool_target_view(pool));
 	}
 	if (share->ops->changed)
 		share->ops->changed(share->arg);
 }
 
-/* Whether the process behind a peer may still use shares. */
+/* Whether the peer's process can't use shares any more. */
 static bool is_released(const struct share *share,
 			const struct share_peer *peer)
 {
@@ -365,9 +382,10 @@
 	return member_released(member, clock_now(share->clock));
 }
 
-static bool agrees(const struct share_pool *pool, const struct share_peer *peer)
+static bool peer_agrees(const struct share_pool *pool,
+			const struct share_peer *peer)
 {
-	return peer->digest == share_pool_wanted(pool)->digest &&
+	return peer->digest == share_pool_target_view(pool)->digest &&
 	       peer->echo == pool->generation;
 }
 
@@ -376,7 +394,7 @@
 {
 	int i;
 
-	/* What was started since the last report would be overlooked. */
+	/* Jobs may have been started since the last report. */
 	if (share->ops->report)
 		share->ops->report(share->arg);
 	for (i = 0; i < share->n_rows; i++) {
@@ -391,16 +409,17 @@
 	return true;
 }
 
-struct tally {
+/* Whether all required peers are drained and settled; one is established. */
+struct peer_tally {
 	bool drained;
 	bool settled;
 	bool established;
 };
 
-static struct tally count_peers(const struct share *share,
-				struct share_pool *pool)
+static struct peer_tally tally_peers(const struct share *share,
+				     struct share_pool *pool)
 {
-	struct tally tally = {true, true, pool->established};
+	struct peer_tally peer_tally = {true, true, pool->established};
 	struct share_peer *peer;
 	struct share_peer *next;
 
@@ -413,19 +432,23 @@
 		}
 		if (!peer->required)
 			continue;
-		ok = agrees(pool, peer);
+		ok = peer_agrees(pool, peer);
 		if (!ok || !peer->drained)
-			tally.drained = false;
+			peer_tally.drained = false;
 		if (!ok || !peer->settled)
-			tally.settled = false;
+			peer_tally.settled = false;
 		if (ok && peer->settled && peer->established)
-			tally.established = true;
+			peer_tally.established = true;
 	}
-	return tally;
+	return peer_tally;
 }
 
-/* One asks the fleet; the others wait until it has the answer. */
-static bool asks_fleet(const struct share *share, const struct share_pool *pool)
+/*
+ * Whether this instance is the one of the target view that queries the whole
+ * fleet. The others wait until it is established.
+ */
+static bool queries_fleet(const struct share *share,
+			  const struct share_pool *pool)
 {
 	uint64_t own = str_hash_mix(pool->dc_hash, share->members->self.hash);
 	const struct member *member;
@@ -433,33 +456,38 @@
 	for (member = member_table_next(share->members, NULL); member;
 	     member = member_table_next(share->members, member)) {
 		if (member->status == MEMBER_ALIVE &&
-		    in_view(share_pool_wanted(pool), member->incarnation) &&
+		    in_view(share_pool_target_view(pool),
+			    member->incarnation) &&
 		    str_hash_mix(pool->dc_hash, member->hash) < own)
 			return false;
 	}
 	return true;
 }
 
-static bool is_stranger(const struct member *member, int64_t now)
+static bool is_awaited_member(const struct member *member, int64_t now)
 {
 	return member->status == MEMBER_NAMED && !member->connection_refused &&
-	       now - member->since < STRANGER_USEC;
+	       now - member->since < UNRESPONSIVE_WAIT_USEC;
 }
 
 /*
- * Whether all can be asked: else there may be holders of whom nobody told us.
- * Without any list we have no table either, and wait.
+ * Whether no holder can be missing from the members. If one can, a start goes
+ * on after INCOMPLETE_WAIT_USEC, provided that a list was seen: without any
+ * list there is no table either, and it waits.
  */
-static bool knows_all(const struct share *share, int64_t now)
+static bool members_complete(const struct share *share, int64_t now)
 {
 	if (share->members->complete)
 		return true;
-	return share->members->list_seen && now - share->started >= ALONE_USEC;
+	return share->members->list_seen &&
+	       now - share->started_at >= INCOMPLETE_WAIT_USEC;
 }
 
 /*
- * Nobody known has held this data centre's shares: then somebody unknown may.
- * It is known to some member or named by a list no older than our start.
+ * Whether the whole fleet agrees. No required peer is established, so the
+ * shares may be held by an instance that is in none of our views. Such an
+ * instance is known to some member or named by a list that is no older than our
+ * start.
  */
 static bool fleet_agrees(const struct share *share, struct share_pool *pool)
 {
@@ -467,24 +495,25 @@
 	const struct member *member;
 	bool agreed = true;
 
-	if (now - share->started < START_PERIODS * share->members->probe_period)
+	if (now - share->started_at <
+	    START_PROBE_PERIODS * share->members->probe_period)
 		return false;
-	if (!knows_all(share, now))
+	if (!members_complete(share, now))
 		return false;
 	for (member = member_table_next(share->members, NULL); member;
 	     member = member_table_next(share->members, member)) {
 		struct share_peer *peer;
 
-		if (is_stranger(member, now))
+		if (is_awaited_member(member, now))
 			agreed = false;
-		/* Gone for its silence, and its lease may still run. */
+		/* Unresponsive, but its lease may still run. */
 		if (member->status == MEMBER_GONE &&
 		    !member_released(member, now))
 			agreed = false;
 		if (!member_present(member))
 			continue;
 		peer = get_peer(pool, member);
-		if (!agrees(pool, peer) || !peer->settled) {
+		if (!peer_agrees(pool, peer) || !peer->settled) {
 			agreed = false;
 			continue;
 		}
@@ -494,20 +523,20 @@
 	return agreed;
 }
 
-static void take_full(struct share *share, struct share_pool *pool)
+static void activate_target_view(struct share *share, struct share_pool *pool)
 {
-	struct share_view *wanted = &pool->views[pool->n_views - 1];
-	struct share_view view = *wanted;
+	struct share_view *target_view = &pool->views[pool->n_views - 1];
+	struct share_view view = *target_view;
 	struct share_peer *peer;
 
-	memset(wanted, 0, sizeof(*wanted));
+	memset(target_view, 0, sizeof(*target_view));
 	clear_views(pool);
 	append_view(pool, &view);
 	for (peer = pool->peers; peer; peer = peer->hh.next)
 		peer->required =
 			view.has_self && in_view(&view, peer->incarnation);
-	pool->full = true;
-	pool->fresh = !view.has_self;
+	pool->in_force = true;
+	pool->suspended = !view.has_self;
 	pool->established = view.has_self;
 	raise_caps(share, pool);
 	if (share->ops->changed)
@@ -523,7 +552,7 @@
 	state.instance = share->members->self.instance;
 	state.incarnation = share->members->self.incarnation;
 	state.data_centre = pool->data_centre;
-	state.view_digest = share_pool_wanted(pool)->digest;
+	state.view_digest = share_pool_target_view(pool)->digest;
 	state.generation = pool->generation;
 	state.echo = peer->generation;
 	state.to_incarnation = peer->incarnation;
@@ -546,83 +575,85 @@
 	return str_hash_mix(hash, flags + 1);
 }
 
-static void tell_peer(struct share *share, struct share_pool *pool,
-		      struct share_peer *peer, bool asked)
+static void send_state_if_due(struct share *share, struct share_pool *pool,
+			      struct share_peer *peer, bool fleet_queried)
 {
 	const struct member *to =
 		member_table_find(share->members, peer->instance);
 	int64_t now = clock_now(share->clock);
 	uint64_t state = state_hash(pool, peer);
-	bool waiting = (peer->required || asked) && !pool->full &&
+	bool waiting = (peer->required || fleet_queried) && !pool->in_force &&
 		       is_involved(pool) &&
-		       (!agrees(pool, peer) || !peer->settled);
-	bool due = now - peer->sent_at >= RESEND_USEC;
+		       (!peer_agrees(pool, peer) || !peer->settled);
+	bool due = now - peer->sent_at >= RESEND_INTERVAL_USEC;
 
 	if (!to || to->incarnation != peer->incarnation)
 		return;
-	if (!peer->answer && !(waiting && due) &&
-	    !((peer->required || asked) && state != peer->sent_state))
+	if (!peer->wants_reply && !(waiting && due) &&
+	    !((peer->required || fleet_queried) &&
+	      state != peer->sent_state_hash))
 		return;
-	peer->sent_state = state;
+	peer->sent_state_hash = state;
 	peer->sent_at = now;
-	send_state(share, pool, peer, to, waiting && !peer->answer);
-	peer->answer = false;
+	send_state(share, pool, peer, to, waiting && !peer->wants_reply);
+	peer->wants_reply = false;
 }
 
-static void tell(struct share *share, struct share_pool *pool, bool asked)
+static void send_states(struct share *share, struct share_pool *pool,
+			bool fleet_queried)
 {
 	struct share_peer *peer;
 
 	for (peer = pool->peers; peer; peer = peer->hh.next)
-		tell_peer(share, pool, peer, asked);
+		send_state_if_due(share, pool, peer, fleet_queried);
 }
 
-/* An instance without any part in it agrees at once. */
+/* An instance that is in none of the views agrees at once. */
 static void settle_uninvolved(struct share *share, struct share_pool *pool)
 {
 	pool->drained = true;
 	pool->settled = true;
-	pool->full = true;
-	tell(share, pool, false);
+	pool->in_force = true;
+	send_states(share, pool, false);
 }
 
 void share_pool_settle(struct share *share, struct share_pool *pool)
 {
-	struct tally tally;
-	bool asked = false;
+	struct peer_tally peer_tally;
+	bool fleet_queried = false;
 	bool agreed;
 
-	/* In force, told to all, and nobody has asked. */
-	if (!pool->n_views || (pool->full && !pool->dirty))
+	/* In force, all peers know, and no state arrived since. */
+	if (!pool->n_views || (pool->in_force && !pool->dirty))
 		return;
 	pool->dirty = false;
 	if (!is_involved(pool)) {
 		settle_uninvolved(share, pool);
 		return;
 	}
-	tally = count_peers(share, pool);
+	peer_tally = tally_peers(share, pool);
 	if (!pool->drained && rows_drained(share, pool))
 		pool->drained = true;
-	if (pool->drained && tally.drained)
+	if (pool->drained && peer_tally.drained)
 		pool->settled = true;
-	agreed = tally.established;
-	if (!pool->full && !agreed && asks_fleet(share, pool)) {
-		asked = true;
+	agreed = peer_tally.established;
+	if (!pool->in_force && !agreed && queries_fleet(share, pool)) {
+		fleet_queried = true;
 		agreed = fleet_agrees(share, pool);
 	}
-	if (!pool->full && pool->settled && tally.settled && agreed &&
+	if (!pool->in_force && pool->settled && peer_tally.settled && agreed &&
 	    share_lease_runs(share))
-		take_full(share, pool);
-	tell(share, pool, asked);
+		activate_target_view(share, pool);
+	send_states(share, pool, fleet_queried);
 }
 
 /*
- * Against a frame to the process before us at this address: its echo would
- * pass for one of our generations. And against one from a process that is
+ * Rejects a state meant for the previous process at this address, whose echo
+ * would be taken for one of our generations, and one from a process that is
  * gone.
  */
-static const struct member *sender(const struct share *share,
-				   const Peer__ViewState *state)
+static const struct member *find_sender(const struct share *share,
+					const Peer__ViewState *state)
 {
 	const struct member *member =
 		member_table_find(share->members, state->instance);
@@ -635,8 +666,11 @@
 	return member;
 }
 
-/* Within a generation a peer only gets further. */
-static void take_state(struct share_peer *peer, const Peer__ViewState *state)
+/*
+ * Within a generation a peer's flags are only ever set, so that reordered
+ * frames do no harm.
+ */
+static void merge_state(struct share_peer *peer, const Peer__ViewState *state)
 {
 	if (state->generation < peer->generation)
 		return;
@@ -653,19 +687,19 @@
 	peer->drained |= state->drained;
 	peer->settled |= state->settled;
 	peer->established |= state->established;
-	peer->answer |= state->reply;
+	peer->wants_reply |= state->reply;
 }
 
-void share_pool_hear(struct share *share, const Peer__ViewState *state)
+void share_pool_receive(struct share *share, const Peer__ViewState *state)
 {
 	const struct member *member;
 	struct share_pool *pool;
 
-	member = sender(share, state);
+	member = find_sender(share, state);
 	if (!member)
 		return;
 	pool = share_pool_get(share, state->data_centre);
-	take_state(get_peer(pool, member), state);
+	merge_state(get_peer(pool, member), state);
 	pool->dirty = true;
 	share_pool_settle(share, pool);
 }
--- a/share_status.c
+++ b/share_status.c
@@ -16,7 +16,7 @@
 	return n;
 }
 
-/* For whom a change of the view waits: the member to look at. */
+/* Members that have not settled the target view yet and so delay it. */
 static void add_waiting(struct evbuffer *out, const struct share_pool *pool)
 {
 	const struct share_view *view = &pool->views[pool->n_views - 1];
@@ -25,7 +25,7 @@
 
 	evbuffer_add_printf(out, ",\"waiting_for\":[");
 	for (peer = pool->peers; peer; peer = peer->hh.next) {
-		if (pool->full || !peer->required ||
+		if (pool->in_force || !peer->required ||
 		    (peer->digest == view->digest && peer->settled &&
 		     peer->echo == pool->generation))
 			continue;
@@ -44,8 +44,8 @@
 	evbuffer_add_printf(out,
 			    ",\"holders\":%d,\"in_force\":%s,\"servers\":%d",
 			    pool->views[pool->n_views - 1].n,
-			    pool->full ? "true" : "false",
-			    pool->fresh ? 0 : own_servers(share, pool));
+			    pool->in_force ? "true" : "false",
+			    pool->suspended ? 0 : own_servers(share, pool));
 	add_waiting(out, pool);
 }
 
--- a/share_status.h
+++ b/share_status.h
@@ -1,4 +1,4 @@
-/* The shares of backend servers in answers to operators. */
+/* The shares in the status that operators read. */
 #ifndef SHARE_STATUS_H
 #define SHARE_STATUS_H
 
@@ -7,7 +7,8 @@
 
 /**
  * share_status_add() - append the shares as a JSON object
- * @share: NULL gives "null"
+ * @out: appended to
+ * @share: NULL appends "null"
  */
 void share_status_add(struct evbuffer *out, struct share *share);
 
--- a/tests/member_sim.c
+++ b/tests/member_sim.c
@@ -186,7 +186,7 @@
 	struct sim_node *node = arg;
 
 	if (node->sim->table)
-		share_confirmed(&node->share, sent_at);
+		share_confirm_lease(&node->share, sent_at);
 }
 
 static uint64_t random_bits(void *arg)
@@ -373,7 +373,7 @@
 		use->used = use->usable;
 		use->drain_at = 0;
 	}
-	share_in_use(&node->share, row, use->used.slots, use->used.connections);
+	share_report_usage(&node->share, row, use->used.slots, use->used.connections);
 }
 
 /* What one instance may use has perhaps changed: check the sums. */
@@ -576,7 +576,7 @@
 		peer__view_state__unpack(NULL, message->len,
 					 (const uint8_t *)message->data);
 
-	share_view_state(&node->share, state);
+	share_receive_view_state(&node->share, state);
 	peer__view_state__free_unpacked(state, NULL);
 }
 
@@ -684,7 +684,7 @@
 
 	for (pool = node->share.pools; pool; pool = pool->hh.next) {
 		if (!strcmp(pool->data_centre, node->data_centre))
-			return pool->full;
+			return pool->in_force;
 	}
 	return false;
 }
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -6,44 +6,52 @@
 #include "unit.h"
 
 #define NODES 8
-#define SERVERS 3 /* a data centre */
-#define SEEDS 8	  /* more by the environment variable SEEDS */
-#define SETTLE MSEC(30000)
+#define SERVERS 3 /* per data centre */
+#define SEEDS 8	  /* default of the environment variable SEEDS */
+#define SETTLE_TIMEOUT MSEC(30000)
 #define LIST_LAG MSEC(5000)
 
-/* What one story shows. */
+/*
+ * The worst results of a scenario over all seeds.
+ *
+ * over: slots by which the sum of shares was above a limit
+ * over_used: the same for slots in use, with requests that still run
+ * reassigned: longest time until the whole limits were assigned again,
+ *	microseconds; -1 for never
+ */
 struct result {
-	int over;	/* worst sum above a limit, slots */
-	int over_used;	/* the same with requests still running */
-	int64_t shared; /* longest until all is shared out again; -1: never */
+	int over;
+	int over_used;
+	int64_t reassigned;
 };
 
-static void begin(struct sim *sim, uint64_t seed, const struct share_rule *rule)
+static void start_fleet(struct sim *sim, uint64_t seed,
+			const struct share_rule *rule)
 {
 	sim_init(sim, seed, NODES, 2, SERVERS, 2, 25, rule);
 	sim->loss = 0.01;
 	sim_start_all(sim);
-	CU_ASSERT(sim_run_until(sim, sim_all_shared, SETTLE) >= 0);
+	CU_ASSERT(sim_run_until(sim, sim_all_shared, SETTLE_TIMEOUT) >= 0);
 	sim_run(sim, MSEC(5000));
 	sim_forget(sim);
 }
 
-static struct result run_story(int64_t (*story)(struct sim *sim),
-			       const struct share_rule *rule)
+static struct result run_scenario(int64_t (*scenario)(struct sim *sim),
+				  const struct share_rule *rule)
 {
 	struct result result = {0};
 	struct sim sim;
-	int64_t shared;
+	int64_t reassigned;
 	const char *wanted = getenv("SEEDS");
 	uint64_t seeds = wanted ? strtoull(wanted, NULL, 10) : SEEDS;
 	uint64_t seed;
 
 	for (seed = 1; seed <= seeds; seed++) {
-		begin(&sim, seed, rule);
-		shared = story(&sim);
-		if (shared < 0 ||
-		    (result.shared >= 0 && shared > result.shared))
-			result.shared = shared;
+		start_fleet(&sim, seed, rule);
+		reassigned = scenario(&sim);
+		if (reassigned < 0 ||
+		    (result.reassigned >= 0 && reassigned > result.reassigned))
+			result.reassigned = reassigned;
 		if (sim.over_slots > result.over)
 			result.over = sim.over_slots;
 		if (sim.over_used > result.over_used)
@@ -52,125 +60,131 @@
 			result.over = 1;
 		sim_finish(&sim);
 	}
-	printf("\n    %-8s over %d, with running %d, shared again in %ld ms ",
+	printf("\n    %-8s over %d, with running %d, reassigned in %ld ms ",
 	       rule->name, result.over, result.over_used,
-	       (long)(result.shared / USEC_PER_MSEC));
+	       (long)(result.reassigned / USEC_PER_MSEC));
 	return result;
 }
 
-/* The sums hold, and all is shared out again; the naive rule breaks them. */
-static void check_story(int64_t (*story)(struct sim *sim), bool naive_fails)
+/*
+ * Checks that sums stay within the limits and that the whole limits are
+ * assigned again; and, with naive_fails, that the naive rule exceeds them.
+ */
+static void check_scenario(int64_t (*scenario)(struct sim *sim),
+			   bool naive_fails)
 {
-	struct result naive = run_story(story, &share_naive);
-	struct result settled = run_story(story, &share_settled);
+	struct result naive = run_scenario(scenario, &share_naive);
+	struct result settled = run_scenario(scenario, &share_settled);
 
 	if (naive_fails)
 		CU_ASSERT(naive.over_used > 0);
 	CU_ASSERT_EQUAL(settled.over, 0);
 	CU_ASSERT_EQUAL(settled.over_used, 0);
-	CU_ASSERT(settled.shared >= 0);
+	CU_ASSERT(settled.reassigned >= 0);
 }
 
-static int64_t shared_again(struct sim *sim)
+static int64_t time_until_reassigned(struct sim *sim)
 {
 	bool (*done)(struct sim *) =
 		sim->rule == &share_naive ? sim_all_shared : sim_all_settled;
 	int64_t start = clock_now(&sim->clock);
 
-	/* What was just done has to be seen first. */
+	/* Instances first have to notice the fault. */
 	sim_run(sim, SIM_TICK * 2);
-	if (sim_run_until(sim, done, SETTLE * 2) < 0)
+	if (sim_run_until(sim, done, SETTLE_TIMEOUT * 2) < 0)
 		return -1;
 	return clock_now(&sim->clock) - start;
 }
 
 /*
- * A process dies. Its share of each server lies idle until the others know;
- * connections to its address are refused, which proves that it is dead, so
- * they take over at once.
+ * A process crashes. Its shares are unused until the others know. Refused
+ * connections to its address prove that it is dead, so that they take over at
+ * once.
  */
-static int64_t story_crash(struct sim *sim)
+static int64_t scenario_crash(struct sim *sim)
 {
 	sim_crash(sim, 2);
-	return shared_again(sim);
+	return time_until_reassigned(sim);
 }
 
 static void test_crash(void)
 {
-	check_story(story_crash, false);
+	check_scenario(scenario_crash, false);
 }
 
 /*
- * A process is restarted at the same address while the others still believe
- * in the old one. The new one starts with nothing; it must not use a share
- * before those who took over have given it back.
+ * A process is restarted at the same address while the others still consider
+ * the previous one present. It starts without shares and must not use one
+ * before those that took over have released it.
  */
-static int64_t story_restart(struct sim *sim)
+static int64_t scenario_restart(struct sim *sim)
 {
 	sim_crash(sim, 2);
 	sim_run(sim, MSEC(3000));
 	sim_start(sim, 2);
-	return shared_again(sim);
+	return time_until_reassigned(sim);
 }
 
 static void test_restart(void)
 {
-	check_story(story_restart, true);
+	check_scenario(scenario_restart, true);
 }
 
 /*
- * An instance stops gracefully: it announces it, finishes what runs, and the
- * others take its share only when it has handed it over.
+ * An instance leaves gracefully: it announces that, finishes its requests, and
+ * the others use its shares only after it has drained.
  */
-static int64_t story_leave(struct sim *sim)
+static int64_t scenario_leave(struct sim *sim)
 {
-	int64_t shared;
+	int64_t reassigned;
 
 	sim_leave(sim, 2);
-	shared = shared_again(sim);
+	reassigned = time_until_reassigned(sim);
 	if (sim->rule != &share_naive)
 		CU_ASSERT(share_drained(&sim->nodes[2].share));
 	sim_exit(sim, 2);
 	sim_run(sim, MSEC(2000));
-	return shared;
+	return reassigned;
 }
 
 static void test_leave(void)
 {
-	check_story(story_leave, true);
+	check_scenario(scenario_leave, true);
 }
 
 /*
- * A process is stopped for 30 s. The list drops it, the others wait out its
- * lease and take over. It wakes with a request in hand and an old view, and
- * must send nothing; told that it is gone, it joins anew.
+ * A process is paused for 30 s. The list drops it, and the others take over
+ * once its lease has expired. It resumes with an outdated view and a request
+ * about to be sent, and must send nothing. When told that it is gone, it joins
+ * again.
  */
-static int64_t story_pause(struct sim *sim)
+static int64_t scenario_pause(struct sim *sim)
 {
-	int64_t shared;
+	int64_t reassigned;
 
 	sim_pause(sim, 2);
 	sim_run(sim, LIST_LAG);
 	sim_list(sim, 2, false);
-	shared = shared_again(sim);
-	if (shared >= 0)
-		sim_run(sim, MSEC(25000) - shared);
+	reassigned = time_until_reassigned(sim);
+	if (reassigned >= 0)
+		sim_run(sim, MSEC(25000) - reassigned);
 	sim_wake(sim, 2);
 	sim_list(sim, 2, true);
-	return shared < 0 || shared_again(sim) < 0 ? -1 : shared;
+	return reassigned < 0 || time_until_reassigned(sim) < 0 ? -1
+								: reassigned;
 }
 
 static void test_pause(void)
 {
-	check_story(story_pause, true);
+	check_scenario(scenario_pause, true);
 }
 
 /*
- * Two are stopped, of two data centres, and the others take over from the one
- * that the list drops. Both wake, and for a while reach only each other: they
- * agree on their old view of the world, and must not act on it.
+ * Two processes of two data centres are paused, and the others take over from
+ * the one that the list drops. Both resume and for 3 s reach only each other:
+ * they agree on their outdated view, and must not use it.
  */
-static int64_t story_pause_two(struct sim *sim)
+static int64_t scenario_pause_two(struct sim *sim)
 {
 	sim_pause(sim, 2);
 	sim_pause(sim, 3);
@@ -183,37 +197,37 @@
 	sim_run(sim, MSEC(3000));
 	sim_list(sim, 2, true);
 	sim_heal(sim);
-	return shared_again(sim);
+	return time_until_reassigned(sim);
 }
 
 static void test_pause_two(void)
 {
-	check_story(story_pause_two, true);
+	check_scenario(scenario_pause_two, true);
 }
 
 /*
- * The same, but the list goes on naming it: its share stays with it, idle, and
- * is back soon after it wakes.
+ * A paused process is still listed: it keeps its shares, unused, and uses them
+ * again soon after it resumes.
  */
-static int64_t story_pause_listed(struct sim *sim)
+static int64_t scenario_pause_listed(struct sim *sim)
 {
 	sim_pause(sim, 2);
 	sim_run(sim, MSEC(30000));
 	sim_wake(sim, 2);
-	return shared_again(sim);
+	return time_until_reassigned(sim);
 }
 
 static void test_pause_listed(void)
 {
-	check_story(story_pause_listed, false);
+	check_scenario(scenario_pause_listed, false);
 }
 
 /*
- * One data centre loses the others for a minute and comes back. Its instances
- * look dead from outside; they go on with their own servers, and nobody else
- * may take those.
+ * A data centre is partitioned from the others for a minute. Its instances look
+ * dead from outside but still use their own servers, and no other instance may
+ * take over their shares.
  */
-static int64_t story_cut(struct sim *sim)
+static int64_t scenario_partition(struct sim *sim)
 {
 	int i;
 
@@ -222,19 +236,20 @@
 	sim_run(sim, MSEC(60000));
 	CU_ASSERT(sim_all_shared(sim));
 	sim_heal(sim);
-	return shared_again(sim);
+	return time_until_reassigned(sim);
 }
 
-static void test_cut(void)
+static void test_partition(void)
 {
-	check_story(story_cut, false);
+	check_scenario(scenario_partition, false);
 }
 
 /*
- * A cut runs through a data centre, and one instance dies on each side. While
- * it lasts, neither side may take what the other may still use.
+ * A partition splits a data centre, and one instance crashes on each side.
+ * While it lasts, neither side may take over shares that the other may still
+ * use.
  */
-static int64_t story_cut_through(struct sim *sim)
+static int64_t scenario_partition_through_dc(struct sim *sim)
 {
 	int i;
 
@@ -247,95 +262,96 @@
 	sim_heal(sim);
 	sim_list(sim, 0, false);
 	sim_list(sim, 6, false);
-	return shared_again(sim);
+	return time_until_reassigned(sim);
 }
 
-static void test_cut_through(void)
+static void test_partition_through_dc(void)
 {
-	check_story(story_cut_through, false);
+	check_scenario(scenario_partition_through_dc, false);
 }
 
 /*
- * All instances of a data centre die, its backend servers do not: those of
- * another data centre stand in. When the first come back they must wait until
- * the others have let go.
+ * All instances of a data centre crash, but not its backend servers, whose
+ * shares instances of another data centre take over. When the first ones
+ * return they must wait until the others have released the shares.
  */
-static int64_t story_data_centre_gone(struct sim *sim)
+static int64_t scenario_data_centre_crash(struct sim *sim)
 {
-	int64_t shared;
+	int64_t reassigned;
 	int i;
 
 	for (i = 0; i < NODES; i += 2)
 		sim_crash(sim, i);
-	shared = shared_again(sim);
+	reassigned = time_until_reassigned(sim);
 	for (i = 0; i < NODES; i += 2)
 		sim_start(sim, i);
-	return shared < 0 || shared_again(sim) < 0 ? -1 : shared;
+	return reassigned < 0 || time_until_reassigned(sim) < 0 ? -1
+								: reassigned;
 }
 
-static void test_data_centre_gone(void)
+static void test_data_centre_crash(void)
 {
-	check_story(story_data_centre_gone, true);
+	check_scenario(scenario_data_centre_crash, true);
 }
 
 /*
- * Every instance is restarted in turn, each gracefully, the next when the one
- * before is back.
+ * Rolling restart: all instances are restarted gracefully, one at a time.
  */
-static int64_t story_rolling(struct sim *sim)
+static int64_t scenario_rolling_restart(struct sim *sim)
 {
 	int64_t worst = 0;
 	int i;
 
 	for (i = 0; i < NODES; i++) {
-		int64_t shared;
+		int64_t reassigned;
 
 		sim_leave(sim, i);
-		if (shared_again(sim) < 0)
+		if (time_until_reassigned(sim) < 0)
 			return -1;
 		sim_exit(sim, i);
 		sim_run(sim, MSEC(200));
 		sim_start(sim, i);
-		shared = shared_again(sim);
-		if (shared < 0)
+		reassigned = time_until_reassigned(sim);
+		if (reassigned < 0)
 			return -1;
-		if (shared > worst)
-			worst = shared;
+		if (reassigned > worst)
+			worst = reassigned;
 	}
 	return worst;
 }
 
-static void test_rolling(void)
+static void test_rolling_restart(void)
 {
-	check_story(story_rolling, true);
+	check_scenario(scenario_rolling_restart, true);
 }
 
 /*
- * The platform's list leaves out half of the instances at each reading. They
- * all answer: nothing may change but by a crash in the middle of it.
+ * The platform's list omits half of the instances at each reading. All of them
+ * respond, so that no share may change, except after a crash meanwhile.
  */
-static int64_t story_flapping(struct sim *sim)
+static int64_t scenario_list_flaps(struct sim *sim)
 {
 	sim_list_mode(sim, SIM_LIST_FLAPPING);
 	sim_run(sim, MSEC(30000));
 	CU_ASSERT(sim_all_shared(sim));
 	sim_crash(sim, 3);
-	if (shared_again(sim) < 0)
+	if (time_until_reassigned(sim) < 0)
 		return -1;
 	sim_start(sim, 3);
-	return shared_again(sim);
+	return time_until_reassigned(sim);
 }
 
-static void test_flapping(void)
+static void test_list_flaps(void)
 {
-	check_story(story_flapping, true);
+	check_scenario(scenario_list_flaps, true);
 }
 
 /*
- * The list is stale: it names the dead and not the new. An instance dies and
- * another, which the list never names, comes and is restarted.
+ * The list is stale: it names crashed instances and lacks new ones. One
+ * instance crashes, and another, which the list never names, joins and is
+ * restarted.
  */
-static int64_t story_stale(struct sim *sim)
+static int64_t scenario_list_stale(struct sim *sim)
 {
 	sim_crash(sim, 5);
 	sim_list(sim, 5, false);
@@ -343,47 +359,47 @@
 	sim_list_mode(sim, SIM_LIST_STALE);
 	sim_crash(sim, 2);
 	sim_start(sim, 5);
-	if (shared_again(sim) < 0)
+	if (time_until_reassigned(sim) < 0)
 		return -1;
 	sim_crash(sim, 5);
 	sim_start(sim, 5);
-	return shared_again(sim);
+	return time_until_reassigned(sim);
 }
 
-static void test_stale(void)
+static void test_list_stale(void)
 {
-	check_story(story_stale, true);
+	check_scenario(scenario_list_stale, true);
 }
 
 /*
- * An instance joins while another of its data centre is stopped. Nobody can
- * tell what the stopped one will do when it wakes, so the new one waits.
+ * An instance joins while another of its data centre is paused. The paused one
+ * may still use its shares when it resumes, so the new one waits.
  */
-static int64_t story_join_in_pause(struct sim *sim)
+static int64_t scenario_join_during_pause(struct sim *sim)
 {
 	sim_crash(sim, 4);
-	if (shared_again(sim) < 0)
+	if (time_until_reassigned(sim) < 0)
 		return -1;
 	sim_pause(sim, 2);
 	sim_run(sim, MSEC(1000));
 	sim_start(sim, 4);
 	sim_run(sim, MSEC(20000));
 	sim_wake(sim, 2);
-	return shared_again(sim);
+	return time_until_reassigned(sim);
 }
 
-static void test_join_in_pause(void)
+static void test_join_during_pause(void)
 {
-	check_story(story_join_in_pause, true);
+	check_scenario(scenario_join_during_pause, true);
 }
 
 /*
- * Any of it at any moment, also together: crashes, restarts, stops, pauses
- * short and long, a list that lags, is stale or down; or, with a good list,
- * cuts. The two regimes apart, because together they can overshoot: see
- * test_worst_cut() and test_worst_start().
+ * Random faults, also several at once: crashes, restarts, graceful stops, short
+ * and long pauses; with these either faults of the list (lag, stale, down) or
+ * partitions. Not both, because together they can exceed the limits, see
+ * test_exceeded_by_partition() and test_exceeded_by_start().
  */
-static void fault_of_list(struct sim *sim, int i)
+static void inject_list_fault(struct sim *sim, int i)
 {
 	struct sim_node *node = &sim->nodes[i];
 
@@ -393,8 +409,11 @@
 		sim_list_mode(sim, sim_random(sim) % 3);
 }
 
-/* One that has met nobody yet is not cut off: see test_worst_start(). */
-static void fault_of_net(struct sim *sim, int i)
+/*
+ * An instance without any peer yet is not cut off: that can exceed the limits,
+ * see test_exceeded_by_start().
+ */
+static void inject_partition(struct sim *sim, int i)
 {
 	const struct sim_node *node = &sim->nodes[i];
 
@@ -406,7 +425,7 @@
 		sim_heal(sim);
 }
 
-static bool any_cut(const struct sim *sim)
+static bool is_partitioned(const struct sim *sim)
 {
 	int i;
 
@@ -417,7 +436,7 @@
 	return false;
 }
 
-static void fault_of_running(struct sim *sim, int i)
+static void inject_process_fault(struct sim *sim, int i)
 {
 	struct sim_node *node = &sim->nodes[i];
 
@@ -439,24 +458,24 @@
 	}
 }
 
-static void one_fault(struct sim *sim, bool cuts)
+static void inject_fault(struct sim *sim, bool with_partitions)
 {
 	int i = (int)(sim_random(sim) % NODES);
 	struct sim_node *node = &sim->nodes[i];
 
 	if (sim_random(sim) % 4 == 0) {
-		if (cuts)
-			fault_of_net(sim, i);
+		if (with_partitions)
+			inject_partition(sim, i);
 		else
-			fault_of_list(sim, i);
+			inject_list_fault(sim, i);
 	} else if (!node->up) {
-		if (!any_cut(sim))
+		if (!is_partitioned(sim))
 			sim_start(sim, i);
 	} else if (node->paused) {
 		sim_wake(sim, i);
 		sim_list(sim, i, true);
 	} else {
-		fault_of_running(sim, i);
+		inject_process_fault(sim, i);
 	}
 }
 
@@ -481,58 +500,58 @@
 	}
 }
 
-static int64_t chaos(struct sim *sim, bool cuts)
+static int64_t inject_random_faults(struct sim *sim, bool with_partitions)
 {
 	int i;
 
 	for (i = 0; i < 200; i++) {
-		one_fault(sim, cuts);
+		inject_fault(sim, with_partitions);
 		sim_run(sim, (int64_t)(sim_random(sim) % MSEC(3000)));
 	}
 	end_faults(sim);
-	return shared_again(sim);
+	return time_until_reassigned(sim);
 }
 
-static int64_t story_chaos_list(struct sim *sim)
+static int64_t scenario_random_list(struct sim *sim)
 {
-	return chaos(sim, false);
+	return inject_random_faults(sim, false);
 }
 
-static void test_chaos_list(void)
+static void test_random_list(void)
 {
-	check_story(story_chaos_list, true);
+	check_scenario(scenario_random_list, true);
 }
 
-/* The same on a slow net, where frames of the past come late. */
-static int64_t story_chaos_slow(struct sim *sim)
+/* The same on a slow network, where outdated frames still arrive. */
+static int64_t scenario_random_slow_network(struct sim *sim)
 {
 	sim->delay = MSEC(150) + (int64_t)(sim_random(sim) % MSEC(800));
-	return chaos(sim, false);
+	return inject_random_faults(sim, false);
 }
 
-static void test_chaos_slow(void)
+static void test_random_slow_network(void)
 {
-	check_story(story_chaos_slow, true);
+	check_scenario(scenario_random_slow_network, true);
 }
 
-static int64_t story_chaos_cuts(struct sim *sim)
+static int64_t scenario_random_partitions(struct sim *sim)
 {
-	return chaos(sim, true);
+	return inject_random_faults(sim, true);
 }
 
-static void test_chaos_cuts(void)
+static void test_random_partitions(void)
 {
-	check_story(story_chaos_cuts, true);
+	check_scenario(scenario_random_partitions, true);
 }
 
-static void check_within(const struct sim *sim)
+static void check_limits_kept(const struct sim *sim)
 {
 	CU_ASSERT_EQUAL(sim->over_slots, 0);
 	CU_ASSERT_EQUAL(sim->over_connections, 0);
 	CU_ASSERT_EQUAL(sim->over_used, 0);
 }
 
-static void cut_in_two(struct sim *sim)
+static void partition_in_half(struct sim *sim)
 {
 	int i;
 
@@ -541,18 +560,18 @@
 }
 
 /*
- * The worst there is: a cut, and the list that one side reads does
- * not name the other side, which runs and reaches the backend servers. Both
- * sides use the whole limit: twice the limit, once a part of the sim. The
- * servers' own refusal is what remains. It ends soon after the heal.
+ * The worst known case: a partition, while the list that one side reads lacks
+ * the other side, which runs and reaches the backend servers. Both sides use
+ * the whole limit, twice the limit in sum. Only the servers themselves can
+ * refuse requests then. It ends soon after the partition.
  */
-static void test_worst_cut(void)
+static void test_exceeded_by_partition(void)
 {
 	struct sim sim;
 	int i;
 
-	begin(&sim, 1, &share_settled);
-	cut_in_two(&sim);
+	start_fleet(&sim, 1, &share_settled);
+	partition_in_half(&sim);
 	for (i = 0; i < NODES / 2; i++)
 		sim_list(&sim, i, false);
 	sim_run(&sim, MSEC(50000));
@@ -563,84 +582,84 @@
 	for (i = 0; i < NODES / 2; i++)
 		sim_list(&sim, i, true);
 	sim_heal(&sim);
-	CU_ASSERT(shared_again(&sim) >= 0);
+	CU_ASSERT(time_until_reassigned(&sim) >= 0);
 	sim_forget(&sim);
 	sim_run(&sim, MSEC(10000));
-	check_within(&sim);
+	check_limits_kept(&sim);
 	sim_finish(&sim);
 }
 
 /*
- * An instance starts while it is cut off from everybody, with a list that
- * names them. It waits half a minute for those whom it never heard; then it
- * takes them for dead, and uses what they use.
+ * An instance starts while it is cut off from all others, which its list names.
+ * It waits 30 s for instances that never responded, then considers them dead
+ * and uses their shares as well.
  */
-static void test_worst_start(void)
+static void test_exceeded_by_start(void)
 {
 	struct sim sim;
 
-	begin(&sim, 1, &share_settled);
+	start_fleet(&sim, 1, &share_settled);
 	sim_crash(&sim, 3);
-	CU_ASSERT(shared_again(&sim) >= 0);
+	CU_ASSERT(time_until_reassigned(&sim) >= 0);
 	sim_cut(&sim, 3, SIM_SIDE_B);
 	sim_start(&sim, 3);
 	sim_run(&sim, MSEC(29000));
-	check_within(&sim);
+	check_limits_kept(&sim);
 	sim_run(&sim, MSEC(10000));
 	CU_ASSERT_EQUAL(sim.over_slots, 2);
 	sim_heal(&sim);
-	CU_ASSERT(shared_again(&sim) >= 0);
+	CU_ASSERT(time_until_reassigned(&sim) >= 0);
 	sim_forget(&sim);
 	sim_run(&sim, MSEC(10000));
-	check_within(&sim);
+	check_limits_kept(&sim);
 	sim_finish(&sim);
 }
 
 /*
- * An operator lowers a limit, raises it and lowers it again. What runs above
- * the lower limit ends by itself; nothing new is sent above it.
+ * An operator raises and lowers the limits. Requests that run above the lower
+ * limit are not interrupted; no new one may start above it.
  */
 static void test_limits(void)
 {
 	struct sim sim;
 
-	begin(&sim, 1, &share_settled);
+	start_fleet(&sim, 1, &share_settled);
 	sim_limits(&sim, 6, 40);
-	CU_ASSERT(shared_again(&sim) >= 0);
-	check_within(&sim);
+	CU_ASSERT(time_until_reassigned(&sim) >= 0);
+	check_limits_kept(&sim);
 	sim_limits(&sim, 1, 3);
 	sim_run(&sim, MSEC(500));
 	sim_forget(&sim);
-	CU_ASSERT(shared_again(&sim) >= 0);
+	CU_ASSERT(time_until_reassigned(&sim) >= 0);
 	sim_crash(&sim, 1);
-	CU_ASSERT(shared_again(&sim) >= 0);
-	check_within(&sim);
+	CU_ASSERT(time_until_reassigned(&sim) >= 0);
+	check_limits_kept(&sim);
 	sim_finish(&sim);
 }
 
 /*
- * One instance of a fleet of 8 stops and comes back. Rendezvous hashing moves
- * only homes that it has: each of its homes moves away once and back once.
+ * One instance of a fleet of 8 leaves. Rendezvous hashing replaces it as a home
+ * of its servers and changes no other home.
  */
-static void test_moves(void)
+static void test_home_changes(void)
 {
 	struct sim sim;
-	uint64_t moves = 0;
+	uint64_t n_changes = 0;
 	int homes = 0;
 	int row;
 	int i;
 
-	begin(&sim, 1, &share_settled);
+	start_fleet(&sim, 1, &share_settled);
 	for (row = 0; row < sim.table->n_servers; row++)
 		homes += share_slots(&sim.nodes[2].share, row) > 0;
 	for (i = 0; i < NODES; i++)
-		sim.nodes[i].share.moves = 0;
+		sim.nodes[i].share.home_changes = 0;
 	sim_leave(&sim, 2);
-	CU_ASSERT(shared_again(&sim) >= 0);
+	CU_ASSERT(time_until_reassigned(&sim) >= 0);
 	for (i = 0; i < NODES; i++)
-		moves += sim.nodes[i].share.moves;
-	/* Gone from one, come to another. */
-	CU_ASSERT_EQUAL(moves, 2 * homes);
+		n_changes += sim.nodes[i].share.home_changes;
+	/* Each home is counted where it is lost and where it is gained. */
+	CU_ASSERT_EQUAL(n_changes, 2 * homes);
 	CU_ASSERT(homes > 0);
 	sim_finish(&sim);
 }
@@ -650,22 +669,23 @@
 	{"restart", test_restart},
 	{"graceful stop", test_leave},
 	{"pause of 30 s, dropped by the list", test_pause},
-	{"two paused, wake apart from the rest", test_pause_two},
+	{"two paused, resume partitioned from the rest", test_pause_two},
 	{"pause of 30 s, still listed", test_pause_listed},
-	{"data centre cut off", test_cut},
-	{"cut through a data centre", test_cut_through},
-	{"data centre gone", test_data_centre_gone},
-	{"rolling restart", test_rolling},
-	{"list flaps", test_flapping},
-	{"list is stale", test_stale},
-	{"join while another is paused", test_join_in_pause},
-	{"any fault of processes and list", test_chaos_list},
-	{"any fault of processes on a slow net", test_chaos_slow},
-	{"any fault of processes and net", test_chaos_cuts},
-	{"worst overshoot: cut, and a wrong list", test_worst_cut},
-	{"worst overshoot: start while cut off", test_worst_start},
+	{"data centre partitioned", test_partition},
+	{"partition through a data centre", test_partition_through_dc},
+	{"all instances of a data centre crash", test_data_centre_crash},
+	{"rolling restart", test_rolling_restart},
+	{"list flaps", test_list_flaps},
+	{"list is stale", test_list_stale},
+	{"join while another is paused", test_join_during_pause},
+	{"random faults of processes and list", test_random_list},
+	{"random faults on a slow network", test_random_slow_network},
+	{"random faults of processes and network", test_random_partitions},
+	{"limits exceeded: partition and wrong list",
+	 test_exceeded_by_partition},
+	{"limits exceeded: start while partitioned", test_exceeded_by_start},
 	{"limits change", test_limits},
-	{"homes that move", test_moves},
+	{"homes that change", test_home_changes},
 };
 
 UNIT_MAIN("share", tests)
