--- a/home.c
+++ b/home.c
@@ -216,7 +216,7 @@
 				 const struct home_server *server)
 {
 	const struct table *table = home->board->table;
-	int row = table ? table_server(table, str_from(server->name)) : -1;
+	int row = table ? table_find_server(table, str_from(server->name)) : -1;
 
 	return row < 0 ? STR("") : str_from(table->servers[row].replica_set);
 }
@@ -299,7 +299,7 @@
 static int service_priority(const struct home *home, const char *service)
 {
 	const struct table *table = home->board->table;
-	int row = table ? table_service(table, str_from(service)) : -1;
+	int row = table ? table_find_service(table, str_from(service)) : -1;
 
 	return row < 0 ? 0 : (int)table->services[row].priority;
 }
@@ -497,7 +497,7 @@
 			   run_times_half_life(home));
 	if (!code) {
 		update_latency(server, latency);
-		slot_queue_served(&server->queue, latency);
+		slot_queue_record_time(&server->queue, latency);
 		metric_histogram_add(
 			&home->board->counters.server_time.histogram, latency);
 	}
--- a/home_net.c
+++ b/home_net.c
@@ -345,7 +345,7 @@
 
 	(void)fd;
 	(void)what;
-	if (link->probing || !server_pool_is_cut(&link->pool)) {
+	if (link->probing || !server_pool_is_disconnected(&link->pool)) {
 		report_lost_jobs(link, link->probing);
 		return;
 	}
@@ -546,7 +546,8 @@
 {
 	(void)arg;
 	if (job->handle)
-		server_pool_give_up(&link_of(job->server)->pool, job->handle);
+		server_pool_close_stalled(&link_of(job->server)->pool,
+					  job->handle);
 }
 
 static void cancel_job(void *arg, struct home_job *job)
@@ -801,7 +802,7 @@
 		return;
 	net->has_removed_servers = false;
 	HASH_ITER (hh, net->home.servers, server, next) {
-		int row = table_server(table, str_from(server->name));
+		int row = table_find_server(table, str_from(server->name));
 
 		server->in_table =
 			row >= 0 && !has_changed(server, &table->servers[row]);
@@ -870,8 +871,8 @@
 			 sync_servers, net);
 	blackboard_watch(board, BLACKBOARD_CATALOG, &net->catalog_watch,
 			 on_catalog, net);
-	blackboard_watch(board, BLACKBOARD_USE, &net->usage_watch, report_usage,
-			 net);
+	blackboard_watch(board, BLACKBOARD_USAGE, &net->usage_watch,
+			 report_usage, net);
 	on_poll(-1, 0, net);
 }
 
