--- a/tests/member_sim.c
+++ b/tests/member_sim.c
@@ -685,7 +685,7 @@
 
 	for (pool = node->share.pools; pool; pool = pool->hh.next) {
 		if (!strcmp(pool->data_centre, node->data_centre))
-			return pool->full;
+			return pool->in_force;
 	}
 	return false;
 }
