--- a/caller.c
+++ b/caller.c
@@ -18,14 +18,16 @@
 #include "request.h"
 #include "run_trace.h"
 
-#define BACKLOG 1024
+#define LISTEN_BACKLOG 1024
 #define RETRY_AFTER_DEFAULT_MS 100
 
 /**
- * struct pending - a caller that waits for its search
- * @http: NULL once the caller's connection is gone
+ * struct pending_search - a request that waits for the outcome of its search
+ * @http: NULL once the caller's connection is closed
+ * @paused: reading from the connection is paused until the response
+ * @answered: the outcome is known
  */
-struct pending {
+struct pending_search {
 	struct caller *caller;
 	evhtp_request_t *http;
 	bool paused;
@@ -40,11 +42,11 @@
 }
 
 /*
- * A caller that keeps its connection to a leaving instance may send on it in
- * the moment it is closed, and cannot know whether the request was taken. Told
- * to close, it connects anew, here or elsewhere.
+ * A caller with a persistent connection to a leaving instance may send a
+ * request just as the instance closes it, and cannot know whether the request
+ * was processed. "Connection: close" makes it open a new connection first.
  */
-static void drop_kept_connection(evhtp_request_t *http)
+static void close_if_leaving(evhtp_request_t *http)
 {
 	const struct caller *caller = http->htp->arg;
 
@@ -55,7 +57,7 @@
 static void send_json(evhtp_request_t *http, int status)
 {
 	add_header(http, "Content-Type", "application/json");
-	drop_kept_connection(http);
+	close_if_leaving(http);
 	evhtp_send_reply(http, (evhtp_res)status);
 }
 
@@ -89,7 +91,7 @@
 	send_json(http, answer_run_status(answer->code));
 }
 
-static bool is_method(evhtp_request_t *http, htp_method method)
+static bool require_method(evhtp_request_t *http, htp_method method)
 {
 	if (evhtp_request_get_method(http) == method)
 		return true;
@@ -101,7 +103,7 @@
 
 static evhtp_res on_request_fini(evhtp_request_t *http, void *arg)
 {
-	struct pending *pending = arg;
+	struct pending_search *pending = arg;
 
 	(void)http;
 	pending->http = NULL;
@@ -112,7 +114,7 @@
 
 void caller_search_done(struct search *search)
 {
-	struct pending *pending = search->owner;
+	struct pending_search *pending = search->owner;
 	evhtp_request_t *http = pending->http;
 
 	pending->answered = true;
@@ -131,22 +133,22 @@
 		evhtp_request_resume(http);
 }
 
-static void make_id(struct caller *caller, char *out, size_t size)
+static void generate_request_id(struct caller *caller, char *out, size_t size)
 {
 	snprintf(out, size, "%016" PRIx64 "-%" PRIu64,
-		 caller->board->incarnation, caller->next_id++);
+		 caller->board->incarnation, caller->next_request_id++);
 }
 
-static void on_search(evhtp_request_t *http, void *arg)
+static void handle_search(evhtp_request_t *http, void *arg)
 {
 	struct caller *caller = arg;
 	struct evbuffer *body = http->buffer_in;
 	struct search_request request;
 	struct error err = {0};
-	struct pending *pending;
+	struct pending_search *pending;
 	int ret;
 
-	if (!is_method(http, htp_method_POST))
+	if (!require_method(http, htp_method_POST))
 		return;
 	ret = search_request_init(&request, (char *)evbuffer_pullup(body, -1),
 				  evbuffer_get_length(body), &err);
@@ -155,7 +157,8 @@
 		return;
 	}
 	if (!*request.request_id)
-		make_id(caller, request.request_id, sizeof(request.request_id));
+		generate_request_id(caller, request.request_id,
+				    sizeof(request.request_id));
 	pending = mem_zalloc(sizeof(*pending));
 	pending->caller = caller;
 	pending->http = http;
@@ -168,7 +171,7 @@
 	evhtp_request_pause(http);
 }
 
-static void on_tickets(evhtp_request_t *http, void *arg)
+static void handle_tickets(evhtp_request_t *http, void *arg)
 {
 	struct caller *caller = arg;
 	struct evbuffer *body = http->buffer_in;
@@ -179,7 +182,7 @@
 	struct error err = {0};
 	int ret;
 
-	if (!is_method(http, htp_method_POST))
+	if (!require_method(http, htp_method_POST))
 		return;
 	ret = ticket_request_init(&request, (char *)evbuffer_pullup(body, -1),
 				  evbuffer_get_length(body), &err);
@@ -188,7 +191,8 @@
 		return;
 	}
 	if (!*request.request_id)
-		make_id(caller, request.request_id, sizeof(request.request_id));
+		generate_request_id(caller, request.request_id,
+				    sizeof(request.request_id));
 	if (entry_net_overloaded(caller->entry, str_from(request.service),
 				 &refusal.retry_after_ms))
 		ret = ERR_OVERLOAD;
@@ -206,11 +210,14 @@
 }
 
 /**
- * struct run_pending - a caller that waits for a request that must not be
- * repeated
- * @http: NULL once the caller's connection is gone
+ * struct pending_run - a request that waits for the outcome of a run, which
+ *			must not be repeated
+ * @wait: first member, so that on_run_answered() can cast it back
+ * @http: set until the request's end, which also frees this
+ * @paused: reading from the connection is paused until the response
+ * @answered: the outcome is known
  */
-struct run_pending {
+struct pending_run {
 	struct run_wait wait;
 	struct caller *caller;
 	evhtp_request_t *http;
@@ -219,10 +226,13 @@
 	bool answered;
 };
 
-/* The request goes on for the one who asks again with its ticket. */
+/*
+ * If the caller disconnects, the run continues: a request with the same ticket
+ * can still get its outcome.
+ */
 static evhtp_res on_run_fini(evhtp_request_t *http, void *arg)
 {
-	struct run_pending *pending = arg;
+	struct pending_run *pending = arg;
 
 	(void)http;
 	if (!pending->answered) {
@@ -245,7 +255,7 @@
 static void on_run_answered(struct run_wait *wait,
 			    const struct ticket_answer *answer)
 {
-	struct run_pending *pending = (struct run_pending *)wait;
+	struct pending_run *pending = (struct pending_run *)wait;
 
 	pending->answered = true;
 	count_run(&pending->caller->board->counters, answer->code);
@@ -258,7 +268,7 @@
 static void start_run(struct caller *caller, evhtp_request_t *http,
 		      struct run_request *request)
 {
-	struct run_pending *pending = mem_zalloc(sizeof(*pending));
+	struct pending_run *pending = mem_zalloc(sizeof(*pending));
 	struct run_message message = {
 		.ticket = str_from(request->ticket),
 		.request_id = str_from(request->request_id),
@@ -283,7 +293,7 @@
 	evhtp_request_pause(http);
 }
 
-static void on_run(evhtp_request_t *http, void *arg)
+static void handle_run(evhtp_request_t *http, void *arg)
 {
 	struct caller *caller = arg;
 	struct evbuffer *body = http->buffer_in;
@@ -291,7 +301,7 @@
 	struct error err = {0};
 	int ret;
 
-	if (!is_method(http, htp_method_POST))
+	if (!require_method(http, htp_method_POST))
 		return;
 	ret = run_request_init(&request, (char *)evbuffer_pullup(body, -1),
 			       evbuffer_get_length(body), &err);
@@ -300,17 +310,18 @@
 		return;
 	}
 	if (!*request.request_id)
-		make_id(caller, request.request_id, sizeof(request.request_id));
+		generate_request_id(caller, request.request_id,
+				    sizeof(request.request_id));
 	start_run(caller, http, &request);
 	run_request_finish(&request);
 }
 
-static void on_addresses(evhtp_request_t *http, void *arg)
+static void handle_addresses(evhtp_request_t *http, void *arg)
 {
 	struct caller *caller = arg;
 	const char *dc = NULL;
 
-	if (!is_method(http, htp_method_GET))
+	if (!require_method(http, htp_method_GET))
 		return;
 	if (http->uri->query)
 		dc = evhtp_kv_find(http->uri->query, "data_centre");
@@ -320,28 +331,28 @@
 	send_json(http, EVHTP_RES_OK);
 }
 
-static void on_status(evhtp_request_t *http, void *arg)
+static void handle_status(evhtp_request_t *http, void *arg)
 {
 	struct caller *caller = arg;
 
-	if (!is_method(http, htp_method_GET))
+	if (!require_method(http, htp_method_GET))
 		return;
 	answer_status_page(http->buffer_out, caller->board);
 	send_json(http, EVHTP_RES_OK);
 }
 
-static void on_metrics(evhtp_request_t *http, void *arg)
+static void handle_metrics(evhtp_request_t *http, void *arg)
 {
 	struct caller *caller = arg;
 
-	if (!is_method(http, htp_method_GET))
+	if (!require_method(http, htp_method_GET))
 		return;
 	metric_expose(&caller->board->counters.registry, http->buffer_out);
 	add_header(http, "Content-Type", "text/plain; version=0.0.4");
 	evhtp_send_reply(http, EVHTP_RES_OK);
 }
 
-static void on_unknown(evhtp_request_t *http, void *arg)
+static void handle_unknown_path(evhtp_request_t *http, void *arg)
 {
 	(void)arg;
 	answer_error(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
@@ -358,7 +369,7 @@
 	evhtp_set_timeouts(caller->http, &idle, &idle);
 }
 
-static void refuse(evhtp_request_t *http, int code)
+static void refuse_request(evhtp_request_t *http, int code)
 {
 	send_refusal(http, "", code, NULL);
 }
@@ -369,7 +380,7 @@
 	struct caller *caller = http->arg;
 
 	(void)listener;
-	accept_backoff_start(&caller->guard);
+	accept_backoff_start(&caller->accept_backoff);
 }
 
 int caller_init(struct caller *caller, struct blackboard *board,
@@ -381,31 +392,32 @@
 	caller->board = board;
 	caller->entry = entry;
 	caller->runs = runs;
-	caller->next_id = 1;
+	caller->next_request_id = 1;
 	caller->http = evhtp_new(board->base, caller);
-	caller_conns_init(&caller->conns, board, caller->http, refuse);
-	evhtp_set_cb(caller->http, "/v1/search", on_search, caller);
-	evhtp_set_cb(caller->http, "/v1/tickets", on_tickets, caller);
-	evhtp_set_cb(caller->http, "/v1/run", on_run, caller);
-	evhtp_set_cb(caller->http, "/v1/addresses", on_addresses, caller);
-	evhtp_set_cb(caller->http, "/v1/status", on_status, caller);
-	evhtp_set_cb(caller->http, "/metrics", on_metrics, caller);
+	caller_conns_init(&caller->conns, board, caller->http, refuse_request);
+	evhtp_set_cb(caller->http, "/v1/search", handle_search, caller);
+	evhtp_set_cb(caller->http, "/v1/tickets", handle_tickets, caller);
+	evhtp_set_cb(caller->http, "/v1/run", handle_run, caller);
+	evhtp_set_cb(caller->http, "/v1/addresses", handle_addresses, caller);
+	evhtp_set_cb(caller->http, "/v1/status", handle_status, caller);
+	evhtp_set_cb(caller->http, "/metrics", handle_metrics, caller);
 	operator_pages_add(caller->http, board);
-	evhtp_set_gencb(caller->http, on_unknown, caller);
+	evhtp_set_gencb(caller->http, handle_unknown_path, caller);
 	apply_tunables(caller);
 	blackboard_watch(board, BLACKBOARD_TABLE, &caller->table_watch,
 			 apply_tunables, caller);
 	if (evhtp_bind_socket(caller->http, address->ip, address->port,
-			      BACKLOG))
+			      LISTEN_BACKLOG))
 		return ERR_ADDRESS;
-	accept_backoff_init(&caller->guard, board->base, caller->http->server);
+	accept_backoff_init(&caller->accept_backoff, board->base,
+			    caller->http->server);
 	evconnlistener_set_error_cb(caller->http->server, on_accept_error);
 	return 0;
 }
 
 void caller_finish(struct caller *caller)
 {
-	accept_backoff_finish(&caller->guard);
+	accept_backoff_finish(&caller->accept_backoff);
 	evhtp_unbind_socket(caller->http);
 	evhtp_free(caller->http);
 }
--- a/caller_conn.c
+++ b/caller_conn.c
@@ -7,20 +7,24 @@
 
 #include "mem.h"
 
-/* Connections above callers_max that still hear why they are refused. */
-#define REFUSED_MAX 64
+/* Connections above callers_max that get an error response, not a close. */
+#define REFUSED_CONNS_MAX 64
 #define HEADERS_MAX_BYTES 65536
-/* Of a body that is too large so much is read, for the answer to arrive. */
-#define DISCARD_FACTOR 16
+/*
+ * A body above body_max_bytes is read and discarded up to this multiple, so
+ * that the client gets the error response.
+ */
+#define BODY_DISCARD_FACTOR 16
 
 /**
  * struct caller_conn - one connection
- * @request_timer: ends a request that takes too long to come or to be read
- * @header_bytes: of the request that comes in
- * @body_bytes: of that request
- * @code: why it is not taken, or 0
- * @is_refused: the connection is one too many
- * @was_paused: the request was worked on when the timer ran out
+ * @request_timer: closes the connection if a request takes too long to arrive
+ *		   or its response too long to be read
+ * @header_bytes: received headers of the current request
+ * @body_bytes: received body of the current request
+ * @refusal_code: why the current request is refused, or 0
+ * @is_refused: the connection exceeds callers_max
+ * @was_paused: the request was being processed when the timer last expired
  */
 struct caller_conn {
 	struct caller_conns *conns;
@@ -28,12 +32,12 @@
 	struct event *request_timer;
 	uint64_t header_bytes;
 	uint64_t body_bytes;
-	int code;
+	int refusal_code;
 	bool is_refused;
 	bool was_paused;
 };
 
-static void arm(struct caller_conn *conn)
+static void start_request_timer(struct caller_conn *conn)
 {
 	const struct tunables *tunables =
 		blackboard_tunables(conn->conns->board);
@@ -45,19 +49,19 @@
 	evtimer_add(conn->request_timer, &tv);
 }
 
-static void begin(struct caller_conn *conn)
+static void reset_request(struct caller_conn *conn)
 {
 	conn->header_bytes = 0;
 	conn->body_bytes = 0;
-	conn->code = conn->is_refused ? ERR_OVERLOAD : 0;
+	conn->refusal_code = conn->is_refused ? ERR_OVERLOAD : 0;
 	conn->was_paused = false;
-	arm(conn);
+	start_request_timer(conn);
 }
 
 /*
- * A client that sends a byte now and then is never idle, and some hundreds of
- * them would hold all connections for ever. The time is for the request as a
- * whole, but for that in which it waits for its answer here.
+ * A client that sends a byte now and then never hits an idle timeout, and a
+ * few hundred of them could occupy all connections indefinitely. This timeout
+ * therefore covers the whole request, except while it is being processed.
  */
 static void on_request_timer(evutil_socket_t fd, short what, void *arg)
 {
@@ -71,22 +75,23 @@
 		return;
 	}
 	conn->was_paused = paused;
-	arm(conn);
+	start_request_timer(conn);
 }
 
-static void on_refused(evhtp_request_t *http, void *arg)
+static void answer_refused(evhtp_request_t *http, void *arg)
 {
 	struct caller_conn *conn = arg;
 
 	if (conn->is_refused)
 		evhtp_request_set_keepalive(http, 0);
-	conn->conns->answer(http, conn->code);
+	conn->conns->send_refusal(http, conn->refusal_code);
 }
 
-static void refuse(struct caller_conn *conn, evhtp_request_t *http, int code)
+static void refuse_request(struct caller_conn *conn, evhtp_request_t *http,
+			   int code)
 {
-	conn->code = code;
-	http->cb = on_refused;
+	conn->refusal_code = code;
+	http->cb = answer_refused;
 	http->cbarg = conn;
 }
 
@@ -107,14 +112,15 @@
 	struct caller_conn *conn = arg;
 
 	(void)headers;
-	if (conn->code)
-		refuse(conn, http, conn->code);
+	if (conn->refusal_code)
+		refuse_request(conn, http, conn->refusal_code);
 	return EVHTP_RES_OK;
 }
 
 /*
- * Closing while the client still sends would take the refusal away with the
- * rest of what it has not read yet: the body is read to its end and dropped.
+ * Closing while the client still sends would reset the connection, and the
+ * client would lose the error response. The body is read to its end and
+ * discarded instead.
  */
 static evhtp_res on_body(evhtp_request_t *http, struct evbuffer *chunk,
 			 void *arg)
@@ -125,8 +131,10 @@
 
 	conn->body_bytes += evbuffer_get_length(chunk);
 	if (conn->body_bytes > (uint64_t)tunables->body_max_bytes)
-		refuse(conn, http, conn->code ? conn->code : ERR_TOO_LARGE);
-	if (!conn->code)
+		refuse_request(conn, http,
+			       conn->refusal_code ? conn->refusal_code
+						  : ERR_TOO_LARGE);
+	if (!conn->refusal_code)
 		return EVHTP_RES_OK;
 	evbuffer_drain(chunk, evbuffer_get_length(chunk));
 	evbuffer_drain(http->buffer_in, evbuffer_get_length(http->buffer_in));
@@ -136,7 +144,7 @@
 static evhtp_res on_request_fini(evhtp_request_t *http, void *arg)
 {
 	(void)http;
-	begin(arg);
+	reset_request(arg);
 	return EVHTP_RES_OK;
 }
 
@@ -144,9 +152,9 @@
 {
 	struct caller_conn *conn = arg;
 
-	/* evhtp ends the connection's last request after the connection. */
+	/* evhtp calls the last request's hook after this one. */
 	evhtp_connection_unset_hook(evhtp, evhtp_hook_on_request_fini);
-	conn->conns->n--;
+	conn->conns->n_open--;
 	event_free(conn->request_timer);
 	free(conn);
 	return EVHTP_RES_OK;
@@ -177,29 +185,29 @@
 	const struct tunables *tunables = blackboard_tunables(conns->board);
 	struct caller_conn *conn;
 
-	if (conns->n >= tunables->callers_max + REFUSED_MAX)
+	if (conns->n_open >= tunables->callers_max + REFUSED_CONNS_MAX)
 		return EVHTP_RES_ERROR;
 	conn = mem_zalloc(sizeof(*conn));
 	conn->conns = conns;
 	conn->evhtp = evhtp;
-	conn->is_refused = conns->n >= tunables->callers_max;
+	conn->is_refused = conns->n_open >= tunables->callers_max;
 	conn->request_timer =
 		evtimer_new(conns->board->base, on_request_timer, conn);
-	conns->n++;
+	conns->n_open++;
 	evhtp_connection_set_max_body_size(evhtp,
 					   (uint64_t)tunables->body_max_bytes *
-						   DISCARD_FACTOR);
+						   BODY_DISCARD_FACTOR);
 	set_hooks(conn);
-	begin(conn);
+	reset_request(conn);
 	return EVHTP_RES_OK;
 }
 
 void caller_conns_init(struct caller_conns *conns, struct blackboard *board,
 		       evhtp_t *http,
-		       void (*answer)(evhtp_request_t *http, int code))
+		       void (*send_refusal)(evhtp_request_t *http, int code))
 {
 	conns->board = board;
-	conns->n = 0;
-	conns->answer = answer;
+	conns->n_open = 0;
+	conns->send_refusal = send_refusal;
 	evhtp_set_post_accept_cb(http, on_accept, conns);
 }
--- a/caller_conn.h
+++ b/caller_conn.h
@@ -1,6 +1,6 @@
 /*
- * Connections of callers, and what one of them may take: their number, the
- * size of a request, and the time to send it.
+ * Limits on callers' connections: their number, the size of a request, and the
+ * time to send it.
  */
 #ifndef CALLER_CONN_H
 #define CALLER_CONN_H
@@ -13,20 +13,22 @@
 
 /**
  * struct caller_conns - all connections of callers
- * @n: open now
- * @answer: answers a request that is not taken, with an error code
+ * @n_open: number of open connections
+ * @send_refusal: sends the response to a refused request, with an error code
  */
 struct caller_conns {
 	struct blackboard *board;
-	int64_t n;
-	void (*answer)(evhtp_request_t *http, int code);
+	int64_t n_open;
+	void (*send_refusal)(evhtp_request_t *http, int code);
 };
 
 /**
- * caller_conns_init() - watch the connections that a server accepts
+ * caller_conns_init() - limit the connections that an HTTP server accepts
+ * @http: borrowed; its post-accept callback is set
+ * @send_refusal: sends the response to a refused request
  */
 void caller_conns_init(struct caller_conns *conns, struct blackboard *board,
 		       evhtp_t *http,
-		       void (*answer)(evhtp_request_t *http, int code));
+		       void (*send_refusal)(evhtp_request_t *http, int code));
 
 #endif
