--- a/http_client.c
+++ b/http_client.c
@@ -12,46 +12,46 @@
 
 struct exchange {
 	struct event_base *base;
-	struct http_answer *answer;
+	struct http_response *response;
 	int ret;
 };
 
-static void on_answer(struct evhttp_request *request, void *arg)
+static void on_response(struct evhttp_request *request, void *arg)
 {
 	struct exchange *exchange = arg;
-	struct http_answer *answer = exchange->answer;
+	struct http_response *response = exchange->response;
 	struct evbuffer *body;
 
 	event_base_loopbreak(exchange->base);
 	exchange->ret = ERR_LOST;
 	if (!request)
 		return;
-	answer->status = evhttp_request_get_response_code(request);
-	if (!answer->status) {
+	response->status = evhttp_request_get_response_code(request);
+	if (!response->status) {
 		exchange->ret = ERR_CONNECT;
 		return;
 	}
 	body = evhttp_request_get_input_buffer(request);
-	answer->len = evbuffer_get_length(body);
-	answer->body = mem_dup_len(evbuffer_pullup(body, -1), answer->len);
+	response->len = evbuffer_get_length(body);
+	response->body = mem_dup_len(evbuffer_pullup(body, -1), response->len);
 	exchange->ret = 0;
 }
 
-int http_client_ask(const struct address *address, const char *path,
-		    const char *body, int timeout_ms,
-		    struct http_answer *answer)
+int http_client_request(const struct address *address, const char *path,
+			const char *body, int timeout_ms,
+			struct http_response *response)
 {
 	struct timeval timeout = {timeout_ms / 1000,
 				  (timeout_ms % 1000) * 1000};
-	struct exchange exchange = {event_base_new(), answer, ERR_CONNECT};
+	struct exchange exchange = {event_base_new(), response, ERR_CONNECT};
 	struct evhttp_connection *connection;
 	struct evhttp_request *request;
 
-	memset(answer, 0, sizeof(*answer));
+	memset(response, 0, sizeof(*response));
 	connection = evhttp_connection_base_new(exchange.base, NULL,
 						address->ip, address->port);
 	evhttp_connection_set_timeout_tv(connection, &timeout);
-	request = evhttp_request_new(on_answer, &exchange);
+	request = evhttp_request_new(on_response, &exchange);
 	evhttp_add_header(evhttp_request_get_output_headers(request), "Host",
 			  address->ip);
 	if (body) {
@@ -68,8 +68,8 @@
 	return exchange.ret;
 }
 
-void http_answer_finish(struct http_answer *answer)
+void http_response_finish(struct http_response *response)
 {
-	free(answer->body);
-	answer->body = NULL;
+	free(response->body);
+	response->body = NULL;
 }
--- a/http_message.c
+++ b/http_message.c
@@ -9,10 +9,9 @@
 #include "error.h"
 #include "mem.h"
 
-/* Bodies grow from this on, doubling. */
-#define BODY_START 1024
+#define BODY_INITIAL_SIZE 1024 /* bytes, first allocation */
 
-static struct http_message *message_of(struct http_parser *parser)
+static struct http_message *get_message(struct http_parser *parser)
 {
 	return parser->data;
 }
@@ -22,8 +21,8 @@
 	return a.len == b.len && !strncasecmp(a.data, b.data, a.len);
 }
 
-static int add_head(struct http_message *message, const char *at, size_t len,
-		    struct http_span *span)
+static int append_head(struct http_message *message, const char *at, size_t len,
+		       struct http_span *span)
 {
 	if (message->head_len + len > message->limits->head) {
 		message->error = ERR_TOO_LARGE;
@@ -36,7 +35,7 @@
 	}
 	memcpy(message->head + message->head_len, at, len);
 	if (!span->len)
-		span->at = (uint32_t)message->head_len;
+		span->offset = (uint32_t)message->head_len;
 	span->len += (uint32_t)len;
 	message->head_len += len;
 	return 0;
@@ -44,22 +43,23 @@
 
 static int on_begin(struct http_parser *parser)
 {
-	message_of(parser)->state = MESSAGE_HEAD;
+	get_message(parser)->state = MESSAGE_HEAD;
 	return 0;
 }
 
 static int on_url(struct http_parser *parser, const char *at, size_t len)
 {
-	struct http_message *message = message_of(parser);
+	struct http_message *message = get_message(parser);
 
-	return add_head(message, at, len, &message->target);
+	return append_head(message, at, len, &message->target);
 }
 
-static int on_name(struct http_parser *parser, const char *at, size_t len)
+static int on_header_name(struct http_parser *parser, const char *at,
+			  size_t len)
 {
-	struct http_message *message = message_of(parser);
+	struct http_message *message = get_message(parser);
 
-	/* Behind the last chunk: trailers are read and dropped. */
+	/* Trailers after the last chunk are ignored. */
 	if (message->state == MESSAGE_BODY)
 		return 0;
 	if (!message->n_fields || message->in_value) {
@@ -70,31 +70,32 @@
 		message->in_value = false;
 	}
 	/*
-	 * The library takes "Content-Length : 5" for another header than
-	 * servers may: a request could hide in the body of another.
+	 * http-parser and a server may read "Content-Length : 5" differently,
+	 * which would allow request smuggling.
 	 */
 	if (memchr(at, ' ', len)) {
 		message->error = ERR_SYNTAX;
 		return 1;
 	}
-	return add_head(message, at, len,
-			&message->fields[message->n_fields - 1].name);
+	return append_head(message, at, len,
+			   &message->fields[message->n_fields - 1].name);
 }
 
-static int on_value(struct http_parser *parser, const char *at, size_t len)
+static int on_header_value(struct http_parser *parser, const char *at,
+			   size_t len)
 {
-	struct http_message *message = message_of(parser);
+	struct http_message *message = get_message(parser);
 
 	if (message->state == MESSAGE_BODY)
 		return 0;
 	message->in_value = true;
-	return add_head(message, at, len,
-			&message->fields[message->n_fields - 1].value);
+	return append_head(message, at, len,
+			   &message->fields[message->n_fields - 1].value);
 }
 
 static int on_headers(struct http_parser *parser)
 {
-	struct http_message *message = message_of(parser);
+	struct http_message *message = get_message(parser);
 	bool framed =
 		parser->flags & F_CHUNKED || parser->flags & F_CONTENTLENGTH;
 
@@ -112,26 +113,28 @@
 
 static int on_body(struct http_parser *parser, const char *at, size_t len)
 {
-	struct http_message *message = message_of(parser);
-	size_t need = message->body_len + len;
+	struct http_message *message = get_message(parser);
+	size_t new_len = message->body_len + len;
 
-	if (need > message->limits->body) {
+	if (new_len > message->limits->body) {
 		message->error = ERR_TOO_LARGE;
 		return 1;
 	}
-	if (need > message->body_cap) {
-		message->body_cap = need < BODY_START ? BODY_START : need * 2;
+	if (new_len > message->body_cap) {
+		message->body_cap = new_len < BODY_INITIAL_SIZE
+					    ? BODY_INITIAL_SIZE
+					    : new_len * 2;
 		message->body = mem_realloc(message->body, message->body_cap);
 	}
 	memcpy(message->body + message->body_len, at, len);
-	message->body_len = need;
+	message->body_len = new_len;
 	return 0;
 }
 
-/* Stops the parser exactly behind the message. */
-static int on_whole(struct http_parser *parser)
+/* Pausing stops the parser exactly at the end of the message. */
+static int on_complete(struct http_parser *parser)
 {
-	message_of(parser)->state = MESSAGE_WHOLE;
+	get_message(parser)->state = MESSAGE_COMPLETE;
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -139,11 +142,11 @@
 static const struct http_parser_settings callbacks = {
 	.on_message_begin = on_begin,
 	.on_url = on_url,
-	.on_header_field = on_name,
-	.on_header_value = on_value,
+	.on_header_field = on_header_name,
+	.on_header_value = on_header_value,
 	.on_headers_complete = on_headers,
 	.on_body = on_body,
-	.on_message_complete = on_whole,
+	.on_message_complete = on_complete,
 };
 
 void http_message_init(struct http_message *message, enum http_parser_type type,
@@ -189,7 +192,7 @@
 	enum http_errno code;
 
 	*used = http_parser_execute(&message->parser, &callbacks, data, len);
-	if (message->state == MESSAGE_WHOLE)
+	if (message->state == MESSAGE_COMPLETE)
 		return 1;
 	code = HTTP_PARSER_ERRNO(&message->parser);
 	if (code != HPE_OK && !message->error)
@@ -233,11 +236,12 @@
 struct str http_message_span(const struct http_message *message,
 			     struct http_span span)
 {
-	return (struct str){span.len ? message->head + span.at : "", span.len};
+	return (struct str){span.len ? message->head + span.offset : "",
+			    span.len};
 }
 
-static const struct http_field *find(const struct http_message *message,
-				     struct str name)
+static const struct http_field *find_field(const struct http_message *message,
+					   struct str name)
 {
 	int i;
 
@@ -253,16 +257,16 @@
 struct str http_message_field(const struct http_message *message,
 			      struct str name)
 {
-	const struct http_field *field = find(message, name);
+	const struct http_field *field = find_field(message, name);
 
 	if (!field)
 		return (struct str){"", 0};
 	return http_message_span(message, field->value);
 }
 
-bool http_message_has(const struct http_message *message, struct str name)
+bool http_message_has_field(const struct http_message *message, struct str name)
 {
-	return find(message, name);
+	return find_field(message, name);
 }
 
 struct str http_message_target(const struct http_message *message)
@@ -276,20 +280,20 @@
 			    message->body_len};
 }
 
-static bool names_field(struct str list, struct str name)
+static bool list_contains(struct str list, struct str name)
 {
 	while (list.len) {
 		const char *comma = memchr(list.data, ',', list.len);
 		size_t len = comma ? (size_t)(comma - list.data) : list.len;
-		struct str word = {list.data, len};
+		struct str item = {list.data, len};
 
-		while (word.len && *word.data == ' ') {
-			word.data++;
-			word.len--;
+		while (item.len && *item.data == ' ') {
+			item.data++;
+			item.len--;
 		}
-		while (word.len && word.data[word.len - 1] == ' ')
-			word.len--;
-		if (eq_nocase(word, name))
+		while (item.len && item.data[item.len - 1] == ' ')
+			item.len--;
+		if (eq_nocase(item, name))
 			return true;
 		if (!comma)
 			return false;
@@ -299,7 +303,8 @@
 	return false;
 }
 
-bool http_field_is_hop(const struct http_message *message, struct str name)
+bool http_field_is_hop_by_hop(const struct http_message *message,
+			      struct str name)
 {
 	static const struct str hops[] = {
 		STR("connection"),
@@ -320,8 +325,8 @@
 		if (eq_nocase(name, hops[i]))
 			return true;
 	}
-	return names_field(http_message_field(message, STR("connection")),
-			   name);
+	return list_contains(http_message_field(message, STR("connection")),
+			     name);
 }
 
 const char *http_status_text(int status)
--- a/http_message.h
+++ b/http_message.h
@@ -1,7 +1,7 @@
 /*
- * One HTTP/1.1 message, read from a stream of bytes by http-parser. It tells
- * exactly where a message ends, so that bytes behind it are never taken for a
- * part of it.
+ * Incremental parser for HTTP/1.1 messages, on top of http-parser. It stops
+ * exactly at the end of a message, so that later bytes of the stream are never
+ * taken for a part of it.
  */
 #ifndef HTTP_MESSAGE_H
 #define HTTP_MESSAGE_H
@@ -16,19 +16,20 @@
 
 struct evbuffer;
 
-/* Spans of the head, as offsets: the head moves while it grows. */
+/* Bytes of the head, by offset: the head is reallocated as it grows. */
 struct http_span {
-	uint32_t at;
+	uint32_t offset;
 	uint32_t len;
 };
 
+/* A header. */
 struct http_field {
 	struct http_span name;
 	struct http_span value;
 };
 
 /**
- * struct http_limits - what one message may take
+ * struct http_limits - size limits of one message
  * @head: bytes of the request or status line and all headers
  * @body: bytes of the body
  */
@@ -38,22 +39,30 @@
 };
 
 enum message_state {
-	MESSAGE_EMPTY, /* no byte of a message yet */
+	MESSAGE_EMPTY, /* nothing received yet */
 	MESSAGE_HEAD,
 	MESSAGE_BODY,
-	MESSAGE_WHOLE,
+	MESSAGE_COMPLETE,
 };
 
 /**
- * struct http_message - a message while it is read, and then as a whole
- * @parser: of the library
+ * struct http_message - a message that is being read or is complete
+ * @parser: state of http-parser
  * @limits: borrowed
- * @state: how far it is
- * @error: 0; ERR_SYNTAX, or ERR_TOO_LARGE with @head_too_large
- * @no_body: set by the owner: answers a HEAD request
- * @head: bytes of target, header names and values
+ * @state: what has been received
+ * @error: 0, ERR_SYNTAX or ERR_TOO_LARGE
+ * @head_too_large: the head, not the body, exceeded its limit
+ * @no_body: set by the owner: the response to a HEAD request
+ * @head: owned: target, header names and values, one after another
+ * @head_len: used bytes of @head
+ * @head_cap: allocated bytes of @head
+ * @head_read: bytes of the stream parsed as head
+ * @target: request target; empty for a response
+ * @fields: owned: headers in their order
+ * @in_value: the last header has a value already
+ * @body: owned; NULL if none was received
  * @until_close: the body has no length and ends with the connection
- * @keep_alive: the sender leaves the connection open
+ * @keep_alive: the sender keeps the connection open
  */
 struct http_message {
 	struct http_parser parser;
@@ -79,58 +88,77 @@
 };
 
 /**
- * http_message_init() - ready for the first byte
+ * http_message_init() - prepare for a message
  * @type: HTTP_REQUEST or HTTP_RESPONSE
+ * @limits: borrowed
  */
 void http_message_init(struct http_message *message, enum http_parser_type type,
 		       const struct http_limits *limits);
+
+/**
+ * http_message_finish() - release the message's memory
+ */
 void http_message_finish(struct http_message *message);
 
 /**
- * http_message_reset() - ready for the next message on the same connection
+ * http_message_reset() - prepare for the next message of the connection
  */
 void http_message_reset(struct http_message *message);
 
 /**
- * http_message_read() - take bytes up to the end of the message
- * @in: what is taken is drained
+ * http_message_read() - parse bytes up to the end of the message
+ * @in: consumed bytes are drained
  *
- * Return: 1 once the message is whole; 0 if more is needed; or @error, after
- * which the connection cannot be used any more.
+ * Return: 1 once the message is complete; 0 if it needs more; or @error, after
+ * which the connection must not be used any more.
  */
 int http_message_read(struct http_message *message, struct evbuffer *in);
 
 /**
  * http_message_eof() - the sender closed the connection in an orderly way
  *
- * Return: 1 if that ends the message; ERR_LOST if it was cut.
+ * Return: 1 if that completes the message; ERR_LOST if it is truncated.
  */
 int http_message_eof(struct http_message *message);
 
 /**
- * http_message_field() - the value of a header; empty if there is none
+ * http_message_field() - value of a header, or an empty string
+ * @name: matched without regard to case
  */
 struct str http_message_field(const struct http_message *message,
 			      struct str name);
-bool http_message_has(const struct http_message *message, struct str name);
 
+/**
+ * http_message_has_field() - whether there is a header, even an empty one
+ */
+bool http_message_has_field(const struct http_message *message,
+			    struct str name);
+
+/**
+ * http_message_target() - request target, valid as long as the message
+ */
 struct str http_message_target(const struct http_message *message);
+
+/**
+ * http_message_body() - body received so far, valid until the next read
+ */
 struct str http_message_body(const struct http_message *message);
 
 /**
- * http_message_span() - bytes of the head
+ * http_message_span() - text of a span, valid until the next read
  */
 struct str http_message_span(const struct http_message *message,
 			     struct http_span span);
 
 /**
- * http_field_is_hop() - whether a header concerns one connection only
- * @message: whose Connection header may name more of them
+ * http_field_is_hop_by_hop() - whether a header is hop-by-hop
+ * @message: its Connection header may name additional ones
  */
-bool http_field_is_hop(const struct http_message *message, struct str name);
+bool http_field_is_hop_by_hop(const struct http_message *message,
+			      struct str name);
 
 /**
- * http_status_text() - the reason phrase
+ * http_status_text() - reason phrase; "Unknown" for an unknown status
  */
 const char *http_status_text(int status);
 
--- a/inbound.c
+++ b/inbound.c
@@ -147,7 +147,7 @@
 	static const char line[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
 	if (conn->invited || conn->message.state != MESSAGE_BODY ||
-	    !http_message_has(&conn->message, STR("expect")))
+	    !http_message_has_field(&conn->message, STR("expect")))
 		return;
 	conn->invited = true;
 	bufferevent_write(conn->bev, line, sizeof(line) - 1);
--- a/tests/test_http_message.c
+++ b/tests/test_http_message.c
@@ -8,30 +8,30 @@
 
 static const struct http_limits limits = {.head = 256, .body = 64};
 
-static int feed(struct http_message *message, struct evbuffer *in,
-		const char *text)
+static int append_and_read(struct http_message *message, struct evbuffer *in,
+			   const char *text)
 {
 	evbuffer_add(in, text, strlen(text));
 	return http_message_read(message, in);
 }
 
-/* Reads a text in two pieces, cut at each place. */
-static void read_cut(enum http_parser_type type, const char *text,
-		     const char *body)
+/* Reads a message in two pieces, split at every offset. */
+static void check_split_reads(enum http_parser_type type, const char *text,
+			      const char *body)
 {
 	size_t len = strlen(text);
-	size_t cut;
+	size_t split;
 
-	for (cut = 0; cut <= len; cut++) {
+	for (split = 0; split <= len; split++) {
 		struct evbuffer *in = evbuffer_new();
 		struct http_message message;
 		int ret;
 
 		http_message_init(&message, type, &limits);
-		evbuffer_add(in, text, cut);
+		evbuffer_add(in, text, split);
 		ret = http_message_read(&message, in);
 		if (ret == 0) {
-			evbuffer_add(in, text + cut, len - cut);
+			evbuffer_add(in, text + split, len - split);
 			ret = http_message_read(&message, in);
 		}
 		CU_ASSERT(ret == 1);
@@ -41,68 +41,74 @@
 	}
 }
 
-static void test_request_in_pieces(void)
+static void test_message_split_anywhere(void)
 {
-	read_cut(HTTP_REQUEST,
-		 "POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nX-Long: v w\r\n"
-		 "Content-Length: 5\r\n\r\nhello",
-		 "hello");
-	read_cut(HTTP_REQUEST,
-		 "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked"
-		 "\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: x\r\n\r\n",
-		 "abcde");
-	read_cut(HTTP_RESPONSE,
-		 "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "abc");
+	check_split_reads(HTTP_REQUEST,
+			  "POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nX-Long: v w\r\n"
+			  "Content-Length: 5\r\n\r\nhello",
+			  "hello");
+	check_split_reads(
+		HTTP_REQUEST,
+		"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked"
+		"\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: x\r\n\r\n",
+		"abcde");
+	check_split_reads(HTTP_RESPONSE,
+			  "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
+			  "abc");
 }
 
-static void test_fields(void)
+static void test_headers(void)
 {
 	struct evbuffer *in = evbuffer_new();
 	struct http_message message;
 
 	http_message_init(&message, HTTP_REQUEST, &limits);
-	CU_ASSERT(feed(&message, in,
-		       "GET /x HTTP/1.1\r\nHost: here\r\nConnection: "
-		       "close, X-Hop\r\nX-Hop: 1\r\nX-End: 2\r\nEmpty:\r\n"
-		       "\r\n") == 1);
+	CU_ASSERT(append_and_read(
+			  &message, in,
+			  "GET /x HTTP/1.1\r\nHost: here\r\nConnection: "
+			  "close, X-Hop\r\nX-Hop: 1\r\nX-End: 2\r\nEmpty:\r\n"
+			  "\r\n") == 1);
 	CU_ASSERT(str_eq_text(http_message_target(&message), "/x"));
 	CU_ASSERT(
 		str_eq_text(http_message_field(&message, STR("HOST")), "here"));
-	CU_ASSERT(http_message_has(&message, STR("empty")));
-	CU_ASSERT(!http_message_has(&message, STR("none")));
-	CU_ASSERT(http_field_is_hop(&message, STR("x-hop")));
-	CU_ASSERT(http_field_is_hop(&message, STR("Content-Length")));
-	CU_ASSERT(!http_field_is_hop(&message, STR("X-End")));
+	CU_ASSERT(http_message_has_field(&message, STR("empty")));
+	CU_ASSERT(!http_message_has_field(&message, STR("none")));
+	CU_ASSERT(http_field_is_hop_by_hop(&message, STR("x-hop")));
+	CU_ASSERT(http_field_is_hop_by_hop(&message, STR("Content-Length")));
+	CU_ASSERT(!http_field_is_hop_by_hop(&message, STR("X-End")));
 	CU_ASSERT(!message.keep_alive);
 	http_message_finish(&message);
 	evbuffer_free(in);
 }
 
 /*
- * A server sends more bytes than its answer says. If they were taken for the
- * next answer, another caller would get them.
+ * A server sends more bytes than its Content-Length says. They must stay in
+ * the buffer: taken for the next response, they would reach another caller.
  */
-static void test_stops_behind_message(void)
+static void test_stops_at_message_end(void)
 {
 	struct evbuffer *in = evbuffer_new();
 	struct http_message message;
 
 	http_message_init(&message, HTTP_RESPONSE, &limits);
-	CU_ASSERT(feed(&message, in,
-		       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 "
-		       "200 OK\r\n") == 1);
+	CU_ASSERT(append_and_read(&message, in,
+				  "HTTP/1.1 200 OK\r\nContent-Length: "
+				  "2\r\n\r\nokHTTP/1.1 "
+				  "200 OK\r\n") == 1);
 	CU_ASSERT(str_eq_text(http_message_body(&message), "ok"));
 	CU_ASSERT(evbuffer_get_length(in) == strlen("HTTP/1.1 200 OK\r\n"));
 	http_message_reset(&message);
-	CU_ASSERT(feed(&message, in, "Content-Length: 0\r\n\r\n") == 1);
+	CU_ASSERT(append_and_read(&message, in, "Content-Length: 0\r\n\r\n") ==
+		  1);
 	CU_ASSERT(message.body_len == 0);
 	http_message_finish(&message);
 	evbuffer_free(in);
 }
 
 /*
- * Without a length, an answer ends with its connection. One that ends with a
- * length still to come was cut off and must not look whole.
+ * A response without a length ends with its connection. If the connection ends
+ * before the announced length, the response is truncated and must not count as
+ * complete.
  */
 static void test_end_of_connection(void)
 {
@@ -110,13 +116,15 @@
 	struct http_message message;
 
 	http_message_init(&message, HTTP_RESPONSE, &limits);
-	CU_ASSERT(feed(&message, in, "HTTP/1.1 200 OK\r\n\r\npart") == 0);
+	CU_ASSERT(append_and_read(&message, in,
+				  "HTTP/1.1 200 OK\r\n\r\npart") == 0);
 	CU_ASSERT(message.until_close);
 	CU_ASSERT(http_message_eof(&message) == 1);
 	CU_ASSERT(str_eq_text(http_message_body(&message), "part"));
 	http_message_reset(&message);
-	CU_ASSERT(feed(&message, in,
-		       "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart") ==
+	CU_ASSERT(append_and_read(
+			  &message, in,
+			  "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart") ==
 		  0);
 	CU_ASSERT(http_message_eof(&message) == ERR_LOST);
 	http_message_finish(&message);
@@ -129,12 +137,12 @@
 	int ret;
 
 	http_message_init(message, HTTP_REQUEST, &limits);
-	ret = feed(message, in, text);
+	ret = append_and_read(message, in, text);
 	evbuffer_free(in);
 	return ret;
 }
 
-static void test_refused(void)
+static void test_malformed_and_oversized(void)
 {
 	static const char *const bad[] = {
 		"GET / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: "
@@ -165,11 +173,12 @@
 }
 
 static const struct unit_test tests[] = {
-	{"request in pieces", test_request_in_pieces},
-	{"fields", test_fields},
-	{"stops behind the message", test_stops_behind_message},
+	{"message split at every offset", test_message_split_anywhere},
+	{"headers", test_headers},
+	{"stops at the end of the message", test_stops_at_message_end},
 	{"end of connection", test_end_of_connection},
-	{"refused", test_refused},
+	{"malformed and oversized messages are refused",
+	 test_malformed_and_oversized},
 };
 
 UNIT_MAIN("http_message", tests)
