--- a/replica.c
+++ b/replica.c
@@ -6,21 +6,23 @@
 #define LOG_MODULE "replica"
 #include "log.h"
 
-/* A second choice must be this much quicker than the first. */
-#define CLEARLY_QUICKER 1.25
-/* Requests a server may refuse for each it accepts before it gets fewer. */
+/* The first choice must take this many times as long as the second. */
+#define SWITCH_LATENCY_RATIO 1.25
+/* Throttling starts above this many requests for each accepted one. */
 #define THROTTLE_K 2.0
-#define WEIGHT_FLOOR 0.02
-#define SLOW_START_FLOOR 0.1
-/* A bad word of the health endpoint halves the share, no more. */
+#define THROTTLE_FLOOR 0.02
+#define SLOW_START_FLOOR 0.1 /* weight factor of a cold server */
+/* The health endpoint can at most halve the weight: it may be wrong. */
 #define HEALTH_FLOOR 0.5
 #define LOAD_AGE_MAX_US 1000000
-#define OUTLIER_SAMPLES 8.0f
+/* Requests needed before a server is judged by its failures or latency. */
+#define OUTLIER_MIN_SAMPLES 8.0f
 #define FAILURE_RATIO 0.5f
-#define DOUBLINGS_MAX 5
-/* An ejection longer ago than this does not lengthen the next. */
+#define EJECT_DOUBLINGS_MAX 5
+/* Older ejections do not lengthen the next one. */
 #define EJECTION_MEMORY_US 60000000
 
+/* Preference classes of replicas, the best one first. */
 enum tier {
 	TIER_NORMAL,
 	TIER_LAST_RESORT, /* weight 0 in the table */
@@ -64,29 +66,30 @@
 {
 	int64_t length = MSEC(observe->tunables.slow_start_ms);
 	struct observe_server *server = replica->server;
-	double part;
+	double factor;
 
-	/* It starts to warm up when it no longer says it is cold. */
+	/* The slow start begins when the server stops reporting cold. */
 	if (replica->is_cold) {
 		server->warm_since = now;
 		return SLOW_START_FLOOR;
 	}
 	if (now - server->warm_since >= length)
 		return 1;
-	part = (double)(now - server->warm_since) / (double)length;
-	return part > SLOW_START_FLOOR ? part : SLOW_START_FLOOR;
+	factor = (double)(now - server->warm_since) / (double)length;
+	return factor > SLOW_START_FLOOR ? factor : SLOW_START_FLOOR;
 }
 
-/* As adaptive throttling of clients: fewer when requests > K x accepts. */
+/* Client-side adaptive throttling: reduces once requests > K x accepts. */
 static double throttle(const struct observe_server *server)
 {
-	double asked =
+	double requests =
 		(double)(server->accepts + server->refusals + server->failures);
-	double part = (THROTTLE_K * (double)server->accepts + 1) / (asked + 1);
+	double factor =
+		(THROTTLE_K * (double)server->accepts + 1) / (requests + 1);
 
-	if (part > 1)
+	if (factor > 1)
 		return 1;
-	return part > WEIGHT_FLOOR ? part : WEIGHT_FLOOR;
+	return factor > THROTTLE_FLOOR ? factor : THROTTLE_FLOOR;
 }
 
 static double weight_of(const struct observe *observe,
@@ -100,8 +103,8 @@
 	       (HEALTH_FLOOR + (1 - HEALTH_FLOOR) * health);
 }
 
-double replica_finish_us(const struct observe *observe,
-			 const struct replica *replica, double share)
+double replica_completion_us(const struct observe *observe,
+			     const struct replica *replica, double share)
 {
 	const struct observe_server *server = replica->server;
 	double mean = (double)observe_mean(observe, server);
@@ -115,73 +118,75 @@
 		slots = 1;
 	if (mean < 1)
 		mean = 1;
-	/* Late requests tell of a slow server before its answers do. */
+	/* Overdue requests reveal a slow server before its answers do. */
 	return mean * (1 + load / (slots * share)) * (1 + server->late);
 }
 
-/* Index of a random replica of the tier, by weight, other than @not. */
-static int draw(const struct observe *observe, struct rng *rng,
-		const struct replica *replicas, int n, enum tier tier, int not )
+/* Draws a replica of the tier at random by weight, other than @skip. */
+static int draw_weighted(const struct observe *observe, struct rng *rng,
+			 const struct replica *replicas, int n, enum tier tier,
+			 int skip)
 {
 	int64_t now = clock_now(observe->clock);
 	double total = 0;
-	double point;
+	double remaining;
 	int last = -1;
 	int i;
 
 	for (i = 0; i < n; i++) {
-		if (i != not &&tier_of(&replicas[i], now) == tier)
+		if (i != skip && tier_of(&replicas[i], now) == tier)
 			total += weight_of(observe, &replicas[i], now);
 	}
-	point = rng_unit(rng) * total;
+	remaining = rng_unit(rng) * total;
 	for (i = 0; i < n; i++) {
-		if (i == not || tier_of(&replicas[i], now) != tier)
+		if (i == skip || tier_of(&replicas[i], now) != tier)
 			continue;
 		last = i;
-		point -= weight_of(observe, &replicas[i], now);
-		if (point < 0)
+		remaining -= weight_of(observe, &replicas[i], now);
+		if (remaining < 0)
 			return i;
 	}
 	return last;
 }
 
-/* What share of the load a replica should have, refusals aside. */
-static double fair_weight(const struct observe *observe,
-			  const struct replica *replica)
+/* Weight that the load should follow; ignores throttling and health. */
+static double target_weight(const struct observe *observe,
+			    const struct replica *replica)
 {
 	double weight = replica->weight > 0 ? (double)replica->weight : 1;
 
 	return weight * slow_start(observe, replica, clock_now(observe->clock));
 }
 
-static double share_of(const struct observe *observe,
-		       const struct replica *replicas, int a, int b)
+static double relative_share(const struct observe *observe,
+			     const struct replica *replicas, int a, int b)
 {
-	double own = fair_weight(observe, &replicas[a]);
-	double other = fair_weight(observe, &replicas[b]);
+	double own = target_weight(observe, &replicas[a]);
+	double other = target_weight(observe, &replicas[b]);
 
 	return own / (own > other ? own : other);
 }
 
 /*
- * The load is held against the share, so that a replica with three times the
- * weight may have three times the requests before it counts as the slower.
+ * The load is compared relative to the weight, so that a replica with three
+ * times the weight may have three times the requests in flight before it counts
+ * as slower.
  */
-static int better(const struct observe *observe, const struct replica *replicas,
-		  int first, int second)
+static int choose_faster(const struct observe *observe,
+			 const struct replica *replicas, int first, int second)
 {
-	double a =
-		replica_finish_us(observe, &replicas[first],
-				  share_of(observe, replicas, first, second));
-	double b =
-		replica_finish_us(observe, &replicas[second],
-				  share_of(observe, replicas, second, first));
-
-	return b * CLEARLY_QUICKER < a ? second : first;
+	double a = replica_completion_us(observe, &replicas[first],
+					 relative_share(observe, replicas,
+							first, second));
+	double b = replica_completion_us(observe, &replicas[second],
+					 relative_share(observe, replicas,
+							second, first));
+
+	return b * SWITCH_LATENCY_RATIO < a ? second : first;
 }
 
-/* An ejected server whose time is up, and that nobody tries just now. */
-static int due_probe(const struct replica *replicas, int n, int64_t now)
+/* Index of an ejected server whose ejection is over and has no probe out. */
+static int find_due_probe(const struct replica *replicas, int n, int64_t now)
 {
 	int i;
 
@@ -195,7 +200,8 @@
 	return -1;
 }
 
-static int64_t first_return(const struct replica *replicas, int n, int64_t now)
+static int64_t earliest_back_off_end(const struct replica *replicas, int n,
+				     int64_t now)
 {
 	int64_t first = INT64_MAX;
 	int i;
@@ -211,10 +217,11 @@
 static int pick_replica(struct observe *observe, struct rng *rng,
 			const struct replica *replicas, int n, enum tier tier)
 {
-	int first = draw(observe, rng, replicas, n, tier, -1);
-	int second = draw(observe, rng, replicas, n, tier, first);
+	int first = draw_weighted(observe, rng, replicas, n, tier, -1);
+	int second = draw_weighted(observe, rng, replicas, n, tier, first);
 
-	return second < 0 ? first : better(observe, replicas, first, second);
+	return second < 0 ? first
+			  : choose_faster(observe, replicas, first, second);
 }
 
 int replica_choose(struct observe *observe, struct rng *rng,
@@ -223,12 +230,12 @@
 {
 	int64_t now = clock_now(observe->clock);
 	enum tier tier = best_tier(replicas, n, now);
-	int probe = urgent ? -1 : due_probe(replicas, n, now);
+	int probe = urgent ? -1 : find_due_probe(replicas, n, now);
 
 	if (tier == TIER_EXCLUDED)
 		return ERR_NO_REPLICA;
 	if (tier == TIER_BACK_OFF) {
-		*when = first_return(replicas, n, now);
+		*when = earliest_back_off_end(replicas, n, now);
 		return ERR_SHED;
 	}
 	pick->probe = probe >= 0;
@@ -242,43 +249,44 @@
 	return 0;
 }
 
-static double home_fill(const struct observe *observe,
-			const struct replica *replica, int i)
+static double home_utilisation(const struct observe *observe,
+			       const struct replica *replica, int i)
 {
 	const struct replica_home *home = &replica->homes[i];
-	const struct observe_home *seen =
+	const struct observe_home *home_stats =
 		observe_home(replica->server, home->instance);
 	int64_t now = clock_now(observe->clock);
-	uint32_t load = seen->in_flight;
+	uint32_t load = home_stats->in_flight;
 
-	if (now - seen->load_at < LOAD_AGE_MAX_US && seen->load > load)
-		load = seen->load;
+	if (now - home_stats->load_at < LOAD_AGE_MAX_US &&
+	    home_stats->load > load)
+		load = home_stats->load;
 	return (load + 1.0) / (home->slots ? home->slots : 1);
 }
 
 int replica_choose_home(const struct observe *observe, struct rng *rng,
 			const struct replica *replica, uint64_t avoid)
 {
-	double least = INFINITY;
+	double lowest = INFINITY;
 	int best = 0;
 	int i;
 
 	for (i = 0; i < replica->n_homes; i++) {
-		double fill = home_fill(observe, replica, i);
+		double utilisation = home_utilisation(observe, replica, i);
 
 		if (replica->homes[i].instance == avoid)
-			fill += 1e9;
-		/* A little chance breaks ties. */
-		fill *= 1 + rng_unit(rng) / 64;
-		if (fill >= least)
+			utilisation += 1e9;
+		/* Random tie-breaking. */
+		utilisation *= 1 + rng_unit(rng) / 64;
+		if (utilisation >= lowest)
 			continue;
-		least = fill;
+		lowest = utilisation;
 		best = i;
 	}
 	return best;
 }
 
-static int ejected_in(const struct observe_group *group)
+static int count_ejected(const struct observe_group *group)
 {
 	int n = 0;
 	int i;
@@ -292,13 +300,13 @@
 		      const struct observe_server *server)
 {
 	const struct observe_service *service = server->service;
-	int most =
+	int max_ejected =
 		(int)(observe->tunables.eject_max_ratio * service->n_servers);
 
-	if (most < 1)
-		most = 1;
-	return service->n_ejected < most &&
-	       ejected_in(server->group) < server->group->n / 2;
+	if (max_ejected < 1)
+		max_ejected = 1;
+	return service->n_ejected < max_ejected &&
+	       count_ejected(server->group) < server->group->n / 2;
 }
 
 static void set_ejected(struct observe *observe, struct observe_server *server,
@@ -306,8 +314,8 @@
 {
 	uint32_t doublings = server->ejections;
 
-	if (doublings > DOUBLINGS_MAX)
-		doublings = DOUBLINGS_MAX;
+	if (doublings > EJECT_DOUBLINGS_MAX)
+		doublings = EJECT_DOUBLINGS_MAX;
 	server->ejected_until =
 		now + (MSEC(observe->tunables.eject_ms) << doublings);
 	server->ejections++;
@@ -331,8 +339,9 @@
 }
 
 /*
- * It begins anew, with a smaller share: it may fail again at full load. The
- * start is a short one, since its caches are likely warm.
+ * Resets the statistics and restarts the slow start, since the server may fail
+ * again at full load. The last quarter of the slow start is enough, as its
+ * caches are probably still warm.
  */
 static void readmit(const struct observe *observe,
 		    struct observe_server *server, int64_t elapsed_us,
@@ -354,31 +363,31 @@
 	LOG_INFO("server_readmitted", LOG_TEXT("server", server->name));
 }
 
-/* The mean of the quickest other replica that has been seen lately. */
-static float peers_mean(const struct observe_server *server)
+/* Mean latency of the fastest other replica with enough recent samples. */
+static float fastest_peer_mean(const struct observe_server *server)
 {
 	const struct observe_group *group = server->group;
-	float least = 0;
+	float lowest = 0;
 	int i;
 
 	for (i = 0; i < group->n; i++) {
 		const struct observe_server *peer = group->servers[i];
 
-		if (peer == server || peer->accepts < OUTLIER_SAMPLES)
+		if (peer == server || peer->accepts < OUTLIER_MIN_SAMPLES)
 			continue;
-		if (least <= 0 || peer->mean_us < least)
-			least = peer->mean_us;
+		if (lowest <= 0 || peer->mean_us < lowest)
+			lowest = peer->mean_us;
 	}
-	return least;
+	return lowest;
 }
 
 static bool is_slow(const struct observe *observe,
 		    const struct observe_server *server, float usec)
 {
-	float peers = peers_mean(server);
-	float factor = (float)observe->tunables.eject_latency_factor;
+	float peers = fastest_peer_mean(server);
+	float max_ratio = (float)observe->tunables.eject_latency_factor;
 
-	return peers > 0 && usec > factor * peers;
+	return peers > 0 && usec > max_ratio * peers;
 }
 
 static void review_probe(struct observe *observe, struct observe_server *server,
@@ -394,23 +403,24 @@
 		set_ejected(observe, server, now);
 }
 
-static bool fails_often(const struct observe_server *server)
+static bool has_high_failure_ratio(const struct observe_server *server)
 {
-	float asked = server->accepts + server->failures;
+	float requests = server->accepts + server->failures;
 
-	return asked >= OUTLIER_SAMPLES &&
-	       server->failures > FAILURE_RATIO * asked;
+	return requests >= OUTLIER_MIN_SAMPLES &&
+	       server->failures > FAILURE_RATIO * requests;
 }
 
-static bool stays_slow(const struct observe *observe,
-		       const struct observe_server *server)
+static bool has_high_latency(const struct observe *observe,
+			     const struct observe_server *server)
 {
-	return server->accepts >= OUTLIER_SAMPLES &&
+	return server->accepts >= OUTLIER_MIN_SAMPLES &&
 	       is_slow(observe, server, server->mean_us);
 }
 
-void replica_review(struct observe *observe, struct observe_server *server,
-		    enum observe_outcome outcome, int64_t elapsed_us)
+void replica_update_ejection(struct observe *observe,
+			     struct observe_server *server,
+			     enum observe_outcome outcome, int64_t elapsed_us)
 {
 	int64_t now = clock_now(observe->clock);
 
@@ -422,8 +432,9 @@
 	if (outcome == OBSERVE_FAILED &&
 	    server->failures_in_row >= observe->tunables.eject_failures)
 		eject(observe, server, "failures_in_row", now);
-	else if (fails_often(server))
+	else if (has_high_failure_ratio(server))
 		eject(observe, server, "failure_ratio", now);
-	else if (outcome == OBSERVE_ANSWERED && stays_slow(observe, server))
+	else if (outcome == OBSERVE_ANSWERED &&
+		 has_high_latency(observe, server))
 		eject(observe, server, "latency", now);
 }
--- a/replica.h
+++ b/replica.h
@@ -1,6 +1,6 @@
 /*
- * Choice of one replica among those that hold a shard, and ejection of
- * servers that stand out from the replicas of their group.
+ * Choice of one replica among those that hold a shard, and ejection of servers
+ * that are outliers among the replicas of their group.
  */
 #ifndef REPLICA_H
 #define REPLICA_H
@@ -12,7 +12,7 @@
 #include "rng.h"
 
 /**
- * struct replica_home - a home of a server that can be asked now
+ * struct replica_home - a home of a server that requests can go through now
  * @instance: hash of its name
  * @slots: its share of the server's slots
  */
@@ -22,13 +22,13 @@
 };
 
 /**
- * struct replica - a server that can be asked for a shard
- * @server: observations of it
- * @weight: its share of the work, from the table
- * @homes: by which it can be asked, at least one
- * @is_cold: a home heard from it that its caches are cold
+ * struct replica - a server that holds a shard, as a candidate for a request
+ * @server: its statistics
+ * @weight: its weight from the table; 0: last resort
+ * @homes: homes that requests can go through
  * @replaced: own requests in flight there that a hedge would replace
- * @excluded: not to be chosen: asked already, or it failed this search
+ * @is_cold: the server reported to a home that its caches are cold
+ * @excluded: not to be chosen: already asked, or failed in this search
  */
 struct replica {
 	struct observe_server *server;
@@ -41,10 +41,10 @@
 };
 
 /**
- * struct replica_pick - what was chosen
- * @replica: index
+ * struct replica_pick - a choice made by replica_choose()
+ * @replica: index of the replica
  * @home: index into the replica's homes
- * @probe: an ejected server is tried again with this request
+ * @probe: the request probes an ejected server
  */
 struct replica_pick {
 	int replica;
@@ -53,21 +53,24 @@
 };
 
 /**
- * replica_choose() - two random choices by weight, the quicker one taken
- * @urgent: a hedge or retry: not to be spent on a probe
+ * replica_choose() - choose a replica by power of two choices
+ * @replicas: candidates; two are drawn at random by weight, and the one with
+ *	      the shorter expected completion time is chosen
+ * @n: number of candidates
+ * @urgent: a hedge or retry, which must not be spent on a probe
  * @pick: set on success
- * @when: set with ERR_SHED: when the first of them may be asked again
+ * @when: set with ERR_SHED: the earliest end of a back-off, microseconds
  *
- * Return: 0; ERR_NO_REPLICA if all are excluded; ERR_SHED if all others asked
- * not to be called now.
+ * Return: 0; ERR_NO_REPLICA if all are excluded; ERR_SHED if all others are
+ * backing off.
  */
 int replica_choose(struct observe *observe, struct rng *rng,
 		   const struct replica *replicas, int n, bool urgent,
 		   struct replica_pick *pick, int64_t *when);
 
 /**
- * replica_choose_home() - the home with most room for its share
- * @avoid: hash of a home that is taken only if there is no other; 0: none
+ * replica_choose_home() - choose the home with the lowest load per slot
+ * @avoid: hash of a home that is only chosen if there is no other; 0: none
  *
  * Return: index into the replica's homes.
  */
@@ -75,27 +78,31 @@
 			const struct replica *replica, uint64_t avoid);
 
 /**
- * replica_finish_us() - expected time until a new request is answered
- * @share: weight of the replica against the greatest, above 0 to 1
+ * replica_completion_us() - expected time until a new request completes
+ * @share: weight of the replica relative to the greatest, above 0 to 1
+ *
+ * Return: microseconds.
  */
-double replica_finish_us(const struct observe *observe,
-			 const struct replica *replica, double share);
+double replica_completion_us(const struct observe *observe,
+			     const struct replica *replica, double share);
 
 /**
- * replica_review() - eject or readmit a server after a request is over
+ * replica_update_ejection() - eject or readmit a server after a request
  * @outcome: of that request
- * @elapsed_us: how long it took
+ * @elapsed_us: duration of that request
  *
- * To be called after observe_done().
+ * Must be called after observe_done().
  *
- * At most half a group, rounded down, and eject_max_ratio of a service, but
- * at least one server of it, are ejected at once: a market is never emptied.
+ * At most half a group, rounded down, and eject_max_ratio of a service, but at
+ * least one of its servers, are ejected at the same time, so that a market
+ * never runs out of servers.
  */
-void replica_review(struct observe *observe, struct observe_server *server,
-		    enum observe_outcome outcome, int64_t elapsed_us);
+void replica_update_ejection(struct observe *observe,
+			     struct observe_server *server,
+			     enum observe_outcome outcome, int64_t elapsed_us);
 
 /**
- * replica_ejected() - whether a server is left out now
+ * replica_ejected() - whether a server is ejected now
  */
 bool replica_ejected(const struct observe_server *server);
 
