--- a/request.h
+++ b/request.h
@@ -1,4 +1,4 @@
-/* Requests of callers, read from JSON and checked. */
+/* Callers' requests: parsed from JSON and validated. */
 #ifndef REQUEST_H
 #define REQUEST_H
 
@@ -22,10 +22,12 @@
 /**
  * struct search_request - a caller's search
  * @request_id: empty if the caller gave none
- * @where: JSON object in canonical form, owned; "{}" for everything
+ * @where: filter as a JSON object in canonical form, owned; "{}": all records
  * @workspace: member of @where, or empty
- * @deadline_ms: 0 if the caller gave none
- * @arrived_at: when it was taken, if it waited since; 0: now
+ * @mode: enum request_mode
+ * @limit: maximum number of records in the response
+ * @deadline_ms: from its arrival; 0 if the caller gave none
+ * @arrived_at: microseconds, if it was queued before it starts; 0: now
  */
 struct search_request {
 	char request_id[REQUEST_ID_SIZE];
@@ -40,7 +42,10 @@
 
 /**
  * struct run_request - a request that must not be repeated
+ * @request_id: empty if the caller gave none
+ * @ticket: a ticket from POST /v1/tickets
  * @payload: JSON, owned
+ * @deadline_ms: 0 if the caller gave none
  */
 struct run_request {
 	char request_id[REQUEST_ID_SIZE];
@@ -52,7 +57,8 @@
 };
 
 /**
- * struct ticket_request - a caller's wish for a ticket
+ * struct ticket_request - a caller's request for a ticket
+ * @request_id: empty if the caller gave none
  */
 struct ticket_request {
 	char request_id[REQUEST_ID_SIZE];
@@ -60,31 +66,43 @@
 };
 
 /**
- * request_id_is_valid() - whether a caller may use an id
+ * request_id_is_valid() - whether a text may be used as a request id
  */
 bool request_id_is_valid(struct str id);
 
 /**
- * search_request_init() - read a body of POST /v1/search
- * @err: names the key and what was expected
+ * search_request_init() - parse the body of POST /v1/search
+ * @request: release with search_request_finish() on success
+ * @err: set on failure: the key and what was expected
  *
  * Return: 0; or ERR_SYNTAX, ERR_KEY_UNKNOWN, ERR_KEY_MISSING, ERR_TYPE,
- * ERR_RANGE with @request finished.
+ * ERR_RANGE, with nothing to release.
  */
 int search_request_init(struct search_request *request, const char *text,
 			size_t len, struct error *err);
+
+/**
+ * search_request_finish() - release what a search request owns
+ */
 void search_request_finish(struct search_request *request);
 
 /**
- * run_request_init() - read a body of POST /v1/run, as search_request_init()
+ * run_request_init() - parse the body of POST /v1/run
+ *
+ * Parameters and errors as search_request_init().
  */
 int run_request_init(struct run_request *request, const char *text, size_t len,
 		     struct error *err);
+
+/**
+ * run_request_finish() - release what a run request owns
+ */
 void run_request_finish(struct run_request *request);
 
 /**
- * ticket_request_init() - read a body of POST /v1/tickets, as
- * search_request_init(); nothing needs to be released
+ * ticket_request_init() - parse the body of POST /v1/tickets
+ *
+ * Parameters and errors as search_request_init(); nothing needs to be released.
  */
 int ticket_request_init(struct ticket_request *request, const char *text,
 			size_t len, struct error *err);
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -4,9 +4,9 @@
 #include "request.h"
 #include "unit.h"
 
-#define DEEP 100000 /* levels */
+#define NESTING_DEPTH 100000
 
-static int read_search(const char *text, struct error *err)
+static int parse_search(const char *text, struct error *err)
 {
 	struct search_request request;
 	int ret = search_request_init(&request, text, strlen(text), err);
@@ -54,7 +54,7 @@
 	search_request_finish(&request);
 }
 
-static void test_refusals_name_the_member(void)
+static void test_errors_name_the_member(void)
 {
 	static const struct {
 		const char *text;
@@ -94,7 +94,7 @@
 
 	for (i = 0; i < sizeof(cases) / sizeof(*cases); i++) {
 		struct error err = {0};
-		int ret = read_search(cases[i].text, &err);
+		int ret = parse_search(cases[i].text, &err);
 
 		if (ret != cases[i].code ||
 		    strcmp(err.subject, cases[i].subject))
@@ -105,7 +105,7 @@
 	}
 }
 
-static void test_text_that_is_no_object(void)
+static void test_invalid_json(void)
 {
 	static const char *const texts[] = {
 		"",
@@ -125,11 +125,11 @@
 	for (i = 0; i < sizeof(texts) / sizeof(*texts); i++) {
 		struct error err = {0};
 
-		CU_ASSERT_NOT_EQUAL(read_search(texts[i], &err), 0);
+		CU_ASSERT_NOT_EQUAL(parse_search(texts[i], &err), 0);
 	}
 }
 
-static void test_bytes_behind_a_nul_are_refused(void)
+static void test_bytes_after_nul_are_refused(void)
 {
 	static const char text[] = "{\"service\":\"d\"}\0{\"service\":\"e\"}";
 	struct search_request request;
@@ -141,7 +141,7 @@
 		search_request_finish(&request);
 }
 
-static void test_names_must_fit(void)
+static void test_long_names_are_refused(void)
 {
 	char text[512];
 	char name[REQUEST_NAME_SIZE + 1];
@@ -150,40 +150,41 @@
 	memset(name, 'a', sizeof(name));
 	name[REQUEST_NAME_SIZE - 1] = '\0';
 	snprintf(text, sizeof(text), "{\"service\":\"%s\"}", name);
-	CU_ASSERT_EQUAL(read_search(text, &err), 0);
+	CU_ASSERT_EQUAL(parse_search(text, &err), 0);
 	name[REQUEST_NAME_SIZE - 1] = 'a';
 	name[REQUEST_NAME_SIZE] = '\0';
 	snprintf(text, sizeof(text), "{\"service\":\"%s\"}", name);
-	CU_ASSERT_EQUAL(read_search(text, &err), ERR_RANGE);
+	CU_ASSERT_EQUAL(parse_search(text, &err), ERR_RANGE);
 }
 
 /*
- * A caller repeats a member. Which one counts is one thing, but what the first
- * took must not be lost: each request would leave memory behind.
+ * A caller repeats a member. Whichever counts, the memory of the first must be
+ * freed, or each such request would leak.
  */
 static void test_repeated_members_do_not_leak(void)
 {
 	struct error err;
 
-	CU_ASSERT_EQUAL(read_search("{\"service\":\"a\",\"service\":\"b\","
-				    "\"where\":{\"x\":1},\"where\":{},"
-				    "\"request_id\":\"p\",\"request_id\":"
-				    "\"q\"}",
-				    &err),
+	CU_ASSERT_EQUAL(parse_search("{\"service\":\"a\",\"service\":\"b\","
+				     "\"where\":{\"x\":1},\"where\":{},"
+				     "\"request_id\":\"p\",\"request_id\":"
+				     "\"q\"}",
+				     &err),
 			0);
 }
 
-/* Deep nesting must be refused, or the parser's stack runs out. */
+/* Deep nesting must be refused before it overflows the parser's stack. */
 static void test_deep_nesting_is_refused(void)
 {
-	static char text[DEEP + 64] = "{\"service\":\"d\",\"where\":{\"a\":";
+	static char text[NESTING_DEPTH + 64] =
+		"{\"service\":\"d\",\"where\":{\"a\":";
 	struct error err;
 
-	memset(text + strlen(text), '[', DEEP);
-	CU_ASSERT_EQUAL(read_search(text, &err), ERR_SYNTAX);
+	memset(text + strlen(text), '[', NESTING_DEPTH);
+	CU_ASSERT_EQUAL(parse_search(text, &err), ERR_SYNTAX);
 }
 
-static void test_run(void)
+static void test_run_members(void)
 {
 	static const char good[] = "{\"ticket\":\"t\",\"service\":\"d\","
 				   "\"key\":\"k\",\"payload\":{\"a\":1}}";
@@ -212,13 +213,13 @@
 static const struct unit_test tests[] = {
 	{"defaults", test_defaults},
 	{"all members", test_all_members},
-	{"refusals name the member", test_refusals_name_the_member},
-	{"text that is no object", test_text_that_is_no_object},
-	{"bytes behind a NUL are refused", test_bytes_behind_a_nul_are_refused},
-	{"names must fit", test_names_must_fit},
+	{"errors name the member", test_errors_name_the_member},
+	{"invalid JSON and other types are refused", test_invalid_json},
+	{"bytes after a NUL are refused", test_bytes_after_nul_are_refused},
+	{"names that are too long are refused", test_long_names_are_refused},
 	{"repeated members do not leak", test_repeated_members_do_not_leak},
 	{"deep nesting is refused", test_deep_nesting_is_refused},
-	{"run", test_run},
+	{"members of a run request", test_run_members},
 };
 
 UNIT_MAIN("request", tests)
