--- a/search.c
+++ b/search.c
@@ -10,10 +10,12 @@
 #include "search_round.h"
 #include "search_trace.h"
 
-#define MOVED_WAIT_US MSEC(50)
+/* How long a search waits for the catalog to show where its data moved. */
+#define MOVE_WAIT_US MSEC(50)
+/* A server's change of snapshot explains missing replicas for this long. */
 #define MOVE_RECENT_US MSEC(500)
 
-static void on_table(void *arg)
+static void on_table_changed(void *arg)
 {
 	struct searches *searches = arg;
 
@@ -32,9 +34,9 @@
 	arena_init(&searches->arena);
 	policy_init(&searches->policy, board->clock, seed);
 	blackboard_watch(board, BLACKBOARD_TABLE, &searches->table_watch,
-			 on_table, searches);
+			 on_table_changed, searches);
 	if (board->table)
-		on_table(searches);
+		on_table_changed(searches);
 }
 
 static void clear_parts(struct search *search)
@@ -51,7 +53,7 @@
 	search->n_parts = 0;
 }
 
-static void release(struct search *search)
+static void free_search(struct search *search)
 {
 	struct searches *searches = search->searches;
 
@@ -74,7 +76,7 @@
 
 	HASH_ITER (hh, searches->by_id, search, next) {
 		trace_log_finish(&search->trace);
-		release(search);
+		free_search(search);
 	}
 	policy_finish(&searches->policy);
 	arena_finish(&searches->arena);
@@ -103,7 +105,7 @@
 			     search_now(search) - search->started_at);
 }
 
-/* The search is gone when this returns. */
+/* Cancels open parts, reports the outcome and frees the search. */
 static void finish(struct search *search, int code)
 {
 	struct searches *searches = search->searches;
@@ -113,10 +115,10 @@
 	count_outcome(search);
 	searches->ops->done(searches->arg, search);
 	search_trace_end(search);
-	release(search);
+	free_search(search);
 }
 
-/* Without any answer the outcome is a refusal: the reason most shards have. */
+/* A search without any answer is refused, with the error of its first shard. */
 static int refusal_code(const struct search *search)
 {
 	if (search_now(search) >= search->deadline_at)
@@ -127,30 +129,31 @@
 }
 
 /*
- * A search that failed at once says nothing of how long they take: taken for
- * quick, it would let later ones answer with gaps too early.
+ * A search that failed early is no sample of the usual duration: it would
+ * lower the estimate and make later searches answer partially too early.
  */
-static void learn_time(struct search *search)
+static void record_duration(struct search *search)
 {
 	const struct service *service = search_service(search);
 	bool whole = search->n_answered == search->map->n_shards;
 
-	if (service && (whole || search_now(search) >= search->answer_at))
+	if (service &&
+	    (whole || search_now(search) >= search->partial_answer_at))
 		policy_search_done(&search->searches->policy, service,
 				   search_now(search) - search->started_at);
 }
 
-static void conclude(struct search *search)
+static void complete(struct search *search)
 {
-	learn_time(search);
+	record_duration(search);
 	if (search->covered || !search->map->total)
 		finish(search, 0);
 	else
 		finish(search, refusal_code(search));
 }
 
-/* Servers of the service took up another map a moment ago. */
-static bool is_moving(const struct search *search)
+/* Whether servers of the service switched to another map recently. */
+static bool map_changed_recently(const struct search *search)
 {
 	const struct catalog_service *service =
 		catalog_find_service(search_catalog(search),
@@ -161,12 +164,12 @@
 }
 
 /*
- * Shards are missing because data moved: a server does not hold what the
- * catalog says it holds, or has already said so while others have not.
+ * Whether shards are missing because data moved: a server does not hold what
+ * the catalog says, or it has already announced the move and others have not.
  */
-static bool moved_on(const struct search *search)
+static bool has_data_moved(const struct search *search)
 {
-	bool moving = is_moving(search);
+	bool moving = map_changed_recently(search);
 	int i;
 
 	for (i = 0; i < search->map->n_shards; i++) {
@@ -183,7 +186,7 @@
 	return false;
 }
 
-static void take_map(struct search *search, struct catalog_map *map)
+static void set_map(struct search *search, struct catalog_map *map)
 {
 	search->map = catalog_map_hold(map);
 	search->shards =
@@ -197,7 +200,7 @@
 					   : (int)search->request.limit);
 }
 
-static void drop_map(struct search *search)
+static void clear_map(struct search *search)
 {
 	search_part_cancel_open(search);
 	clear_parts(search);
@@ -207,7 +210,7 @@
 	search->map = NULL;
 }
 
-static void enter(struct search *search)
+static void assign_new_id(struct search *search)
 {
 	struct searches *searches = search->searches;
 
@@ -217,7 +220,7 @@
 	HASH_ADD(hh, searches->by_id, id, sizeof(search->id), search);
 }
 
-/* Another snapshot that promises more than this search has, or NULL. */
+/* A snapshot with better coverage than this search has, or NULL. */
 static const struct catalog_placement *better_snapshot(struct search *search)
 {
 	const struct catalog_placement *best =
@@ -234,37 +237,38 @@
 static void restart(struct search *search, struct catalog_map *map)
 {
 	catalog_map_hold(map);
-	drop_map(search);
+	clear_map(search);
 	search_trace_restart(search);
-	take_map(search, map);
+	set_map(search, map);
 	catalog_map_release(search_catalog(search), map);
-	enter(search);
-	search->moved_until = 0;
+	assign_new_id(search);
+	search->move_wait_until = 0;
 	search->n_restarts++;
 	metric_inc(&search->searches->board->counters.restarts);
 }
 
 /*
- * The replicas moved on to another version while the search ran: it shows as
- * servers that do not hold the search's version any more. A mixture would
- * break the one snapshot, so everything counted so far is dropped, and a new
- * id keeps late answers of the old snapshot out. What servers hold now is
- * known a moment later: the search waits for that, but not for long, since the
- * word may never come.
+ * Handles replicas that moved to another version during the search, which
+ * shows as servers that no longer hold the search's version. Answers of two
+ * versions must not be mixed, so the search restarts from nothing, with a new
+ * id that keeps out late answers from the old snapshot. The catalog learns
+ * what servers hold now slightly later: the search waits for that, for a
+ * limited time, as the update may never arrive.
  *
- * Return: whether there is something to wait for or to ask.
+ * Returns whether the search has something to wait for or to request.
  */
-static bool follow(struct search *search)
+static bool handle_data_move(struct search *search)
 {
 	const struct catalog_placement *best;
 	bool waited;
 
 	if (search->n_restarts == SEARCH_RESTARTS_MAX ||
-	    search_now(search) >= search->deadline_at || !moved_on(search))
+	    search_now(search) >= search->deadline_at ||
+	    !has_data_moved(search))
 		return false;
-	if (!search->moved_until)
-		search->moved_until = search_now(search) + MOVED_WAIT_US;
-	waited = search_now(search) >= search->moved_until;
+	if (!search->move_wait_until)
+		search->move_wait_until = search_now(search) + MOVE_WAIT_US;
+	waited = search_now(search) >= search->move_wait_until;
 	best = better_snapshot(search);
 	if (best && (waited || best->covered == best->map->total)) {
 		restart(search, best->map);
@@ -274,38 +278,39 @@
 }
 
 /*
- * Latency-first: what is still missing once the search is late, compared to
- * others of its service, is not waited for if there is enough.
+ * Whether a search that is late compared to others of its service stops
+ * waiting for the rest because its coverage is sufficient.
  */
-static bool is_late_enough(const struct search *search)
+static bool may_answer_partially(const struct search *search)
 {
-	return search_now(search) >= search->answer_at && search->covered &&
-	       search_ratio(search) >= search->min_coverage;
+	return search_now(search) >= search->partial_answer_at &&
+	       search->covered && search_ratio(search) >= search->min_coverage;
 }
 
 /*
- * Ask until every shard is asked, answered or given up; then conclude.
+ * Sends requests for all shards that are due, and completes the search once
+ * every shard is answered or given up.
  *
- * Return: false if the search is gone.
+ * Returns false if the search was freed.
  */
 static bool advance(struct search *search)
 {
-	bool follows;
+	bool must_continue;
 
 	do {
-		while (search_round_wanted(search))
+		while (search_round_is_due(search))
 			search_round_run(search);
-		follows = !search->n_open && follow(search);
-	} while (follows && !search->moved_until);
-	if (follows) {
-		search_wake(search, search->moved_until);
+		must_continue = !search->n_open && handle_data_move(search);
+	} while (must_continue && !search->move_wait_until);
+	if (must_continue) {
+		search_wake(search, search->move_wait_until);
 		return true;
 	}
-	if (search->n_open && is_late_enough(search))
+	if (search->n_open && may_answer_partially(search))
 		search_shard_give_up_open(search, ERR_TOO_LATE);
 	if (search->n_open)
 		return true;
-	conclude(search);
+	complete(search);
 	return false;
 }
 
@@ -315,11 +320,12 @@
 	struct policy *policy = &search->searches->policy;
 	int64_t left = search->deadline_at - search->started_at;
 
-	search->answer_at = search->started_at +
-			    policy->ops->answer_after(policy, service, left);
+	search->partial_answer_at =
+		search->started_at +
+		policy->ops->answer_after(policy, service, left);
 	search->wake_at = INT64_MAX;
 	search_wake(search, search->deadline_at);
-	search_wake(search, search->answer_at);
+	search_wake(search, search->partial_answer_at);
 }
 
 static int prepare(struct search *search)
@@ -354,12 +360,12 @@
 	best = catalog_best(&board->catalog, str_from(service->name));
 	if (!best)
 		return ERR_NO_SNAPSHOT;
-	take_map(search, best->map);
+	set_map(search, best->map);
 	return 0;
 }
 
-static struct search *take_request(struct searches *searches,
-				   struct search_request *request, void *owner)
+static struct search *create_search(struct searches *searches,
+				    struct search_request *request, void *owner)
 {
 	struct search *search = mem_zalloc(sizeof(*search));
 	struct counters *counters = &searches->board->counters;
@@ -374,14 +380,14 @@
 	search->started_at =
 		arrived_at ? arrived_at : clock_now(searches->board->clock);
 	search_trace_begin(search);
-	enter(search);
+	assign_new_id(search);
 	return search;
 }
 
 void search_start(struct searches *searches, struct search_request *request,
 		  void *owner)
 {
-	struct search *search = take_request(searches, request, owner);
+	struct search *search = create_search(searches, request, owner);
 	int ret = prepare(search);
 
 	if (ret)
@@ -393,13 +399,13 @@
 void search_refuse(struct searches *searches, struct search_request *request,
 		   void *owner, int code, int64_t retry_after_ms)
 {
-	struct search *search = take_request(searches, request, owner);
+	struct search *search = create_search(searches, request, owner);
 
 	search->retry_after_ms = retry_after_ms;
 	finish(search, code);
 }
 
-static struct search *find(struct searches *searches, uint64_t id)
+static struct search *find_search(struct searches *searches, uint64_t id)
 {
 	struct search *search;
 
@@ -410,18 +416,18 @@
 void searches_result(struct searches *searches, struct str home,
 		     const Peer__QueryResult *result)
 {
-	struct search *search = find(searches, result->id);
+	struct search *search = find_search(searches, result->id);
 	size_t i;
 
-	/* Late: the search has its outcome, or runs on another snapshot. */
+	/* Too late: the search is over or restarted on another snapshot. */
 	if (!search || !search->map)
 		return;
 	for (i = 0; i < result->n_results; i++)
-		search_result_take(search, home, result->results[i]);
+		search_result_handle(search, home, result->results[i]);
 	advance(search);
 }
 
-static bool lose_parts(struct search *search, struct str home)
+static bool fail_home_parts(struct search *search, struct str home)
 {
 	bool lost = false;
 	int i;
@@ -429,7 +435,7 @@
 	for (i = 0; i < search->n_parts; i++) {
 		struct search_part *part = &search->parts[i];
 
-		if (part->back || !str_eq_text(home, part->home->name))
+		if (part->is_done || !str_eq_text(home, part->home->name))
 			continue;
 		search->maybe_ran = true;
 		search_part_lost(search, i, ERR_UNAVAILABLE);
@@ -444,7 +450,7 @@
 	struct search *next;
 
 	HASH_ITER (hh, searches->by_id, search, next) {
-		if (search->map && lose_parts(search, home))
+		if (search->map && fail_home_parts(search, home))
 			advance(search);
 	}
 }
@@ -453,7 +459,7 @@
 {
 	search_shard_give_up_open(search, ERR_TOO_LATE);
 	search->maybe_ran = true;
-	conclude(search);
+	complete(search);
 }
 
 static void tick_parts(struct search *search)
@@ -463,31 +469,32 @@
 	int i;
 
 	for (i = 0; i < n; i++) {
-		if (!search->parts[i].back && search->parts[i].hedge_at <= time)
+		if (!search->parts[i].is_done &&
+		    search->parts[i].hedge_at <= time)
 			search_hedge_part(search, i, false);
 		else if (search->parts[i].retry_at <= time)
 			search_part_retry(search, i);
 	}
 }
 
-static void set_wake(struct search *search)
+static void update_wake_at(struct search *search)
 {
 	int i;
 
 	search->wake_at = INT64_MAX;
 	search_wake(search, search->deadline_at);
-	if (search->answer_at > search_now(search))
-		search_wake(search, search->answer_at);
-	if (search->moved_until)
-		search_wake(search, search->moved_until);
+	if (search->partial_answer_at > search_now(search))
+		search_wake(search, search->partial_answer_at);
+	if (search->move_wait_until)
+		search_wake(search, search->move_wait_until);
 	for (i = 0; i < search->n_parts; i++) {
-		if (!search->parts[i].back)
+		if (!search->parts[i].is_done)
 			search_wake(search, search->parts[i].hedge_at);
 		search_wake(search, search->parts[i].retry_at);
 	}
 	for (i = 0; i < search->map->n_shards; i++) {
-		if (search->shards[i].state == SEARCH_SHARD_WANTED)
-			search_wake(search, search->shards[i].ask_at);
+		if (search->shards[i].state == SEARCH_SHARD_PENDING)
+			search_wake(search, search->shards[i].send_at);
 	}
 }
 
@@ -499,7 +506,7 @@
 	}
 	tick_parts(search);
 	if (advance(search))
-		set_wake(search);
+		update_wake_at(search);
 }
 
 void searches_tick(struct searches *searches)
@@ -523,7 +530,7 @@
 	struct search *next;
 
 	HASH_ITER (hh, searches->by_id, search, next) {
-		if (search->map && search->moved_until)
+		if (search->map && search->move_wait_until)
 			advance(search);
 	}
 }
@@ -532,6 +539,6 @@
 {
 	metric_add(&searches->board->counters.searches_open, -1);
 	search_part_cancel_open(search);
-	search_trace_dropped(search);
-	release(search);
+	search_trace_caller_gone(search);
+	free_search(search);
 }
--- a/search.h
+++ b/search.h
@@ -1,9 +1,11 @@
 /*
- * A search at its entry: one snapshot, one partition map, one answer.
+ * A search at its entry instance: fans out to the shards of one snapshot and
+ * merges their partial answers into one response.
  *
- * A decision module without sockets. It is told of requests, partial answers,
- * lost homes and the time; it asks homes through struct search_ops and gives
- * the outcome through @done. A shard counts once, whoever answers it.
+ * The module does no I/O. Its owner passes in requests, partial answers, lost
+ * connections and the passing of time; it sends queries through struct
+ * search_ops and reports the outcome through @done. Each shard counts once, no
+ * matter how many servers answer it.
  */
 #ifndef SEARCH_H
 #define SEARCH_H
@@ -22,21 +24,21 @@
 #include "request.h"
 #include "trace.h"
 
-#define SEARCH_RESTARTS_MAX 2
+#define SEARCH_RESTARTS_MAX 2 /* on newer snapshots, per search */
 /* The upper bound of the tunable attempts_max. */
-#define SEARCH_TRIES_MAX 10
-#define SEARCH_WIRE_ID_SIZE 176
+#define SEARCH_ATTEMPTS_MAX 10
+#define SEARCH_WIRE_ID_SIZE 176 /* bytes, with the NUL */
 
 struct search;
 struct searches;
 
 /**
- * struct search_ops - what a search does to the world
- * @send_query: give one batched query to a home; the message is only valid
- *		during the call. Return 0, or a negative error if it surely was
- *		not sent
- * @cancel: tell a home to give up a server's part of a query
- * @done: the search has its outcome; it is released after the call
+ * struct search_ops - output of searches
+ * @send_query: send one batched query to a home; the message is only valid
+ *		during the call. Returns 0, or a negative error if it was
+ *		definitely not sent
+ * @cancel: tell a home to cancel a server's part of a query
+ * @done: the search has its outcome; it is freed after the call
  */
 struct search_ops {
 	int (*send_query)(void *arg, struct str home, const Peer__Query *query);
@@ -45,45 +47,56 @@
 };
 
 enum search_shard_state {
-	SEARCH_SHARD_WANTED,   /* to be asked for at ask_at */
-	SEARCH_SHARD_ASKED,    /* at least one part is out */
-	SEARCH_SHARD_WAITING,  /* for the retry budget, see search_part */
-	SEARCH_SHARD_ANSWERED, /* counted */
-	SEARCH_SHARD_MISSING,  /* given up, see code */
+	SEARCH_SHARD_PENDING,	 /* to be requested at send_at */
+	SEARCH_SHARD_IN_FLIGHT,	 /* at least one part is in flight */
+	SEARCH_SHARD_RETRY_WAIT, /* for the retry budget, see search_part */
+	SEARCH_SHARD_ANSWERED,	 /* counted */
+	SEARCH_SHARD_MISSING,	 /* given up, see code */
 };
 
 /**
  * struct search_shard - one shard of the search's partition map
- * @tries: parts sent for it, to the servers in @tried
- * @out: parts for it that are not back
- * @code: why it was not answered, of the last failure
- * @last_part: the part that asked last, or that a retry waits for
- * @ask_at: when a wanted shard is asked for, microseconds
+ * @state: enum search_shard_state
+ * @attempts: parts sent for it, to the servers in @tried
+ * @n_in_flight: parts for it in flight
+ * @code: error of the last failure
+ * @last_part: the latest part sent for it, or the failed one to retry
+ * @send_at: when a pending shard is requested, microseconds
+ * @tried: borrowed from the parts
  */
 struct search_shard {
 	uint8_t state;
-	uint8_t tries;
-	uint8_t out;
+	uint8_t attempts;
+	uint8_t n_in_flight;
 	int16_t code;
 	int last_part;
-	int64_t ask_at;
-	struct catalog_server *tried[SEARCH_TRIES_MAX];
+	int64_t send_at;
+	struct catalog_server *tried[SEARCH_ATTEMPTS_MAX];
 };
 
 /**
- * struct search_part - what one server is asked, through one home
- * @seen: observations of the server, while the part is out
- * @shards: indexes into the map
- * @round: number of the round it went out in, from 0
- * @hedge_after: time out after which it is late, microseconds; INT64_MAX:
- *		 never
- * @hedge_at: when it is looked at for a hedge next
+ * struct search_part - the part of a search sent to one server via one home
+ * @server: reference held
+ * @home: reference held
+ * @observed_server: statistics of the server, borrowed while the part is in
+ *flight; else NULL
+ * @shards: owned: indexes into the partition map
+ * @round: number of the round it was sent in, from 0
+ * @code: error of its failure
+ * @sent_at: microseconds, as all times here
+ * @hedge_after: time in flight after which it is late; INT64_MAX: never
+ * @hedge_at: when a hedge is considered next
  * @retry_at: when the retry budget is asked again
+ * @is_hedge: sent as a hedge of another part
+ * @is_late: in flight for @hedge_after, or reported late by its home
+ * @is_cancelled: cancelled, and its home's result has not been handled
+ * @was_sent: it failed after bytes had reached the server
+ * @is_done: answered, failed or cancelled
  */
 struct search_part {
 	struct catalog_server *server;
 	struct catalog_instance *home;
-	struct observe_server *seen;
+	struct observe_server *observed_server;
 	int *shards;
 	int n_shards;
 	int cap_shards;
@@ -97,25 +110,35 @@
 	bool is_late;
 	bool is_cancelled;
 	bool was_sent;
-	bool back;
+	bool is_done;
 };
 
 /**
  * struct search - one search in flight
  * @id: unique within the incarnation; on the wire between entry and homes
- * @answer_at: when it answers at min_coverage
- * @wake_at: not after the time searches_tick() has something to do for it
- * @moved_until: how long it waits to learn where its replicas moved to; 0
- *		 while it does not
+ * @owner: opaque, for struct search_ops.done
+ * @started_at: microseconds, as all times here
+ * @partial_answer_at: from when on coverage of @min_coverage is enough for an
+ *answer
+ * @wake_at: no later than the next time searches_tick() must handle it
+ * @move_wait_until: end of the wait for the catalog to show where its data
+ *moved; 0: not waiting
+ * @map: partition map of the snapshot, reference held; NULL before prepare()
+ * @shards: owned, one per shard of @map
+ * @parts: owned
  * @n_rounds: rounds of parts sent
+ * @count: matching records of the answered shards
+ * @covered: records held by the answered shards
+ * @n_homes: queries sent to homes
+ * @n_requests: parts sent, hedges and retries included
  * @fingerprint: see poison.h
- * @watched: it runs on one server first
+ * @single_server: it must run on one server at a time, see poison.h
  * @n_results: parts that homes answered
- * @n_shed: of these, refused for load
+ * @n_shed: of these, refused because of load
  * @wait_us: sum of the times these were queued at homes
  * @maybe_ran: bytes of it may have reached a backend server
- * @code: 0 when it is done with an answer, else why not
- * @subject: for a refusal, what it is about
+ * @code: 0 when it is done with an answer, else the error
+ * @error: for a refusal, its subject and what was expected
  */
 struct search {
 	uint64_t id;
@@ -124,16 +147,16 @@
 	void *owner;
 	int64_t started_at;
 	int64_t deadline_at;
-	int64_t answer_at;
+	int64_t partial_answer_at;
 	int64_t wake_at;
-	int64_t moved_until;
+	int64_t move_wait_until;
 	double min_coverage;
 	int mode;
 	int priority;
 	struct catalog_map *map;
 	struct search_shard *shards;
 	int n_answered;
-	int n_open; /* shards wanted or asked */
+	int n_open; /* shards neither answered nor missing */
 	struct search_part *parts;
 	int n_parts;
 	int cap_parts;
@@ -147,7 +170,7 @@
 	int n_retries;
 	int n_restarts;
 	uint64_t fingerprint;
-	bool watched;
+	bool single_server;
 	int n_results;
 	int n_shed;
 	int64_t wait_us;
@@ -161,8 +184,13 @@
 
 /**
  * struct searches - all searches of an instance
- * @policy: which replica is asked, when, and when again
- * @wake_at: when searches_tick() must be called at the latest
+ * @board: borrowed
+ * @ops: borrowed, called with @arg
+ * @by_id: hash of the searches in flight
+ * @next_id: id of the next search or round
+ * @policy: chooses replicas, hedges and retries
+ * @wake_at: when searches_tick() must be called at the latest, microseconds
+ * @arena: scratch memory for the answer being handled
  */
 struct searches {
 	struct blackboard *board;
@@ -173,61 +201,72 @@
 	struct policy policy;
 	struct blackboard_watch table_watch;
 	int64_t wake_at;
-	struct arena arena; /* of the answer that is looked at */
+	struct arena arena;
 };
 
+/**
+ * searches_init() - set up without any search
+ * @board: borrowed, as @ops and @arg
+ * @seed: of the random choices
+ */
 void searches_init(struct searches *searches, struct blackboard *board,
 		   const struct search_ops *ops, void *arg, uint64_t seed);
 
 /**
- * searches_finish() - drop all searches without an outcome
+ * searches_finish() - free all searches without reporting an outcome
  */
 void searches_finish(struct searches *searches);
 
 /**
- * search_start() - take a caller's search
- * @request: moved into the search; the caller does not finish it
- * @owner: for struct search_ops.done
+ * search_start() - start a caller's search
+ * @request: moved into the search, which frees it
+ * @owner: opaque, for struct search_ops.done
  *
- * The outcome may come before this returns.
+ * The outcome may be reported before this returns.
  *
- * Sets @wake_at of @searches, like all that follow.
+ * Updates @wake_at of @searches, as do the functions below.
  */
 void search_start(struct searches *searches, struct search_request *request,
 		  void *owner);
 
 /**
- * search_refuse() - take a caller's search only to refuse it
- * @code: why; it has not run
+ * search_refuse() - count and trace a caller's search that is refused
+ * @request: moved, as by search_start()
+ * @owner: opaque, for struct search_ops.done
+ * @code: why it is refused
+ * @retry_after_ms: when the caller may retry; 0: not said
  *
- * As search_start(), with the outcome before this returns.
+ * The outcome is reported before this returns.
  */
 void search_refuse(struct searches *searches, struct search_request *request,
 		   void *owner, int code, int64_t retry_after_ms);
 
 /**
- * searches_result() - take partial answers of a home
+ * searches_result() - handle partial answers from a home
+ * @result: borrowed
  */
 void searches_result(struct searches *searches, struct str home,
 		     const Peer__QueryResult *result);
 
 /**
- * searches_home_lost() - the connection to a home broke
+ * searches_home_lost() - fail all parts sent to a home whose connection broke
  */
 void searches_home_lost(struct searches *searches, struct str home);
 
 /**
- * searches_tick() - let time pass: deadlines, hedges, retries
+ * searches_tick() - handle all deadlines, hedges and retries that are due
  */
 void searches_tick(struct searches *searches);
 
 /**
- * searches_catalog_changed() - what servers hold changed
+ * searches_catalog_changed() - continue searches that wait for moved data
  */
 void searches_catalog_changed(struct searches *searches);
 
 /**
- * searches_drop() - the caller has gone: cancel without an outcome
+ * searches_drop() - cancel and free a search whose caller has disconnected
+ *
+ * Reports no outcome.
  */
 void searches_drop(struct searches *searches, struct search *search);
 
@@ -240,7 +279,7 @@
 }
 
 /**
- * search_ratio() - covered records of those in the snapshot, 1 if empty
+ * search_ratio() - covered share of the snapshot's records, 1 if it is empty
  */
 double search_ratio(const struct search *search);
 
--- a/search_hedge.c
+++ b/search_hedge.c
@@ -4,19 +4,19 @@
 #include "search_part.h"
 #include "search_round.h"
 
-/* A hedge that was refused is asked for again after part of the delay. */
-#define HEDGE_AGAIN_STEPS 4
-#define HEDGE_AGAIN_MIN_US MSEC(1)
+/* A refused hedge is retried after this fraction of the hedge delay. */
+#define HEDGE_RETRY_DIVISOR 4
+#define HEDGE_RETRY_MIN_US MSEC(1)
 
-/* The shard waits for this part and no newer one. */
+/* Whether the part is the latest one in flight for the shard. */
 static bool is_hedgeable(const struct search *search, int shard, int part)
 {
-	return search->shards[shard].state == SEARCH_SHARD_ASKED &&
+	return search->shards[shard].state == SEARCH_SHARD_IN_FLIGHT &&
 	       search->shards[shard].last_part == part;
 }
 
-static bool share_shard(const struct search_part *a,
-			const struct search_part *b)
+static bool have_common_shard(const struct search_part *a,
+			      const struct search_part *b)
 {
 	int i;
 	int k;
@@ -31,11 +31,11 @@
 }
 
 /*
- * All replicas of a shard are late with it, and a hedge went back to the
- * first: that request is given up, so that a server never works twice on one
- * shard of a search.
+ * If all replicas of a shard are late, a hedge may go to a server that has been
+ * asked before. Its older request is cancelled, so that a server never works
+ * twice on one shard of a search.
  */
-static void replace_parts(struct search *search, int first_new)
+static void cancel_replaced_parts(struct search *search, int first_new)
 {
 	int i;
 	int k;
@@ -44,30 +44,30 @@
 		for (k = 0; k < first_new; k++) {
 			struct search_part *old = &search->parts[k];
 
-			if (!old->back &&
+			if (!old->is_done &&
 			    old->server == search->parts[i].server &&
-			    share_shard(old, &search->parts[i]))
-				search_part_drop(search, k, ERR_CANCELLED);
+			    have_common_shard(old, &search->parts[i]))
+				search_part_supersede(search, k, ERR_CANCELLED);
 		}
 	}
 }
 
-void search_hedge_part(struct search *search, int index, bool told)
+void search_hedge_part(struct search *search, int index, bool late_notice)
 {
 	struct search_part *part = &search->parts[index];
 	struct search_round round;
-	int64_t step = part->hedge_after / HEDGE_AGAIN_STEPS;
-	bool open = false;
+	int64_t step = part->hedge_after / HEDGE_RETRY_DIVISOR;
+	bool still_open = false;
 	int i;
 
 	if (!part->is_late)
-		observe_late(part->seen);
+		observe_late(part->observed_server);
 	part->is_late = true;
 	part->hedge_at = INT64_MAX;
-	if (search->watched)
+	if (search->single_server)
 		return;
 	search_round_init(&round, search, index);
-	round.told = told;
+	round.late_notice = late_notice;
 	for (i = 0; i < search->parts[index].n_shards && round.placement &&
 		    round.service;
 	     i++) {
@@ -76,13 +76,13 @@
 		if (!is_hedgeable(search, shard, index))
 			continue;
 		search_plan_shard(&round, shard);
-		open |= is_hedgeable(search, shard, index);
+		still_open |= is_hedgeable(search, shard, index);
 	}
 	part = &search->parts[index];
-	if (step < HEDGE_AGAIN_MIN_US)
-		step = HEDGE_AGAIN_MIN_US;
-	part->hedge_at = open ? search_now(search) + step : INT64_MAX;
-	replace_parts(search, round.first_part);
+	if (step < HEDGE_RETRY_MIN_US)
+		step = HEDGE_RETRY_MIN_US;
+	part->hedge_at = still_open ? search_now(search) + step : INT64_MAX;
+	cancel_replaced_parts(search, round.first_part);
 	search_round_send(&round);
 	search_round_finish(&round);
 }
--- a/search_hedge.h
+++ b/search_hedge.h
@@ -1,5 +1,5 @@
 /*
- * A part that is late: its shards are asked of others too.
+ * Hedged requests: the shards of a late part are requested from other servers.
  */
 #ifndef SEARCH_HEDGE_H
 #define SEARCH_HEDGE_H
@@ -8,8 +8,9 @@
 
 /**
  * search_hedge_part() - hedge a part, as far as policy and budget allow
- * @told: its home told that it runs too long
+ * @index: of the late part
+ * @late_notice: its home reported that it runs for too long
  */
-void search_hedge_part(struct search *search, int index, bool told);
+void search_hedge_part(struct search *search, int index, bool late_notice);
 
 #endif
--- a/search_internal.h
+++ b/search_internal.h
@@ -1,5 +1,5 @@
 /*
- * What the files of a search share; nobody else includes it.
+ * Helpers shared by search*.c; not for other modules.
  */
 #ifndef SEARCH_INTERNAL_H
 #define SEARCH_INTERNAL_H
@@ -16,7 +16,7 @@
 	return &search->searches->board->catalog;
 }
 
-/* NULL once the service left the table. */
+/* NULL once the service was removed from the table. */
 static inline const struct service *search_service(const struct search *search)
 {
 	const struct table *table = search->searches->board->table;
@@ -25,6 +25,7 @@
 	return row < 0 ? NULL : &table->services[row];
 }
 
+/* Makes sure that searches_tick() handles the search at @at. */
 static inline void search_wake(struct search *search, int64_t at)
 {
 	if (at < search->wake_at)
--- a/search_part.c
+++ b/search_part.c
@@ -3,17 +3,16 @@
 #include "search_internal.h"
 #include "search_trace.h"
 
-/* Each part that went out ends here, once. */
 void search_part_end(struct search *search, struct search_part *part,
 		     const struct observe_result *result)
 {
-	part->back = true;
-	search_trace_back(search, (int)(part - search->parts), result);
-	if (!part->seen)
+	part->is_done = true;
+	search_trace_part_done(search, (int)(part - search->parts), result);
+	if (!part->observed_server)
 		return;
-	policy_request_done(&search->searches->policy, part->seen,
+	policy_request_done(&search->searches->policy, part->observed_server,
 			    part->home->hash, part->is_late, result);
-	part->seen = NULL;
+	part->observed_server = NULL;
 }
 
 void search_part_cancel(struct search *search, int index, int code)
@@ -40,7 +39,7 @@
 	int i;
 
 	for (i = 0; i < search->n_parts; i++) {
-		if (!search->parts[i].back)
+		if (!search->parts[i].is_done)
 			search_part_cancel(search, i,
 					   late ? ERR_TOO_LATE : ERR_CANCELLED);
 	}
@@ -67,33 +66,34 @@
 {
 	const struct search_shard *state = &search->shards[shard];
 
-	return state->state == SEARCH_SHARD_WANTED &&
-	       state->ask_at <= search_now(search);
+	return state->state == SEARCH_SHARD_PENDING &&
+	       state->send_at <= search_now(search);
 }
 
-int search_part_tries(const struct search *search,
-		      const struct search_part *part)
+int search_part_attempts(const struct search *search,
+			 const struct search_part *part)
 {
-	int most = 0;
+	int max_attempts = 0;
 	int i;
 
 	for (i = 0; i < part->n_shards; i++) {
-		int tries = search->shards[part->shards[i]].tries;
+		int attempts = search->shards[part->shards[i]].attempts;
 
-		if (tries > most)
-			most = tries;
+		if (attempts > max_attempts)
+			max_attempts = attempts;
 	}
-	return most;
+	return max_attempts;
 }
 
-static bool waits_for(const struct search *search, int shard, int part)
+static bool is_waiting_for(const struct search *search, int shard, int part)
 {
-	return search->shards[shard].state == SEARCH_SHARD_WAITING &&
+	return search->shards[shard].state == SEARCH_SHARD_RETRY_WAIT &&
 	       search->shards[shard].last_part == part;
 }
 
-/* The shards that wait for a part are asked for again, or given up. */
-static void end_wait(struct search *search, int index, int code, int64_t when)
+/* Requests the waiting shards of a failed part again, or gives them up. */
+static void end_retry_wait(struct search *search, int index, int code,
+			   int64_t when)
 {
 	struct search_part *part = &search->parts[index];
 	int i;
@@ -101,14 +101,14 @@
 	for (i = 0; i < part->n_shards; i++) {
 		int shard = part->shards[i];
 
-		if (!waits_for(search, shard, index))
+		if (!is_waiting_for(search, shard, index))
 			continue;
 		if (code) {
 			search_shard_give_up(search, shard, part->code);
 			continue;
 		}
-		search->shards[shard].state = SEARCH_SHARD_WANTED;
-		search->shards[shard].ask_at = when;
+		search->shards[shard].state = SEARCH_SHARD_PENDING;
+		search->shards[shard].send_at = when;
 	}
 	search_wake(search, when);
 }
@@ -121,7 +121,7 @@
 	struct policy_failure failure = {
 		.code = part->code,
 		.sent = part->was_sent,
-		.attempts = search_part_tries(search, part),
+		.attempts = search_part_attempts(search, part),
 		.deadline = search->deadline_at,
 	};
 	int64_t when = INT64_MAX;
@@ -135,10 +135,9 @@
 		search_wake(search, when);
 		return;
 	}
-	end_wait(search, index, ret, when);
+	end_retry_wait(search, index, ret, when);
 }
 
-/* A part that came to nothing: shards nobody else is asked for go on. */
 void search_part_failed(struct search *search, int index,
 			const struct observe_result *result)
 {
@@ -152,13 +151,13 @@
 	for (i = 0; i < part->n_shards; i++) {
 		struct search_shard *shard = &search->shards[part->shards[i]];
 
-		shard->out--;
-		if (shard->state != SEARCH_SHARD_ASKED)
+		shard->n_in_flight--;
+		if (shard->state != SEARCH_SHARD_IN_FLIGHT)
 			continue;
 		shard->code = (int16_t)result->code;
-		if (shard->out)
+		if (shard->n_in_flight)
 			continue;
-		shard->state = SEARCH_SHARD_WAITING;
+		shard->state = SEARCH_SHARD_RETRY_WAIT;
 		shard->last_part = index;
 		waits = true;
 	}
@@ -176,8 +175,7 @@
 	search_part_failed(search, index, &result);
 }
 
-/* Cancelled for another of the same search; its other shards go on. */
-void search_part_drop(struct search *search, int index, int code)
+void search_part_supersede(struct search *search, int index, int code)
 {
 	struct search_part *part = &search->parts[index];
 	int i;
@@ -186,10 +184,11 @@
 	for (i = 0; i < part->n_shards; i++) {
 		struct search_shard *shard = &search->shards[part->shards[i]];
 
-		shard->out--;
-		if (shard->state != SEARCH_SHARD_ASKED || shard->out)
+		shard->n_in_flight--;
+		if (shard->state != SEARCH_SHARD_IN_FLIGHT ||
+		    shard->n_in_flight)
 			continue;
-		shard->state = SEARCH_SHARD_WANTED;
-		shard->ask_at = search_now(search);
+		shard->state = SEARCH_SHARD_PENDING;
+		shard->send_at = search_now(search);
 	}
 }
--- a/search_part.h
+++ b/search_part.h
@@ -1,6 +1,6 @@
 /*
- * The shards of a search, and the parts that ask for them: their ends, the
- * retries after a failure, and cancellation.
+ * State changes of a search's shards and parts: completion, failure, retry and
+ * cancellation.
  */
 #ifndef SEARCH_PART_H
 #define SEARCH_PART_H
@@ -8,12 +8,13 @@
 #include "search.h"
 
 /**
- * search_shard_is_due() - whether a shard is to be asked for now
+ * search_shard_is_due() - whether a shard must be requested now
  */
 bool search_shard_is_due(const struct search *search, int shard);
 
 /**
- * search_shard_give_up() - a shard stays without an answer, for a reason
+ * search_shard_give_up() - mark a shard as missing
+ * @code: the reason
  */
 void search_shard_give_up(struct search *search, int shard, int code);
 
@@ -23,48 +24,54 @@
 void search_shard_give_up_open(struct search *search, int code);
 
 /**
- * search_part_end() - a part is over; each that went out ends here, once
+ * search_part_end() - record the result of a part, once for each part sent
  */
 void search_part_end(struct search *search, struct search_part *part,
 		     const struct observe_result *result);
 
 /**
- * search_part_cancel() - end a part and tell its home
+ * search_part_cancel() - end a part and send a cancellation to its home
+ * @code: recorded as its result
  */
 void search_part_cancel(struct search *search, int index, int code);
 
 /**
- * search_part_cancel_open() - cancel all parts that are out
+ * search_part_cancel_open() - cancel all parts in flight
  */
 void search_part_cancel_open(struct search *search);
 
 /**
- * search_part_failed() - a part came to nothing: its shards are asked for
- *			  again, wait for the retry budget, or are given up
+ * search_part_failed() - handle a failed part
+ *
+ * Its shards that are not in flight elsewhere are requested again, wait for the
+ * retry budget, or are given up.
  */
 void search_part_failed(struct search *search, int index,
 			const struct observe_result *result);
 
 /**
- * search_part_lost() - as search_part_failed(), without word of its home
+ * search_part_lost() - as search_part_failed(), without a result from its home
  */
 void search_part_lost(struct search *search, int index, int code);
 
 /**
- * search_part_drop() - cancel a part for another of the same search
+ * search_part_supersede() - cancel a part that another of the same search
+ * replaces
+ *
+ * Its other shards are requested again.
  */
-void search_part_drop(struct search *search, int index, int code);
+void search_part_supersede(struct search *search, int index, int code);
 
 /**
- * search_part_retry() - ask the retry budget for the shards that wait for a
- * part
+ * search_part_retry() - ask the retry budget for the waiting shards of a
+ *			 failed part
  */
 void search_part_retry(struct search *search, int index);
 
 /**
- * search_part_tries() - the most parts sent for one shard of a part
+ * search_part_attempts() - highest number of attempts of any shard of a part
  */
-int search_part_tries(const struct search *search,
-		      const struct search_part *part);
+int search_part_attempts(const struct search *search,
+			 const struct search_part *part);
 
 #endif
--- a/search_plan.c
+++ b/search_plan.c
@@ -11,14 +11,14 @@
 {
 	int i;
 
-	for (i = 0; i < shard->tries; i++) {
+	for (i = 0; i < shard->attempts; i++) {
 		if (shard->tried[i] == server)
 			return true;
 	}
 	return false;
 }
 
-static int usable_homes(const struct catalog_server *server)
+static int count_usable_homes(const struct catalog_server *server)
 {
 	int n = 0;
 	int i;
@@ -29,9 +29,9 @@
 }
 
 /*
- * Whether a server that was asked for a shard may be asked again: a hedge
- * then takes the place of its older request, a silent connection or lost home
- * is gone around, and coverage-first searches go on until their deadline.
+ * Whether a server that was asked for a shard may be asked again: a hedge then
+ * replaces its older request, a silent connection or lost home can be avoided,
+ * and coverage-first searches keep trying until their deadline.
  */
 static bool may_ask_again(const struct search_round *round, int shard,
 			  const struct catalog_server *server)
@@ -39,8 +39,8 @@
 	const struct search *search = round->search;
 	int code = search->shards[shard].code;
 
-	if (round->hedged >= 0)
-		return search->parts[round->hedged].server != server;
+	if (round->hedged_part >= 0)
+		return search->parts[round->hedged_part].server != server;
 	switch (code) {
 	case ERR_NOT_HELD:
 	case ERR_WRONG_VERSION:
@@ -48,23 +48,23 @@
 	case ERR_SILENT:
 		return true;
 	case ERR_UNAVAILABLE:
-		return usable_homes(server) > 1;
+		return count_usable_homes(server) > 1;
 	default:
 		return search->mode == SERVICE_COVERAGE;
 	}
 }
 
-/* A shard is first asked of each server once. */
-static bool is_excluded(const struct search_round *round, int shard, bool again,
-			const struct catalog_server *server)
+/* Each server is asked once for a shard before any is asked again. */
+static bool is_excluded(const struct search_round *round, int shard,
+			bool allow_repeat, const struct catalog_server *server)
 {
 	if (!was_tried(&round->search->shards[shard], server))
 		return false;
-	return !again || !may_ask_again(round, shard, server);
+	return !allow_repeat || !may_ask_again(round, shard, server);
 }
 
-static struct catalog_instance *nth_home(const struct catalog_server *server,
-					 int n)
+static struct catalog_instance *
+nth_usable_home(const struct catalog_server *server, int n)
 {
 	int i;
 
@@ -95,7 +95,8 @@
 	}
 }
 
-int search_plan_replicas(struct search_round *round, int shard, bool again)
+int search_plan_replicas(struct search_round *round, int shard,
+			 bool allow_repeat)
 {
 	const struct catalog_placement *placement = round->placement;
 	struct observe *observe = &round->search->searches->policy.observe;
@@ -114,22 +115,24 @@
 			observe_server(observe, str_from(server->name));
 		replica->weight = server->weight;
 		replica->replaced =
-			again && round->hedged >= 0 &&
+			allow_repeat && round->hedged_part >= 0 &&
 			was_tried(&round->search->shards[shard], server);
-		replica->excluded = !replica->server ||
-				    is_excluded(round, shard, again, server);
+		replica->excluded =
+			!replica->server ||
+			is_excluded(round, shard, allow_repeat, server);
 		fill_homes(server, replica);
 	}
 	return n;
 }
 
-static int pick_replica(struct search_round *round, int shard, bool again,
-			struct search_choice *choice, int64_t *when)
+static int pick_replica(struct search_round *round, int shard,
+			bool allow_repeat, struct search_choice *choice,
+			int64_t *when)
 {
 	struct search *search = round->search;
 	struct policy *policy = &search->searches->policy;
-	bool urgent = round->is_retry || round->hedged >= 0;
-	int n = search_plan_replicas(round, shard, again);
+	bool urgent = round->is_retry || round->hedged_part >= 0;
+	int n = search_plan_replicas(round, shard, allow_repeat);
 	struct replica_pick pick;
 	int ret;
 
@@ -140,29 +143,29 @@
 	choice->server =
 		round->placement->servers[round->placement->first[shard] +
 					  pick.replica];
-	choice->home = nth_home(choice->server, pick.home);
-	if (round->hedged < 0)
+	choice->home = nth_usable_home(choice->server, pick.home);
+	if (round->hedged_part < 0)
 		return 0;
 	return policy->ops->hedge(policy, round->service,
 				  &round->replicas[pick.replica],
-				  search->shards[shard].tries, round->told,
-				  search->deadline_at)
+				  search->shards[shard].attempts,
+				  round->late_notice, search->deadline_at)
 		       ? 0
 		       : ERR_BUDGET;
 }
 
-static bool may_join(const struct search_round *round, int shard,
-		     const struct catalog_server *server)
+static bool may_add_shard(const struct search_round *round, int shard,
+			  const struct catalog_server *server)
 {
 	if (server->plan_round != round->id)
 		return false;
 	if (!is_excluded(round, shard, false, server))
 		return true;
-	return round->search->shards[shard].tries &&
+	return round->search->shards[shard].attempts &&
 	       !is_excluded(round, shard, true, server);
 }
 
-/* A server that this round asks already gets the shard too, if it holds it. */
+/* A server that holds the shard and already has a part in this round. */
 static struct catalog_server *planned_server(const struct search_round *round,
 					     int shard)
 {
@@ -171,7 +174,7 @@
 
 	for (i = placement->first[shard]; i < placement->first[shard + 1];
 	     i++) {
-		if (may_join(round, shard, placement->servers[i]))
+		if (may_add_shard(round, shard, placement->servers[i]))
 			return placement->servers[i];
 	}
 	return NULL;
@@ -187,12 +190,12 @@
 	if (choice->server)
 		return 0;
 	ret = pick_replica(round, shard, false, choice, when);
-	if (ret == ERR_NO_REPLICA && round->search->shards[shard].tries)
+	if (ret == ERR_NO_REPLICA && round->search->shards[shard].attempts)
 		ret = pick_replica(round, shard, true, choice, when);
 	return ret;
 }
 
-static struct search_part *put_part(struct search_round *round,
+static struct search_part *get_part(struct search_round *round,
 				    const struct search_choice *choice)
 {
 	struct search *search = round->search;
@@ -209,7 +212,7 @@
 	part->server = catalog_server_hold(server);
 	part->home = catalog_instance_hold(choice->home);
 	part->round = search->n_rounds;
-	part->is_hedge = round->hedged >= 0;
+	part->is_hedge = round->hedged_part >= 0;
 	part->hedge_at = INT64_MAX;
 	part->retry_at = INT64_MAX;
 	return part;
@@ -221,31 +224,30 @@
 	struct search *search = round->search;
 	struct search_shard *shard = &search->shards[index];
 
-	/* What is hedged is still asked for. */
-	if (round->hedged >= 0)
+	/* The hedged part is still in flight. */
+	if (round->hedged_part >= 0)
 		return;
 	if (code == ERR_SHED && when < search->deadline_at) {
-		shard->ask_at = when;
+		shard->send_at = when;
 		search_wake(search, when);
 		return;
 	}
 	search_shard_give_up(search, index, shard->code ? shard->code : code);
 }
 
-/* Puts a shard onto a part without asking the policy. */
-void search_plan_put(struct search_round *round, int index,
-		     const struct search_choice *choice)
+void search_plan_assign(struct search_round *round, int index,
+			const struct search_choice *choice)
 {
 	struct search *search = round->search;
 	struct search_shard *shard = &search->shards[index];
-	struct search_part *part = put_part(round, choice);
+	struct search_part *part = get_part(round, choice);
 
 	MEM_GROW(part->shards, part->n_shards, part->cap_shards);
 	part->shards[part->n_shards++] = index;
-	shard->tried[shard->tries++] = choice->server;
-	shard->out++;
+	shard->tried[shard->attempts++] = choice->server;
+	shard->n_in_flight++;
 	shard->last_part = (int)(part - search->parts);
-	shard->state = SEARCH_SHARD_ASKED;
+	shard->state = SEARCH_SHARD_IN_FLIGHT;
 }
 
 void search_plan_shard(struct search_round *round, int index)
@@ -256,13 +258,13 @@
 	int64_t when = 0;
 	int ret = ERR_NO_REPLICA;
 
-	if (shard->tries < SEARCH_TRIES_MAX)
+	if (shard->attempts < SEARCH_ATTEMPTS_MAX)
 		ret = choose(round, index, &choice, &when);
 	if (ret) {
 		search_plan_failed(round, index, ret, when);
 		return;
 	}
-	search_plan_put(round, index, &choice);
+	search_plan_assign(round, index, &choice);
 }
 
 void search_plan_shards(struct search_round *round)
--- a/search_plan.h
+++ b/search_plan.h
@@ -1,5 +1,5 @@
 /*
- * Which server and which of its homes is asked for a shard in a round.
+ * Planning of a round: the server and home that each shard is requested from.
  */
 #ifndef SEARCH_PLAN_H
 #define SEARCH_PLAN_H
@@ -7,10 +7,16 @@
 #include "search.h"
 
 /**
- * struct search_round - the plan of one round: what is asked of whom, before
- *			 anything is sent
- * @hedged: the part that is hedged, or -1
- * @told: its home told that it runs too long
+ * struct search_round - the plan of one round, made before anything is sent
+ * @placement: who holds the shards; NULL if nobody does
+ * @service: NULL if it was removed from the table
+ * @id: marks servers and homes that the plan uses already
+ * @wire_id: id of the round's requests at backend servers
+ * @first_part: index of the first part of this round
+ * @hedged_part: the part that is hedged, or -1
+ * @late_notice: its home reported that it runs for too long
+ * @is_retry: parts were sent before
+ * @replicas: owned: candidates for the shard being planned
  */
 struct search_round {
 	struct search *search;
@@ -19,15 +25,15 @@
 	uint64_t id;
 	char wire_id[SEARCH_WIRE_ID_SIZE];
 	int first_part;
-	int hedged;
-	bool told;
+	int hedged_part;
+	bool late_notice;
 	bool is_retry;
 	struct replica *replicas;
 	int cap_replicas;
 };
 
 /**
- * struct search_choice - a server and a home of it, as chosen for a shard
+ * struct search_choice - the server and home chosen for a shard; both borrowed
  */
 struct search_choice {
 	struct catalog_server *server;
@@ -35,32 +41,35 @@
 };
 
 /**
- * search_plan_replicas() - list who holds a shard in the round's @replicas
- * @again: servers that were asked for it may be asked again
+ * search_plan_replicas() - list a shard's replicas in the round's @replicas
+ * @allow_repeat: servers that were asked for it may be asked again
  *
- * Return: how many.
+ * Return: number of replicas.
  */
-int search_plan_replicas(struct search_round *round, int shard, bool again);
+int search_plan_replicas(struct search_round *round, int shard,
+			 bool allow_repeat);
 
 /**
- * search_plan_shard() - choose for a shard, and put it on a part
+ * search_plan_shard() - choose a server for a shard and assign it to a part
  */
 void search_plan_shard(struct search_round *round, int index);
 
 /**
- * search_plan_shards() - the same for each shard that is due
+ * search_plan_shards() - search_plan_shard() for each shard that is due
  */
 void search_plan_shards(struct search_round *round);
 
 /**
- * search_plan_put() - put a shard on a part without asking the policy
+ * search_plan_assign() - assign a shard to the part of a given server
  */
-void search_plan_put(struct search_round *round, int index,
-		     const struct search_choice *choice);
+void search_plan_assign(struct search_round *round, int index,
+			const struct search_choice *choice);
 
 /**
- * search_plan_failed() - nobody can be asked for a shard: wait until @when, or
- *			  give it up
+ * search_plan_failed() - handle a shard that no server can be asked for
+ * @code: the reason; with ERR_SHED the shard waits until @when if the deadline
+ *	  allows, else it is given up
+ * @when: microseconds
  */
 void search_plan_failed(struct search_round *round, int index, int code,
 			int64_t when);
--- a/search_poison.c
+++ b/search_poison.c
@@ -3,11 +3,11 @@
 #include "search_internal.h"
 #include "search_part.h"
 
-#define WATCHED_CANDIDATES_MAX 64
+#define CANDIDATES_MAX 64
 
-/* All that hold any shard that is due, at most so many. */
-static int list_watched(const struct search_round *round,
-			struct catalog_server **servers)
+/* Lists the servers that hold any due shard, up to the maximum. */
+static int list_candidates(const struct search_round *round,
+			   struct catalog_server **servers)
 {
 	const struct catalog_placement *placement = round->placement;
 	int n = 0;
@@ -24,7 +24,7 @@
 				if (servers[k] == placement->servers[i])
 					break;
 			}
-			if (k == n && n < WATCHED_CANDIDATES_MAX)
+			if (k == n && n < CANDIDATES_MAX)
 				servers[n++] = placement->servers[i];
 		}
 	}
@@ -41,7 +41,7 @@
 }
 
 static struct catalog_instance *
-watched_home(const struct search *search, const struct catalog_server *server)
+preferred_home(const struct search *search, const struct catalog_server *server)
 {
 	struct catalog_instance *best = NULL;
 	uint64_t least = UINT64_MAX;
@@ -60,13 +60,13 @@
 	return best;
 }
 
-static int pick_watched(const struct search_round *round,
-			struct search_choice *choice)
+static int pick_server(const struct search_round *round,
+		       struct search_choice *choice)
 {
 	const struct search *search = round->search;
-	struct catalog_server *servers[WATCHED_CANDIDATES_MAX];
-	struct poison_candidate candidates[WATCHED_CANDIDATES_MAX];
-	int n = list_watched(round, servers);
+	struct catalog_server *servers[CANDIDATES_MAX];
+	struct poison_candidate candidates[CANDIDATES_MAX];
+	int n = list_candidates(round, servers);
 	int ret;
 	int i;
 
@@ -74,7 +74,7 @@
 		candidates[i] = (struct poison_candidate){
 			.server = str_from(servers[i]->name),
 			.replica_set = replica_set_of(search, servers[i]),
-			.reachable = watched_home(search, servers[i]),
+			.reachable = preferred_home(search, servers[i]),
 		};
 	}
 	ret = poison_pick(&search->searches->board->poison, search->fingerprint,
@@ -82,7 +82,7 @@
 	if (ret < 0)
 		return ret;
 	choice->server = servers[ret];
-	choice->home = watched_home(search, servers[ret]);
+	choice->home = preferred_home(search, servers[ret]);
 	return 0;
 }
 
@@ -100,25 +100,23 @@
 	return false;
 }
 
-/* All that is due and one server holds; the rest waits for its answer. */
 void search_poison_plan(struct search_round *round)
 {
 	struct search *search = round->search;
 	struct search_choice choice;
-	int ret = pick_watched(round, &choice);
+	int ret = pick_server(round, &choice);
 	int i;
 
 	for (i = 0; i < search->map->n_shards; i++) {
 		if (!search_shard_is_due(search, i))
 			continue;
-		if (ret || search->shards[i].tries >= SEARCH_TRIES_MAX)
+		if (ret || search->shards[i].attempts >= SEARCH_ATTEMPTS_MAX)
 			search_plan_failed(round, i, ret ? ret : ERR_LOST, 0);
 		else if (holds(round, i, choice.server))
-			search_plan_put(round, i, &choice);
+			search_plan_assign(round, i, &choice);
 	}
 }
 
-/* Whether the rest of a search is refused, or runs on one server first. */
 bool search_poison_check(struct search *search)
 {
 	struct blackboard *board = search->searches->board;
@@ -129,9 +127,10 @@
 
 	if (verdict == POISON_BANNED)
 		search->retry_after_ms = retry_after_ms;
-	search->watched = verdict == POISON_PROBATION ||
-			  (verdict == POISON_CANARY &&
-			   blackboard_tunables(board)->canary == SWITCH_ON &&
-			   !search->n_answered);
+	search->single_server =
+		verdict == POISON_PROBATION ||
+		(verdict == POISON_CANARY &&
+		 blackboard_tunables(board)->canary == SWITCH_ON &&
+		 !search->n_answered);
 	return verdict == POISON_BANNED;
 }
--- a/search_result.c
+++ b/search_result.c
@@ -45,8 +45,8 @@
 }
 
 /*
- * A server that counts more than the shard holds, or whose records are not in
- * order, would spoil what others answered.
+ * Counts above the shard's size or unsorted records would corrupt the merged
+ * result of all servers.
  */
 static int check_partial(const struct search *search, int index,
 			 const Backend__ShardPartial *partial)
@@ -60,23 +60,23 @@
 	return 0;
 }
 
-static void take_shard(struct search *search, int index,
-		       const Backend__ShardPartial *partial)
+static void apply_shard(struct search *search, int index,
+			const Backend__ShardPartial *partial)
 {
 	struct search_shard *shard = &search->shards[index];
 	int code;
 
-	shard->out--;
-	/* A hedge or retry was quicker: the shard must not count twice. */
+	shard->n_in_flight--;
+	/* A hedge or retry was faster: the shard must not count twice. */
 	if (shard->state == SEARCH_SHARD_ANSWERED)
 		return;
 	code = check_partial(search, index, partial);
 	if (code) {
 		shard->code = (int16_t)code;
-		if (shard->out)
+		if (shard->n_in_flight)
 			return;
-		shard->state = SEARCH_SHARD_WANTED;
-		shard->ask_at = search_now(search);
+		shard->state = SEARCH_SHARD_PENDING;
+		shard->send_at = search_now(search);
 		return;
 	}
 	shard->state = SEARCH_SHARD_ANSWERED;
@@ -87,7 +87,7 @@
 	merge_add(&search->merge, partial->records, partial->n_records);
 }
 
-/* Parts with no shard left to answer: a hedge or its original was quicker. */
+/* Cancels parts whose shards were all answered by a faster part. */
 static void cancel_losers(struct search *search)
 {
 	int i;
@@ -96,42 +96,42 @@
 	for (i = 0; i < search->n_parts; i++) {
 		struct search_part *part = &search->parts[i];
 
-		for (k = 0; k < part->n_shards && !part->back; k++) {
+		for (k = 0; k < part->n_shards && !part->is_done; k++) {
 			if (search->shards[part->shards[k]].state ==
-			    SEARCH_SHARD_ASKED)
+			    SEARCH_SHARD_IN_FLIGHT)
 				break;
 		}
-		if (!part->back && k == part->n_shards)
-			search_part_drop(search, i, ERR_CANCELLED);
+		if (!part->is_done && k == part->n_shards)
+			search_part_supersede(search, i, ERR_CANCELLED);
 	}
 }
 
-/* Whether any of its shards was asked of somebody else as well. */
+/* Whether any of its shards is still in flight in another part. */
 static bool was_hedged(const struct search *search,
 		       const struct search_part *part)
 {
 	int i;
 
 	for (i = 0; i < part->n_shards; i++) {
-		if (search->shards[part->shards[i]].out)
+		if (search->shards[part->shards[i]].n_in_flight)
 			return true;
 	}
 	return false;
 }
 
-static void take_answer(struct search *search, struct search_part *part,
-			const Backend__SearchAnswer *answer)
+static void apply_answer(struct search *search, struct search_part *part,
+			 const Backend__SearchAnswer *answer)
 {
 	int i;
 
 	for (i = 0; i < part->n_shards; i++)
-		take_shard(search, part->shards[i], answer->shards[i]);
+		apply_shard(search, part->shards[i], answer->shards[i]);
 	if (was_hedged(search, part))
 		cancel_losers(search);
-	if (search->watched)
+	if (search->single_server)
 		poison_cleared(&search->searches->board->poison,
 			       search->fingerprint);
-	search->watched = false;
+	search->single_server = false;
 }
 
 static struct search_part *find_part(struct search *search, struct str home,
@@ -145,9 +145,9 @@
 	return str_eq_text(home, part->home->name) ? part : NULL;
 }
 
-/* The loser of a hedge that waited for a slot has cost no server anything. */
-static void take_cancelled(struct search *search, struct search_part *part,
-			   const Peer__ServerResult *result)
+/* A hedge cancelled before it got a slot caused no load on a server. */
+static void handle_cancelled(struct search *search, struct search_part *part,
+			     const Peer__ServerResult *result)
 {
 	const struct service *service = search_service(search);
 
@@ -177,15 +177,16 @@
 	       (result->code == ERR_TOO_LATE && !result->sent);
 }
 
-/* What admission follows. */
-static void note_wait(struct search *search, const Peer__ServerResult *result)
+/* Statistics for admission control. */
+static void record_queueing(struct search *search,
+			    const Peer__ServerResult *result)
 {
 	search->n_results++;
 	search->n_shed += is_shed(result);
 	search->wait_us += result->wait_us;
 }
 
-/* A server that refused did not run the request, though it got it. */
+/* A server that refused the request got it, but did not run it. */
 static bool may_have_run(const Peer__ServerResult *result)
 {
 	switch (observe_outcome_of(result->code, result->sent)) {
@@ -197,8 +198,8 @@
 	}
 }
 
-void search_result_take(struct search *search, struct str home,
-			const Peer__ServerResult *result)
+void search_result_handle(struct search *search, struct str home,
+			  const Peer__ServerResult *result)
 {
 	struct counters *counters = &search->searches->board->counters;
 	struct arena *arena = &search->searches->arena;
@@ -210,8 +211,8 @@
 		metric_inc(&counters->answers_foreign);
 		return;
 	}
-	if (part->back) {
-		take_cancelled(search, part, result);
+	if (part->is_done) {
+		handle_cancelled(search, part, result);
 		return;
 	}
 	if (result->late) {
@@ -221,7 +222,7 @@
 	}
 	if (may_have_run(result))
 		search->maybe_ran = true;
-	note_wait(search, result);
+	record_queueing(search, result);
 	search_trace_times(search, (int)result->part, result);
 	fill_observed(search, part, result, &observed);
 	arena_reset(arena);
@@ -239,5 +240,5 @@
 		return;
 	}
 	search_part_end(search, part, &observed);
-	take_answer(search, part, answer);
+	apply_answer(search, part, answer);
 }
--- a/search_result.h
+++ b/search_result.h
@@ -1,5 +1,5 @@
 /*
- * What homes answer to the parts of a search.
+ * Handling of the results that homes send for the parts of a search.
  */
 #ifndef SEARCH_RESULT_H
 #define SEARCH_RESULT_H
@@ -7,10 +7,12 @@
 #include "search.h"
 
 /**
- * search_result_take() - take the result of one part; the caller goes on with
- *			  what is still open
+ * search_result_handle() - handle the result of one part
+ * @result: borrowed
+ *
+ * The caller must then send requests for the shards that are due.
  */
-void search_result_take(struct search *search, struct str home,
-			const Peer__ServerResult *result);
+void search_result_handle(struct search *search, struct str home,
+			  const Peer__ServerResult *result);
 
 #endif
--- a/search_round.c
+++ b/search_round.c
@@ -11,7 +11,7 @@
 #include "search_poison.h"
 #include "search_trace.h"
 
-/* The message for one home, built from the round's parts for it. */
+/* The query for one home, with all parts of the round for it. */
 struct outgoing {
 	struct catalog_instance *home;
 	Peer__Query query;
@@ -45,9 +45,9 @@
 }
 
 /*
- * Callers may use the same id twice, and a cancellation names a request by
- * its id: one on the wire must be of this search and round alone, or a
- * cancelled request would take another one with it.
+ * Callers may reuse their request ids, and backend servers cancel requests by
+ * id. The id on the wire must be unique to the search and round, or a
+ * cancellation could hit another request.
  */
 void search_round_wire_id(const struct search *search, int round,
 			  char out[SEARCH_WIRE_ID_SIZE])
@@ -78,7 +78,7 @@
 	query->deadline_ms = left > 0 ? (uint32_t)(left / USEC_PER_MSEC) : 0;
 	query->priority = (uint32_t)search->priority;
 	query->fingerprint = search->fingerprint;
-	query->watched = search->watched;
+	query->watched = search->single_server;
 }
 
 static void free_outgoing(struct outgoing *out)
@@ -92,7 +92,7 @@
 	free(out->parts);
 }
 
-static void send_one(struct search *search, struct outgoing *out)
+static void send_outgoing(struct search *search, struct outgoing *out)
 {
 	struct searches *searches = search->searches;
 	size_t i;
@@ -105,11 +105,11 @@
 		search_part_lost(search, (int)out->parts[i]->part, ret);
 }
 
-/* A shard that waited for its first request is not asked again. */
+/* Whether any shard of the part was requested before. */
 static bool is_repeat(const struct search *search,
 		      const struct search_part *part)
 {
-	return search_part_tries(search, part) > 1;
+	return search_part_attempts(search, part) > 1;
 }
 
 static void count_part(struct search_round *round, struct search_part *part)
@@ -127,7 +127,7 @@
 	}
 }
 
-/* From here on search_part_end() must follow. */
+/* Records the part as sent; search_part_end() must follow for it. */
 static void observe_part(struct search_round *round, struct search_part *part)
 {
 	struct search *search = round->search;
@@ -137,12 +137,12 @@
 
 	part->sent_at = search_now(search);
 	search_trace_sent(search, part, round->is_retry);
-	part->seen =
+	part->observed_server =
 		observe_server(&policy->observe, str_from(part->server->name));
-	if (!part->seen)
+	if (!part->observed_server)
 		return;
-	policy_request_sent(policy, part->seen, part->home->hash);
-	asked.server = part->seen;
+	policy_request_sent(policy, part->observed_server, part->home->hash);
+	asked.server = part->observed_server;
 	part->hedge_after =
 		policy->ops->hedge_delay(policy, round->service, &asked,
 					 round->replicas, n, part->is_hedge);
@@ -152,7 +152,7 @@
 	search_wake(search, part->hedge_at);
 }
 
-static struct outgoing *put_outgoing(struct search_round *round,
+static struct outgoing *get_outgoing(struct search_round *round,
 				     struct outgoing *outs, int *n,
 				     struct catalog_instance *home)
 {
@@ -180,7 +180,7 @@
 
 	for (i = round->first_part; i < search->n_parts; i++) {
 		struct outgoing *out =
-			put_outgoing(round, outs, &n, search->parts[i].home);
+			get_outgoing(round, outs, &n, search->parts[i].home);
 
 		count_part(round, &search->parts[i]);
 		observe_part(round, &search->parts[i]);
@@ -188,29 +188,29 @@
 	}
 	search->n_homes += n;
 	for (i = 0; i < n; i++) {
-		send_one(search, &outs[i]);
+		send_outgoing(search, &outs[i]);
 		free_outgoing(&outs[i]);
 	}
 	free(outs);
 }
 
-static bool is_waiting(const struct search *search)
+static bool has_part_in_flight(const struct search *search)
 {
 	int i;
 
 	for (i = 0; i < search->n_parts; i++) {
-		if (!search->parts[i].back)
+		if (!search->parts[i].is_done)
 			return true;
 	}
 	return false;
 }
 
-bool search_round_wanted(const struct search *search)
+bool search_round_is_due(const struct search *search)
 {
 	int i;
 
-	/* What is watched runs on one server at a time. */
-	if (search->watched && is_waiting(search))
+	/* A possible poison request runs on one server at a time. */
+	if (search->single_server && has_part_in_flight(search))
 		return false;
 
 	for (i = 0; i < search->map->n_shards; i++) {
@@ -220,21 +220,21 @@
 	return false;
 }
 
-static void give_up_wanted(struct search *search)
+static void give_up_pending(struct search *search)
 {
 	int i;
 
 	for (i = 0; i < search->map->n_shards; i++) {
 		struct search_shard *shard = &search->shards[i];
 
-		if (shard->state == SEARCH_SHARD_WANTED)
+		if (shard->state == SEARCH_SHARD_PENDING)
 			search_shard_give_up(search, i,
 					     shard->code ? shard->code
 							 : ERR_NO_REPLICA);
 	}
 }
 
-static int count_first(const struct search_round *round)
+static int count_first_attempts(const struct search_round *round)
 {
 	const struct search *search = round->search;
 	int n = 0;
@@ -245,7 +245,6 @@
 	return n;
 }
 
-/* Take a round from its plan to the homes. */
 void search_round_send(struct search_round *round)
 {
 	struct search *search = round->search;
@@ -253,16 +252,16 @@
 
 	if (!n_new)
 		return;
-	if (round->hedged < 0 && round->service)
+	if (round->hedged_part < 0 && round->service)
 		policy_count_needed(&search->searches->policy, round->service,
-				    count_first(round));
+				    count_first_attempts(round));
 	search_round_wire_id(search, search->n_rounds, round->wire_id);
 	search->n_rounds++;
 	send_round(round);
 }
 
 void search_round_init(struct search_round *round, struct search *search,
-		       int hedged)
+		       int hedged_part)
 {
 	struct searches *searches = search->searches;
 
@@ -272,7 +271,7 @@
 	round->service = search_service(search);
 	round->id = searches->next_id++;
 	round->first_part = search->n_parts;
-	round->hedged = hedged;
+	round->hedged_part = hedged_part;
 	round->is_retry = search->n_parts > 0;
 }
 
@@ -290,14 +289,14 @@
 		return;
 	}
 	search_round_init(&round, search, -1);
-	if (round.placement && round.service && search->watched) {
+	if (round.placement && round.service && search->single_server) {
 		search_poison_plan(&round);
 		search_round_send(&round);
 	} else if (round.placement && round.service) {
 		search_plan_shards(&round);
 		search_round_send(&round);
 	} else {
-		give_up_wanted(search);
+		give_up_pending(search);
 	}
 	search_round_finish(&round);
 }
--- a/search_round.h
+++ b/search_round.h
@@ -1,5 +1,5 @@
 /*
- * A round of parts, from its plan to the messages for the homes.
+ * A round of parts, from the plan to the queries sent to homes.
  */
 #ifndef SEARCH_ROUND_H
 #define SEARCH_ROUND_H
@@ -13,29 +13,29 @@
 			  char out[SEARCH_WIRE_ID_SIZE]);
 
 /**
- * search_round_init() - begin a plan
- * @hedged: the part that is hedged, or -1
+ * search_round_init() - begin an empty plan
+ * @hedged_part: the part that is hedged, or -1
  */
 void search_round_init(struct search_round *round, struct search *search,
-		       int hedged);
+		       int hedged_part);
 
 /**
- * search_round_send() - send what was planned
+ * search_round_send() - send the planned parts
  */
 void search_round_send(struct search_round *round);
 
 /**
- * search_round_finish() - release a plan, sent or not
+ * search_round_finish() - free a plan, sent or not
  */
 void search_round_finish(struct search_round *round);
 
 /**
- * search_round_wanted() - whether a round has something to ask for now
+ * search_round_is_due() - whether any shard must be requested now
  */
-bool search_round_wanted(const struct search *search);
+bool search_round_is_due(const struct search *search);
 
 /**
- * search_round_run() - plan and send all that is due
+ * search_round_run() - plan and send a round for all shards that are due
  */
 void search_round_run(struct search *search);
 
--- a/search_trace.c
+++ b/search_trace.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Servers and shards named for one bad search. */
+/* Servers and shards reported as causes of one bad search, of each kind. */
 #define CAUSES_MAX 16
 #define SHARD_KEY_SIZE 16
 
@@ -32,8 +32,8 @@
 			result->latency_us);
 }
 
-void search_trace_back(struct search *search, int index,
-		       const struct observe_result *result)
+void search_trace_part_done(struct search *search, int index,
+			    const struct observe_result *result)
 {
 	trace_log_back(&search->trace, index,
 		       search->parts[index].sent_at + result->elapsed_us,
@@ -124,12 +124,13 @@
 	}
 }
 
-static int n_logged(const struct search *search)
+static int count_logged(const struct search *search)
 {
 	return search->trace.n - search->trace.base;
 }
 
-static const struct trace_part *logged(const struct search *search, int index)
+static const struct trace_part *logged_part(const struct search *search,
+					    int index)
 {
 	return &search->trace.parts[search->trace.base + index];
 }
@@ -138,8 +139,9 @@
 			 int index)
 {
 	burn_blame(&search->searches->board->burn, service, BURN_SERVER,
-		   str_from(trace_name_text(logged(search, index)->server)),
-		   logged(search, index)->code);
+		   str_from(
+			   trace_name_text(logged_part(search, index)->server)),
+		   logged_part(search, index)->code);
 }
 
 static void blame_failed(struct search *search, struct burn_service *service)
@@ -147,8 +149,8 @@
 	int n = 0;
 	int i;
 
-	for (i = 0; i < n_logged(search) && n < CAUSES_MAX; i++) {
-		int code = logged(search, i)->code;
+	for (i = 0; i < count_logged(search) && n < CAUSES_MAX; i++) {
+		int code = logged_part(search, i)->code;
 
 		if (!code || code == ERR_CANCELLED)
 			continue;
@@ -168,7 +170,7 @@
 		blame_shard(search, service, part->shards[i], 0);
 }
 
-/* The parts that answered after the target: at least the last one. */
+/* Blames the parts that exceeded the latency target, or else the last one. */
 static void blame_slow(struct search *search, struct burn_service *service)
 {
 	int64_t target = MSEC(service->target.latency_ms);
@@ -176,12 +178,13 @@
 	int n = 0;
 	int i;
 
-	for (i = 0; i < n_logged(search); i++) {
-		const struct trace_part *part = logged(search, i);
+	for (i = 0; i < count_logged(search); i++) {
+		const struct trace_part *part = logged_part(search, i);
 
 		if (part->code)
 			continue;
-		if (last < 0 || part->back_us > logged(search, last)->back_us)
+		if (last < 0 ||
+		    part->back_us > logged_part(search, last)->back_us)
 			last = i;
 		if (part->back_us <= target || n == CAUSES_MAX)
 			continue;
@@ -203,7 +206,7 @@
 	return row < 0 ? NULL : &table->services[row];
 }
 
-static void count_burn(struct search *search, struct trace_summary *summary)
+static void record_burn(struct search *search, struct trace_summary *summary)
 {
 	struct burn_event event = {
 		.answered = !summary->code,
@@ -214,7 +217,7 @@
 	struct burn_target target;
 	struct burn_service *service;
 
-	/* A service that is not in the table has no budget. */
+	/* A service that is not in the table has no error budget. */
 	if (!row)
 		return;
 	burn_target_fill(&target, row);
@@ -229,7 +232,7 @@
 		blame_slow(search, service);
 }
 
-static void keep(struct search *search, struct trace_summary *summary)
+static void store_trace(struct search *search, struct trace_summary *summary)
 {
 	struct blackboard *board = search->searches->board;
 	struct counters *counters = &board->counters;
@@ -248,11 +251,11 @@
 
 	fill_summary(search, &summary);
 	summary.notable = summary.n_restarts > 0;
-	count_burn(search, &summary);
-	keep(search, &summary);
+	record_burn(search, &summary);
+	store_trace(search, &summary);
 }
 
-void search_trace_dropped(struct search *search)
+void search_trace_caller_gone(struct search *search)
 {
 	const struct service *row = find_row(search);
 	struct trace_summary summary;
@@ -260,6 +263,6 @@
 	fill_summary(search, &summary);
 	summary.code = ERR_CANCELLED;
 	if (row && summary.elapsed > MSEC(row->slo_latency_ms))
-		count_burn(search, &summary);
-	keep(search, &summary);
+		record_burn(search, &summary);
+	store_trace(search, &summary);
 }
--- a/tests/test_search.c
+++ b/tests/test_search.c
@@ -12,11 +12,13 @@
 #define REASONS_MAX 16
 
 /**
- * struct world - what the search did to the world
- * @sent: queries as they went out
- * @refuse_send: what send_query returns from now on
+ * struct fixture - searches of one instance, and what they output
+ * @sent: queries in the order in which they were sent
+ * @refuse_send: error that send_query returns; 0: none
+ * @outcome: with the fields below: of the latest search that is done
+ * @reasons: error of each shard; 0: answered
  */
-struct world {
+struct fixture {
 	struct path_board path;
 	struct searches searches;
 	struct {
@@ -36,63 +38,63 @@
 	int n_restarts;
 	int n_records;
 	char first_key[32];
-	int reasons[REASONS_MAX]; /* by shard; 0: answered */
+	int reasons[REASONS_MAX];
 };
 
 static int on_send(void *arg, struct str home, const Peer__Query *query)
 {
-	struct world *world = arg;
+	struct fixture *fixture = arg;
 	size_t len = peer__query__get_packed_size(query);
 	uint8_t *bytes;
-	int at = world->n_sent;
+	int at = fixture->n_sent;
 
-	if (world->refuse_send)
-		return world->refuse_send;
+	if (fixture->refuse_send)
+		return fixture->refuse_send;
 	CU_ASSERT_FATAL(at < SENT_MAX);
-	world->n_sent++;
+	fixture->n_sent++;
 	bytes = mem_zalloc(len);
 	peer__query__pack(query, bytes);
-	str_copy(world->sent[at].home, sizeof(world->sent[at].home), home);
-	world->sent[at].query = peer__query__unpack(NULL, len, bytes);
+	str_copy(fixture->sent[at].home, sizeof(fixture->sent[at].home), home);
+	fixture->sent[at].query = peer__query__unpack(NULL, len, bytes);
 	free(bytes);
 	return 0;
 }
 
 static void on_cancel(void *arg, struct str home, const Peer__Cancel *cancel)
 {
-	struct world *world = arg;
+	struct fixture *fixture = arg;
 
 	(void)home;
 	(void)cancel;
-	world->n_cancels++;
+	fixture->n_cancels++;
 }
 
-static void note_records(struct world *world, const struct merge *merge)
+static void save_records(struct fixture *fixture, const struct merge *merge)
 {
-	world->n_records = merge->n;
+	fixture->n_records = merge->n;
 	if (merge->n)
-		str_copy(world->first_key, sizeof(world->first_key),
+		str_copy(fixture->first_key, sizeof(fixture->first_key),
 			 merge->records[0].key);
 }
 
 static void on_done(void *arg, struct search *search)
 {
-	struct world *world = arg;
+	struct fixture *fixture = arg;
 	int i;
 
-	world->n_done++;
-	world->code = search->code;
-	world->outcome = answer_outcome(search->code, search->maybe_ran);
-	world->n_restarts = search->n_restarts;
+	fixture->n_done++;
+	fixture->code = search->code;
+	fixture->outcome = answer_outcome(search->code, search->maybe_ran);
+	fixture->n_restarts = search->n_restarts;
 	if (!search->map)
 		return;
-	world->version = search->map->version;
-	world->count = search->count;
-	world->covered = search->covered;
-	world->total = search_total(search);
-	note_records(world, &search->merge);
+	fixture->version = search->map->version;
+	fixture->count = search->count;
+	fixture->covered = search->covered;
+	fixture->total = search_total(search);
+	save_records(fixture, &search->merge);
 	for (i = 0; i < search->map->n_shards && i < REASONS_MAX; i++)
-		world->reasons[i] =
+		fixture->reasons[i] =
 			search->shards[i].state == SEARCH_SHARD_ANSWERED
 				? 0
 				: search->shards[i].code;
@@ -104,24 +106,25 @@
 	.done = on_done,
 };
 
-static void set_up(struct world *world, int n_servers)
+static void set_up(struct fixture *fixture, int n_servers)
 {
-	memset(world, 0, sizeof(*world));
-	path_board_init(&world->path, n_servers);
-	searches_init(&world->searches, &world->path.board, &ops, world, 3);
+	memset(fixture, 0, sizeof(*fixture));
+	path_board_init(&fixture->path, n_servers);
+	searches_init(&fixture->searches, &fixture->path.board, &ops, fixture,
+		      3);
 }
 
-static void tear_down(struct world *world)
+static void tear_down(struct fixture *fixture)
 {
 	int i;
 
-	searches_finish(&world->searches);
-	for (i = 0; i < world->n_sent; i++)
-		peer__query__free_unpacked(world->sent[i].query, NULL);
-	path_board_finish(&world->path);
+	searches_finish(&fixture->searches);
+	for (i = 0; i < fixture->n_sent; i++)
+		peer__query__free_unpacked(fixture->sent[i].query, NULL);
+	path_board_finish(&fixture->path);
 }
 
-static void start_for(struct world *world, const char *service, int mode,
+static void start_for(struct fixture *fixture, const char *service, int mode,
 		      int64_t limit)
 {
 	struct search_request request = {
@@ -132,13 +135,13 @@
 
 	str_copy(request.service, sizeof(request.service), str_from(service));
 	str_copy(request.request_id, sizeof(request.request_id), STR("r"));
-	search_start(&world->searches, &request, NULL);
+	search_start(&fixture->searches, &request, NULL);
 	search_request_finish(&request);
 }
 
-static void start(struct world *world)
+static void start(struct fixture *fixture)
 {
-	start_for(world, PATH_SERVICE, REQUEST_COUNT, 0);
+	start_for(fixture, PATH_SERVICE, REQUEST_COUNT, 0);
 }
 
 /**
@@ -146,17 +149,18 @@
  * @home: NULL: the one that was asked
  * @request_id: NULL: that of the query
  * @server: NULL: the one that was asked
- * @cut: bytes missing at the end
+ * @cut: bytes truncated at the end
  * @id: 0: that of the query
  * @version: 0: that of the query
- * @code: of the whole part
+ * @code: error of the whole part
+ * @unsent: the home did not send it to the server
  * @status: of each shard
  * @held: 0: PATH_HELD
  * @count: 0: 1
  * @shift: added to the end of each shard's range
  * @drop: shards left out at the end
  * @key: of a record in the first shard; NULL: none
- * @second_key: of another behind it
+ * @second_key: of a second record after it
  */
 struct reply {
 	const char *home;
@@ -234,10 +238,10 @@
 	return bytes;
 }
 
-static void answer_as(struct world *world, int sent, size_t part,
-		      struct reply reply)
+static void answer_with(struct fixture *fixture, int sent, size_t part,
+			struct reply reply)
 {
-	const Peer__Query *query = world->sent[sent].query;
+	const Peer__Query *query = fixture->sent[sent].query;
 	const Peer__ServerPart *asked = query->parts[part];
 	Peer__QueryResult result = PEER__QUERY_RESULT__INIT;
 	Peer__ServerResult item = PEER__SERVER_RESULT__INIT;
@@ -262,284 +266,287 @@
 		item.answer.len = 0;
 	if (reply.cut < item.answer.len)
 		item.answer.len -= reply.cut;
-	searches_result(&world->searches,
+	searches_result(&fixture->searches,
 			str_from(reply.home ? reply.home
-					    : world->sent[sent].home),
+					    : fixture->sent[sent].home),
 			&result);
 	free(bytes);
 }
 
-static void answer(struct world *world, int sent, size_t part)
+static void answer(struct fixture *fixture, int sent, size_t part)
 {
-	answer_as(world, sent, part, (struct reply){0});
+	answer_with(fixture, sent, part, (struct reply){0});
 }
 
-static void fail_part(struct world *world, int sent, size_t part, int code,
+static void fail_part(struct fixture *fixture, int sent, size_t part, int code,
 		      bool unsent)
 {
-	answer_as(world, sent, part,
-		  (struct reply){.code = code, .unsent = unsent});
+	answer_with(fixture, sent, part,
+		    (struct reply){.code = code, .unsent = unsent});
 }
 
-static void pass_deadline(struct world *world)
+static void advance_to_deadline(struct fixture *fixture)
 {
-	clock_advance(&world->path.clock, MSEC(PATH_DEADLINE_MS));
-	searches_tick(&world->searches);
+	clock_advance(&fixture->path.clock, MSEC(PATH_DEADLINE_MS));
+	searches_tick(&fixture->searches);
 }
 
 static void test_counts_add_over_servers(void)
 {
-	struct world world;
-
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 4, 4, "01");
-	path_put(&world.path, "h1", "b2", 4, 4, "23");
-	start(&world);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 1);
-	CU_ASSERT_EQUAL_FATAL(world.sent[0].query->n_parts, 2);
-	CU_ASSERT_EQUAL(world.sent[0].query->version, 4);
-	answer(&world, 0, 0);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	answer(&world, 0, 1);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.code, 0);
-	CU_ASSERT_EQUAL(world.count, 4);
-	CU_ASSERT_EQUAL(world.covered, 4 * PATH_HELD);
-	CU_ASSERT_EQUAL(world.total, 4 * PATH_HELD);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 4, 4, "01");
+	path_put(&fixture.path, "h1", "b2", 4, 4, "23");
+	start(&fixture);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 1);
+	CU_ASSERT_EQUAL_FATAL(fixture.sent[0].query->n_parts, 2);
+	CU_ASSERT_EQUAL(fixture.sent[0].query->version, 4);
+	answer(&fixture, 0, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	answer(&fixture, 0, 1);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.code, 0);
+	CU_ASSERT_EQUAL(fixture.count, 4);
+	CU_ASSERT_EQUAL(fixture.covered, 4 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.total, 4 * PATH_HELD);
+	tear_down(&fixture);
 }
 
 static void test_records_merge(void)
 {
-	struct world world;
-
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 2, "0");
-	path_put(&world.path, "h1", "b2", 1, 2, "1");
-	start_for(&world, PATH_SERVICE, REQUEST_RECORDS, 1);
-	answer_as(&world, 0, 0, (struct reply){.key = "z"});
-	answer_as(&world, 0, 1, (struct reply){.key = "a"});
-	CU_ASSERT_EQUAL(world.n_records, 1);
-	CU_ASSERT_STRING_EQUAL(world.first_key, "a");
-	CU_ASSERT_EQUAL(world.count, 2);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
+	path_put(&fixture.path, "h1", "b2", 1, 2, "1");
+	start_for(&fixture, PATH_SERVICE, REQUEST_RECORDS, 1);
+	answer_with(&fixture, 0, 0, (struct reply){.key = "z"});
+	answer_with(&fixture, 0, 1, (struct reply){.key = "a"});
+	CU_ASSERT_EQUAL(fixture.n_records, 1);
+	CU_ASSERT_STRING_EQUAL(fixture.first_key, "a");
+	CU_ASSERT_EQUAL(fixture.count, 2);
+	tear_down(&fixture);
 }
 
 /*
- * Servers switch from version 1 to 2 while a query runs: one has answered
- * from 1, the other refuses because it only holds 2 now. A caller must not
- * see half of each: the query begins again at 2, and a late answer from 1
- * is dropped.
+ * Servers switch from version 1 to 2 during a search: one has answered from 1,
+ * the other refuses because it only holds 2 now. An answer must not mix both:
+ * the search restarts on 2, and late answers from 1 are dropped.
  */
-static void test_version_switch_never_mixes(void)
+static void test_version_switch_restarts(void)
 {
-	struct world world;
-
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 2, "0");
-	path_put(&world.path, "h2", "b2", 1, 2, "1");
-	start(&world);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 2);
-	answer_as(&world, 0, 0, (struct reply){.count = 7});
-	path_put(&world.path, "h1", "b1", 2, 2, "0");
-	path_put(&world.path, "h2", "b2", 2, 2, "1");
-	fail_part(&world, 1, 0, ERR_WRONG_VERSION, false);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 4);
-	CU_ASSERT_EQUAL(world.sent[2].query->version, 2);
-	CU_ASSERT_EQUAL(world.sent[3].query->version, 2);
-	CU_ASSERT_NOT_EQUAL(world.sent[2].query->id, world.sent[0].query->id);
-	answer_as(&world, 0, 0, (struct reply){.count = 7});
-	answer_as(&world, 1, 0, (struct reply){.count = 7});
-	answer(&world, 2, 0);
-	answer(&world, 3, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.version, 2);
-	CU_ASSERT_EQUAL(world.count, 2);
-	CU_ASSERT_EQUAL(world.covered, 2 * PATH_HELD);
-	CU_ASSERT_EQUAL(world.n_restarts, 1);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
+	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	start(&fixture);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
+	answer_with(&fixture, 0, 0, (struct reply){.count = 7});
+	path_put(&fixture.path, "h1", "b1", 2, 2, "0");
+	path_put(&fixture.path, "h2", "b2", 2, 2, "1");
+	fail_part(&fixture, 1, 0, ERR_WRONG_VERSION, false);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 4);
+	CU_ASSERT_EQUAL(fixture.sent[2].query->version, 2);
+	CU_ASSERT_EQUAL(fixture.sent[3].query->version, 2);
+	CU_ASSERT_NOT_EQUAL(fixture.sent[2].query->id,
+			    fixture.sent[0].query->id);
+	answer_with(&fixture, 0, 0, (struct reply){.count = 7});
+	answer_with(&fixture, 1, 0, (struct reply){.count = 7});
+	answer(&fixture, 2, 0);
+	answer(&fixture, 3, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.version, 2);
+	CU_ASSERT_EQUAL(fixture.count, 2);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.n_restarts, 1);
+	tear_down(&fixture);
 }
 
 /*
- * The same, and where the replicas moved to is not known yet: a moment later
- * the homes say it. The query waits for their word and begins again, whole.
+ * The same, but the catalog does not know the new version yet. The search waits
+ * until homes have announced all of it, and then restarts with full coverage.
  */
 static void test_version_switch_not_known_yet(void)
 {
-	struct world world;
-
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 2, "0");
-	path_put(&world.path, "h2", "b2", 1, 2, "1");
-	start(&world);
-	answer(&world, 0, 0);
-	fail_part(&world, 1, 0, ERR_WRONG_VERSION, false);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	clock_advance(&world.path.clock, MSEC(5));
-	path_put(&world.path, "h1", "b1", 2, 2, "0");
-	searches_catalog_changed(&world.searches);
+	struct fixture fixture;
+
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
+	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	start(&fixture);
+	answer(&fixture, 0, 0);
+	fail_part(&fixture, 1, 0, ERR_WRONG_VERSION, false);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	clock_advance(&fixture.path.clock, MSEC(5));
+	path_put(&fixture.path, "h1", "b1", 2, 2, "0");
+	searches_catalog_changed(&fixture.searches);
 	/* Half of version 2 is no better than half of version 1. */
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 2);
-	path_put(&world.path, "h2", "b2", 2, 2, "1");
-	searches_catalog_changed(&world.searches);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 4);
-	answer(&world, 2, 0);
-	answer(&world, 3, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.version, 2);
-	CU_ASSERT_EQUAL(world.covered, 2 * PATH_HELD);
-	tear_down(&world);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
+	path_put(&fixture.path, "h2", "b2", 2, 2, "1");
+	searches_catalog_changed(&fixture.searches);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 4);
+	answer(&fixture, 2, 0);
+	answer(&fixture, 3, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.version, 2);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	tear_down(&fixture);
 }
 
-/* The same, and the word never comes: less coverage, and why, soon. */
-static void test_version_gone_without_a_newer(void)
+/*
+ * The same, but the new version is never announced. After a short wait the
+ * search answers with partial coverage and the reason.
+ */
+static void test_version_without_successor(void)
 {
-	struct world world;
-
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 2, "0");
-	path_put(&world.path, "h2", "b2", 1, 2, "1");
-	start(&world);
-	answer(&world, 0, 0);
-	fail_part(&world, 1, 0, ERR_WRONG_VERSION, false);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	clock_advance(&world.path.clock, MSEC(50));
-	searches_tick(&world.searches);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.code, 0);
-	CU_ASSERT_EQUAL(world.covered, PATH_HELD);
-	CU_ASSERT_EQUAL(world.total, 2 * PATH_HELD);
-	CU_ASSERT_EQUAL(world.reasons[1], ERR_WRONG_VERSION);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
+	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	start(&fixture);
+	answer(&fixture, 0, 0);
+	fail_part(&fixture, 1, 0, ERR_WRONG_VERSION, false);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	clock_advance(&fixture.path.clock, MSEC(50));
+	searches_tick(&fixture.searches);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.code, 0);
+	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.total, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.reasons[1], ERR_WRONG_VERSION);
+	tear_down(&fixture);
 }
 
-/* A version switch that comes only at the deadline: there is no time left. */
-static void test_no_restart_after_the_deadline(void)
+/* A version switch at the deadline leaves no time for a restart. */
+static void test_no_restart_at_deadline(void)
 {
-	struct world world;
-
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 2, "0");
-	path_put(&world.path, "h2", "b2", 1, 2, "1");
-	start(&world);
-	answer(&world, 0, 0);
-	path_put(&world.path, "h1", "b1", 2, 2, "0");
-	path_put(&world.path, "h2", "b2", 2, 2, "1");
-	clock_advance(&world.path.clock, MSEC(PATH_DEADLINE_MS));
-	fail_part(&world, 1, 0, ERR_WRONG_VERSION, false);
-	searches_tick(&world.searches);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.version, 1);
-	CU_ASSERT_EQUAL(world.covered, PATH_HELD);
-	CU_ASSERT_EQUAL(world.n_sent, 2);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
+	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	start(&fixture);
+	answer(&fixture, 0, 0);
+	path_put(&fixture.path, "h1", "b1", 2, 2, "0");
+	path_put(&fixture.path, "h2", "b2", 2, 2, "1");
+	clock_advance(&fixture.path.clock, MSEC(PATH_DEADLINE_MS));
+	fail_part(&fixture, 1, 0, ERR_WRONG_VERSION, false);
+	searches_tick(&fixture.searches);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.version, 1);
+	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.n_sent, 2);
+	tear_down(&fixture);
 }
 
-/* A version that goes back and forth must not restart a query for ever. */
+/* A version that keeps changing must not restart a search indefinitely. */
 static void test_restarts_are_bounded(void)
 {
-	struct world world;
+	struct fixture fixture;
 	uint64_t version;
 	int i;
 
-	set_up(&world, 1);
-	path_put(&world.path, "h1", "b1", 1, 1, "0");
-	start(&world);
-	for (version = 2; version < 8 && !world.n_done; version++) {
-		path_put(&world.path, "h1", "b1", version, 1, "0");
-		fail_part(&world, world.n_sent - 1, 0, ERR_WRONG_VERSION,
+	set_up(&fixture, 1);
+	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	start(&fixture);
+	for (version = 2; version < 8 && !fixture.n_done; version++) {
+		path_put(&fixture.path, "h1", "b1", version, 1, "0");
+		fail_part(&fixture, fixture.n_sent - 1, 0, ERR_WRONG_VERSION,
 			  false);
 	}
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.n_restarts, SEARCH_RESTARTS_MAX);
-	CU_ASSERT_NOT_EQUAL(world.code, 0);
-	for (i = 0; i < world.n_sent; i++)
-		CU_ASSERT_EQUAL(world.sent[i].query->version, i + 1);
-	tear_down(&world);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.n_restarts, SEARCH_RESTARTS_MAX);
+	CU_ASSERT_NOT_EQUAL(fixture.code, 0);
+	for (i = 0; i < fixture.n_sent; i++)
+		CU_ASSERT_EQUAL(fixture.sent[i].query->version, i + 1);
+	tear_down(&fixture);
 }
 
 /*
  * Version 2 splits the only shard of version 1 in two. One server still holds
- * the old shard, two hold the new ones, and all could answer: a record would
- * count twice if both maps were used for one query.
+ * the old shard and two hold the new ones. If one search used both partition
+ * maps, records would count twice.
  */
 static void test_split_shard_counts_once(void)
 {
-	struct world world;
+	struct fixture fixture;
 	uint64_t points = 0;
 	size_t i;
 	size_t k;
 
-	set_up(&world, 3);
-	path_put(&world.path, "h1", "b1", 1, 1, "0");
-	path_put(&world.path, "h1", "b2", 2, 2, "0");
-	path_put(&world.path, "h1", "b3", 2, 2, "1");
-	start(&world);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 1);
-	for (i = 0; i < world.sent[0].query->n_parts; i++) {
-		const Peer__ServerPart *part = world.sent[0].query->parts[i];
+	set_up(&fixture, 3);
+	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	path_put(&fixture.path, "h1", "b2", 2, 2, "0");
+	path_put(&fixture.path, "h1", "b3", 2, 2, "1");
+	start(&fixture);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 1);
+	for (i = 0; i < fixture.sent[0].query->n_parts; i++) {
+		const Peer__ServerPart *part = fixture.sent[0].query->parts[i];
 
 		for (k = 0; k < part->n_shards; k++)
 			points += part->shards[k]->hi - part->shards[k]->lo + 1;
 	}
 	CU_ASSERT_EQUAL(points, CATALOG_POINTS);
-	CU_ASSERT_EQUAL(world.sent[0].query->version, 2);
-	for (i = 0; i < world.sent[0].query->n_parts; i++)
-		answer(&world, 0, i);
-	CU_ASSERT_EQUAL(world.covered, 2 * PATH_HELD);
-	CU_ASSERT_EQUAL(world.count, 2);
-	tear_down(&world);
+	CU_ASSERT_EQUAL(fixture.sent[0].query->version, 2);
+	for (i = 0; i < fixture.sent[0].query->n_parts; i++)
+		answer(&fixture, 0, i);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.count, 2);
+	tear_down(&fixture);
 }
 
-/* The network repeats an answer, or a home answers the same part again. */
-static void test_shard_answered_twice_counts_once(void)
+/* A duplicate answer to a part must not count twice. */
+static void test_duplicate_answer_counts_once(void)
 {
-	struct world world;
-
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 2, "0");
-	path_put(&world.path, "h1", "b2", 1, 2, "1");
-	start(&world);
-	answer(&world, 0, 0);
-	answer(&world, 0, 0);
-	answer(&world, 0, 0);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	answer(&world, 0, 1);
-	CU_ASSERT_EQUAL(world.count, 2);
-	CU_ASSERT_EQUAL(world.covered, 2 * PATH_HELD);
-	/* After the outcome nothing of it is left to change. */
-	answer(&world, 0, 1);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
+	path_put(&fixture.path, "h1", "b2", 1, 2, "1");
+	start(&fixture);
+	answer(&fixture, 0, 0);
+	answer(&fixture, 0, 0);
+	answer(&fixture, 0, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	answer(&fixture, 0, 1);
+	CU_ASSERT_EQUAL(fixture.count, 2);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	/* Answers after the outcome are ignored. */
+	answer(&fixture, 0, 1);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	tear_down(&fixture);
 }
 
-/* One part goes wrong in some way; the replica then answers for the shard. */
+/* One server answers with @reply, and a replica then answers correctly. */
 static void check_bad_answer(struct reply reply)
 {
-	struct world world;
+	struct fixture fixture;
 	int retry;
 
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 1, "0");
-	path_put(&world.path, "h1", "b2", 1, 1, "0");
-	start(&world);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 1);
-	answer_as(&world, 0, 0, reply);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	retry = world.n_sent - 1;
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	path_put(&fixture.path, "h1", "b2", 1, 1, "0");
+	start(&fixture);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 1);
+	answer_with(&fixture, 0, 0, reply);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	retry = fixture.n_sent - 1;
 	CU_ASSERT_EQUAL(retry, 1);
-	answer(&world, retry, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.count, 1);
-	CU_ASSERT_EQUAL(world.covered, PATH_HELD);
-	tear_down(&world);
+	answer(&fixture, retry, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.count, 1);
+	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	tear_down(&fixture);
 }
 
 /*
- * A backend server answers from another snapshot, for other key ranges, for
- * too few shards, or with numbers that the partition map does not allow. None
- * of it may be counted.
+ * A backend server answers from another snapshot, for other key ranges, for too
+ * few shards, or with counts that contradict the partition map. None of these
+ * answers may be counted.
  */
 static void test_bad_answers_are_not_counted(void)
 {
@@ -563,232 +570,237 @@
 		.status = BACKEND__SHARD_STATUS__SHARD_NOT_HELD});
 }
 
-/* Answers of another home, or to another query: as if they had not come. */
+/* Answers from another home, or to another query or part, are ignored. */
 static void test_foreign_answers_are_dropped(void)
 {
-	struct world world;
+	struct fixture fixture;
 	Peer__QueryResult result = PEER__QUERY_RESULT__INIT;
 	Peer__ServerResult item = PEER__SERVER_RESULT__INIT;
 	Peer__ServerResult *items = &item;
 
-	set_up(&world, 1);
-	path_put(&world.path, "h1", "b1", 1, 1, "0");
-	start(&world);
-	answer_as(&world, 0, 0, (struct reply){.home = "h2"});
-	answer_as(&world, 0, 0, (struct reply){.id = 999});
-	answer_as(&world, 0, 0, (struct reply){.home = "h2", .code = ERR_LOST});
+	set_up(&fixture, 1);
+	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	start(&fixture);
+	answer_with(&fixture, 0, 0, (struct reply){.home = "h2"});
+	answer_with(&fixture, 0, 0, (struct reply){.id = 999});
+	answer_with(&fixture, 0, 0,
+		    (struct reply){.home = "h2", .code = ERR_LOST});
 	item.part = 77;
-	result.id = world.sent[0].query->id;
+	result.id = fixture.sent[0].query->id;
 	result.n_results = 1;
 	result.results = &items;
-	searches_result(&world.searches, STR("h1"), &result);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	CU_ASSERT_EQUAL(world.n_sent, 1);
-	answer(&world, 0, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.covered, PATH_HELD);
-	tear_down(&world);
+	searches_result(&fixture.searches, STR("h1"), &result);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	CU_ASSERT_EQUAL(fixture.n_sent, 1);
+	answer(&fixture, 0, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	tear_down(&fixture);
 }
 
 /*
- * A home dies with a query. Its server has another home: the shard is asked
- * again there, and if none is left the caller hears which data is missing.
+ * The connection to a home breaks during a search. The shards are requested
+ * again from the replica, and late answers of the lost home are ignored.
  */
 static void test_home_lost(void)
 {
-	struct world world;
+	struct fixture fixture;
 	const char *home;
 
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 2, "01");
-	path_put(&world.path, "h2", "b2", 1, 2, "01");
-	start(&world);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 1);
-	home = world.sent[0].home;
-	catalog_drop_home(&world.path.board.catalog, str_from(home));
-	searches_home_lost(&world.searches, str_from(home));
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 2);
-	CU_ASSERT_STRING_NOT_EQUAL(world.sent[1].home, home);
-	/* What the lost home might have sent is late now. */
-	answer(&world, 0, 0);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	answer(&world, 1, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.covered, 2 * PATH_HELD);
-	CU_ASSERT_EQUAL(world.count, 2);
-	tear_down(&world);
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "01");
+	path_put(&fixture.path, "h2", "b2", 1, 2, "01");
+	start(&fixture);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 1);
+	home = fixture.sent[0].home;
+	catalog_drop_home(&fixture.path.board.catalog, str_from(home));
+	searches_home_lost(&fixture.searches, str_from(home));
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
+	CU_ASSERT_STRING_NOT_EQUAL(fixture.sent[1].home, home);
+	/* A late answer of the lost home. */
+	answer(&fixture, 0, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	answer(&fixture, 1, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.count, 2);
+	tear_down(&fixture);
 }
 
 static void test_last_home_lost(void)
 {
-	struct world world;
-
-	set_up(&world, 1);
-	path_put(&world.path, "h1", "b1", 1, 1, "0");
-	start(&world);
-	catalog_drop_home(&world.path.board.catalog, STR("h1"));
-	searches_home_lost(&world.searches, STR("h1"));
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_STRING_EQUAL(world.outcome, "unknown");
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 1);
+	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	start(&fixture);
+	catalog_drop_home(&fixture.path.board.catalog, STR("h1"));
+	searches_home_lost(&fixture.searches, STR("h1"));
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_STRING_EQUAL(fixture.outcome, "unknown");
+	tear_down(&fixture);
 }
 
-/* A straggler: the caller gets what there is, and what is missing and why. */
-static void test_deadline_gives_honest_coverage(void)
+/*
+ * At the deadline the caller gets the shards that were answered, and for each
+ * other one the reason why it is missing.
+ */
+static void test_partial_coverage_at_deadline(void)
 {
-	struct world world;
-
-	set_up(&world, 3);
-	path_put(&world.path, "h1", "b1", 1, 4, "0");
-	path_put(&world.path, "h1", "b2", 1, 4, "1");
-	path_put(&world.path, "h1", "b3", 1, 4, "2");
-	start(&world);
-	CU_ASSERT_EQUAL_FATAL(world.sent[0].query->n_parts, 3);
-	answer(&world, 0, 0);
-	fail_part(&world, 0, 1, ERR_SHED, false);
-	clock_advance(&world.path.clock, MSEC(PATH_DEADLINE_MS) - 1);
-	searches_tick(&world.searches);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	clock_advance(&world.path.clock, 1);
-	searches_tick(&world.searches);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.code, 0);
-	CU_ASSERT_EQUAL(world.covered, PATH_HELD);
-	CU_ASSERT_EQUAL(world.total, 4 * PATH_HELD);
-	CU_ASSERT_EQUAL(world.reasons[0], 0);
-	CU_ASSERT_EQUAL(world.reasons[1], ERR_SHED);
-	CU_ASSERT_EQUAL(world.reasons[2], ERR_TOO_LATE);
-	CU_ASSERT_EQUAL(world.reasons[3], ERR_NO_REPLICA);
-	CU_ASSERT_EQUAL(world.n_cancels, 1);
-	answer(&world, 0, 2);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 3);
+	path_put(&fixture.path, "h1", "b1", 1, 4, "0");
+	path_put(&fixture.path, "h1", "b2", 1, 4, "1");
+	path_put(&fixture.path, "h1", "b3", 1, 4, "2");
+	start(&fixture);
+	CU_ASSERT_EQUAL_FATAL(fixture.sent[0].query->n_parts, 3);
+	answer(&fixture, 0, 0);
+	fail_part(&fixture, 0, 1, ERR_SHED, false);
+	clock_advance(&fixture.path.clock, MSEC(PATH_DEADLINE_MS) - 1);
+	searches_tick(&fixture.searches);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	clock_advance(&fixture.path.clock, 1);
+	searches_tick(&fixture.searches);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.code, 0);
+	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.total, 4 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.reasons[0], 0);
+	CU_ASSERT_EQUAL(fixture.reasons[1], ERR_SHED);
+	CU_ASSERT_EQUAL(fixture.reasons[2], ERR_TOO_LATE);
+	CU_ASSERT_EQUAL(fixture.reasons[3], ERR_NO_REPLICA);
+	CU_ASSERT_EQUAL(fixture.n_cancels, 1);
+	answer(&fixture, 0, 2);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	tear_down(&fixture);
 }
 
-static void test_nothing_by_the_deadline(void)
+static void test_no_answer_by_deadline(void)
 {
-	struct world world;
-
-	set_up(&world, 1);
-	path_put(&world.path, "h1", "b1", 1, 1, "0");
-	start(&world);
-	pass_deadline(&world);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.code, ERR_TOO_LATE);
-	CU_ASSERT_STRING_EQUAL(world.outcome, "too_late");
-	CU_ASSERT_EQUAL(world.n_cancels, 1);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 1);
+	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	start(&fixture);
+	advance_to_deadline(&fixture);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.code, ERR_TOO_LATE);
+	CU_ASSERT_STRING_EQUAL(fixture.outcome, "too_late");
+	CU_ASSERT_EQUAL(fixture.n_cancels, 1);
+	tear_down(&fixture);
 }
 
-static void test_refusals_are_typed(void)
+static void test_refusals_have_error_code(void)
 {
-	struct world world;
-
-	set_up(&world, 1);
-	start_for(&world, "other", REQUEST_COUNT, 0);
-	CU_ASSERT_EQUAL(world.code, ERR_NO_SERVICE);
-	CU_ASSERT_STRING_EQUAL(world.outcome, "bad_request");
-	start(&world);
-	CU_ASSERT_EQUAL(world.code, ERR_NO_SNAPSHOT);
-	CU_ASSERT_STRING_EQUAL(world.outcome, "not_run");
-	CU_ASSERT_EQUAL(world.n_done, 2);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 1);
+	start_for(&fixture, "other", REQUEST_COUNT, 0);
+	CU_ASSERT_EQUAL(fixture.code, ERR_NO_SERVICE);
+	CU_ASSERT_STRING_EQUAL(fixture.outcome, "bad_request");
+	start(&fixture);
+	CU_ASSERT_EQUAL(fixture.code, ERR_NO_SNAPSHOT);
+	CU_ASSERT_STRING_EQUAL(fixture.outcome, "not_run");
+	CU_ASSERT_EQUAL(fixture.n_done, 2);
+	tear_down(&fixture);
 }
 
 static void test_no_table_yet(void)
 {
-	struct world world;
+	struct fixture fixture;
 	struct table *table;
 
-	set_up(&world, 1);
-	table = world.path.board.table;
-	world.path.board.table = NULL;
-	start(&world);
-	CU_ASSERT_STRING_EQUAL(world.outcome, "not_run");
-	world.path.board.table = table;
-	tear_down(&world);
+	set_up(&fixture, 1);
+	table = fixture.path.board.table;
+	fixture.path.board.table = NULL;
+	start(&fixture);
+	CU_ASSERT_STRING_EQUAL(fixture.outcome, "not_run");
+	fixture.path.board.table = table;
+	tear_down(&fixture);
 }
 
 /*
- * "Not run" is a promise. It holds if no frame left, or if the home says that
- * no byte went to a server; once a byte may have left it is never given.
+ * The outcome "not_run" guarantees that no server ran the search. It is only
+ * reported if no frame was sent, or if the home says that no byte was sent to a
+ * server.
  */
-static void test_not_run_only_if_no_byte_left(void)
+static void test_not_run_only_if_no_byte_sent(void)
 {
-	struct world world;
-
-	set_up(&world, 1);
-	path_put(&world.path, "h1", "b1", 1, 1, "0");
-	world.refuse_send = ERR_UNAVAILABLE;
-	start(&world);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.code, ERR_UNAVAILABLE);
-	CU_ASSERT_STRING_EQUAL(world.outcome, "not_run");
-	world.refuse_send = 0;
-	start(&world);
-	fail_part(&world, 0, 0, ERR_CONNECT, true);
-	CU_ASSERT_EQUAL(world.n_done, 2);
-	CU_ASSERT_STRING_EQUAL(world.outcome, "not_run");
-	start(&world);
-	fail_part(&world, 1, 0, ERR_LOST, false);
-	CU_ASSERT_EQUAL(world.n_done, 3);
-	CU_ASSERT_STRING_EQUAL(world.outcome, "unknown");
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 1);
+	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	fixture.refuse_send = ERR_UNAVAILABLE;
+	start(&fixture);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.code, ERR_UNAVAILABLE);
+	CU_ASSERT_STRING_EQUAL(fixture.outcome, "not_run");
+	fixture.refuse_send = 0;
+	start(&fixture);
+	fail_part(&fixture, 0, 0, ERR_CONNECT, true);
+	CU_ASSERT_EQUAL(fixture.n_done, 2);
+	CU_ASSERT_STRING_EQUAL(fixture.outcome, "not_run");
+	start(&fixture);
+	fail_part(&fixture, 1, 0, ERR_LOST, false);
+	CU_ASSERT_EQUAL(fixture.n_done, 3);
+	CU_ASSERT_STRING_EQUAL(fixture.outcome, "unknown");
+	tear_down(&fixture);
 }
 
-/* The caller hangs up: its parts are cancelled and nobody is told. */
-static void test_caller_gone(void)
+/* The caller disconnects: parts are cancelled and no outcome is reported. */
+static void test_caller_disconnects(void)
 {
-	struct world world;
-
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 2, "0");
-	path_put(&world.path, "h2", "b2", 1, 2, "1");
-	start(&world);
-	answer(&world, 0, 0);
-	searches_drop(&world.searches, world.searches.by_id);
-	CU_ASSERT_EQUAL(world.n_cancels, 1);
-	answer(&world, 1, 0);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	CU_ASSERT_EQUAL(world.path.board.counters.searches_open.value, 0);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
+	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	start(&fixture);
+	answer(&fixture, 0, 0);
+	searches_drop(&fixture.searches, fixture.searches.by_id);
+	CU_ASSERT_EQUAL(fixture.n_cancels, 1);
+	answer(&fixture, 1, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	CU_ASSERT_EQUAL(fixture.path.board.counters.searches_open.value, 0);
+	tear_down(&fixture);
 }
 
 /*
- * An operator deletes the row of a server that is being asked, and the next
- * table even has another service list: the search ends as it began.
+ * The row of a server with a part in flight is deleted from the table. The
+ * search still completes with its answer.
  */
-static void test_table_changes_under_a_search(void)
+static void test_table_changes_during_search(void)
 {
-	struct world world;
-
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 2, "0");
-	path_put(&world.path, "h1", "b2", 1, 2, "1");
-	start(&world);
-	path_set_servers(&world.path, 2, 1);
-	answer(&world, 0, 0);
-	answer(&world, 0, 1);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.covered, 2 * PATH_HELD);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
+	path_put(&fixture.path, "h1", "b2", 1, 2, "1");
+	start(&fixture);
+	path_set_servers(&fixture.path, 2, 1);
+	answer(&fixture, 0, 0);
+	answer(&fixture, 0, 1);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	tear_down(&fixture);
 }
 
-static const struct trace *recorded(const struct world *world)
+static const struct trace *find_trace(const struct fixture *fixture)
 {
 	const struct trace *trace = NULL;
 
-	CU_ASSERT_EQUAL_FATAL(trace_book_find(&world->path.board.traces,
+	CU_ASSERT_EQUAL_FATAL(trace_book_find(&fixture->path.board.traces,
 					      STR("r"), NULL, &trace),
 			      0);
 	return trace;
 }
 
-static struct burn_service *burned(struct world *world,
-				   struct burn_counts *counts)
+static struct burn_service *sum_burn(struct fixture *fixture,
+				     struct burn_counts *counts)
 {
-	struct burn *burn = &world->path.board.burn;
+	struct burn *burn = &fixture->path.board.burn;
 	struct burn_service *service = burn_find(burn, STR(PATH_SERVICE));
 
 	burn_sum(burn, service, BURN_5M, counts);
@@ -796,26 +808,26 @@
 }
 
 /*
- * A tenant's repair order is missing from an answer, and the desk asks why.
- * One server answered, the other had not by the deadline: the record names
- * both, the shard that is missing and the reason, and the burn blames them.
+ * One server answers and the other misses the deadline. The trace must name
+ * both, the missing shard and the reason, and the error budget's causes must
+ * name the late server and its shard.
  */
-static void test_record_explains_missing_shard(void)
+static void test_trace_explains_missing_shard(void)
 {
 	const struct trace *trace;
 	struct burn_service *service;
 	struct burn_counts counts;
-	struct world world;
+	struct fixture fixture;
 	struct top_k top;
 
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 2, "0");
-	path_put(&world.path, "h2", "b2", 1, 2, "1");
-	start(&world);
-	clock_advance(&world.path.clock, MSEC(7));
-	answer_as(&world, 0, 0, (struct reply){0});
-	pass_deadline(&world);
-	trace = recorded(&world);
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
+	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	start(&fixture);
+	clock_advance(&fixture.path.clock, MSEC(7));
+	answer_with(&fixture, 0, 0, (struct reply){0});
+	advance_to_deadline(&fixture);
+	trace = find_trace(&fixture);
 	CU_ASSERT_TRUE(trace->summary.notable);
 	CU_ASSERT_EQUAL(trace->summary.snapshot, 1);
 	CU_ASSERT_EQUAL(trace->summary.covered, PATH_HELD);
@@ -829,131 +841,132 @@
 	CU_ASSERT_STRING_EQUAL(trace_name_text(trace->parts[1].server), "b2");
 	CU_ASSERT_STRING_EQUAL(trace_name_text(trace->parts[1].home), "h2");
 	CU_ASSERT_EQUAL(trace->parts[1].code, ERR_TOO_LATE);
-	service = burned(&world, &counts);
+	service = sum_burn(&fixture, &counts);
 	CU_ASSERT_EQUAL(counts.total, 1);
 	CU_ASSERT_EQUAL(counts.partial, 1);
 	CU_ASSERT_EQUAL(counts.refused, 0);
-	burn_top(&world.path.board.burn, service, BURN_SERVER, &top);
+	burn_top(&fixture.path.board.burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 1);
 	CU_ASSERT_STRING_EQUAL(top.entries[0].key, "b2");
-	burn_top(&world.path.board.burn, service, BURN_SHARD, &top);
+	burn_top(&fixture.path.board.burn, service, BURN_SHARD, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 1);
 	CU_ASSERT_STRING_EQUAL(top.entries[0].key, "32768-65535");
-	tear_down(&world);
+	tear_down(&fixture);
 }
 
-/* A whole answer within the target burns nothing and is an ordinary record. */
-static void test_record_of_good_search(void)
+/* A complete answer within the target uses no error budget. */
+static void test_trace_of_complete_search(void)
 {
 	struct burn_counts counts;
-	struct world world;
-
-	set_up(&world, 1);
-	path_put(&world.path, "h1", "b1", 1, 2, "01");
-	start(&world);
-	answer(&world, 0, 0);
-	CU_ASSERT_FALSE(recorded(&world)->summary.notable);
-	CU_ASSERT_EQUAL(recorded(&world)->summary.n_reasons, 0);
-	burned(&world, &counts);
+	struct fixture fixture;
+
+	set_up(&fixture, 1);
+	path_put(&fixture.path, "h1", "b1", 1, 2, "01");
+	start(&fixture);
+	answer(&fixture, 0, 0);
+	CU_ASSERT_FALSE(find_trace(&fixture)->summary.notable);
+	CU_ASSERT_EQUAL(find_trace(&fixture)->summary.n_reasons, 0);
+	sum_burn(&fixture, &counts);
 	CU_ASSERT_EQUAL(counts.total, 1);
 	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_LATENCY), 0);
 	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_COVERAGE), 0);
-	tear_down(&world);
+	tear_down(&fixture);
 }
 
-/* A refusal gives the caller nothing: it is bad for both objectives. */
-static void test_refusal_burns(void)
+/* A refusal counts against the latency and the coverage objective. */
+static void test_refusal_uses_budget(void)
 {
 	struct burn_counts counts;
-	struct world world;
+	struct fixture fixture;
 
-	set_up(&world, 1);
-	start(&world);
-	CU_ASSERT_EQUAL(recorded(&world)->summary.code, ERR_NO_SNAPSHOT);
-	burned(&world, &counts);
+	set_up(&fixture, 1);
+	start(&fixture);
+	CU_ASSERT_EQUAL(find_trace(&fixture)->summary.code, ERR_NO_SNAPSHOT);
+	sum_burn(&fixture, &counts);
 	CU_ASSERT_EQUAL(counts.refused, 1);
 	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_LATENCY), 1);
 	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_COVERAGE), 1);
-	tear_down(&world);
+	tear_down(&fixture);
 }
 
-/* A service nobody has put into the table is the caller's mistake. */
-static void test_unknown_service_burns_nothing(void)
+/* An unknown service is the caller's error and uses no error budget. */
+static void test_unknown_service_uses_no_budget(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	set_up(&world, 1);
-	start_for(&world, "nosuch", REQUEST_COUNT, 0);
-	CU_ASSERT_EQUAL(recorded(&world)->summary.code, ERR_NO_SERVICE);
-	CU_ASSERT_PTR_NULL(burn_find(&world.path.board.burn, STR("nosuch")));
-	tear_down(&world);
+	set_up(&fixture, 1);
+	start_for(&fixture, "nosuch", REQUEST_COUNT, 0);
+	CU_ASSERT_EQUAL(find_trace(&fixture)->summary.code, ERR_NO_SERVICE);
+	CU_ASSERT_PTR_NULL(burn_find(&fixture.path.board.burn, STR("nosuch")));
+	tear_down(&fixture);
 }
 
-/* Two replicas of one shard, and a search that has gone to one of them. */
-static void set_up_replicas(struct world *world)
+/* Two replicas of one shard, and a search that was sent to one of them. */
+static void set_up_replicas(struct fixture *fixture)
 {
-	set_up(world, 2);
-	path_put(&world->path, "h1", "b1", 1, 1, "0");
-	path_put(&world->path, "h2", "b2", 1, 1, "0");
-	start(world);
-	CU_ASSERT_EQUAL_FATAL(world->n_sent, 1);
+	set_up(fixture, 2);
+	path_put(&fixture->path, "h1", "b1", 1, 1, "0");
+	path_put(&fixture->path, "h2", "b2", 1, 1, "0");
+	start(fixture);
+	CU_ASSERT_EQUAL_FATAL(fixture->n_sent, 1);
 }
 
-static void pass(struct world *world, int64_t ms)
+static void advance_ms(struct fixture *fixture, int64_t ms)
 {
-	clock_advance(&world->path.clock, MSEC(ms));
-	searches_tick(&world->searches);
+	clock_advance(&fixture->path.clock, MSEC(ms));
+	searches_tick(&fixture->searches);
 }
 
-static const char *server_of(const struct world *world, int sent)
+static const char *server_of(const struct fixture *fixture, int sent)
 {
-	return world->sent[sent].query->parts[0]->server;
+	return fixture->sent[sent].query->parts[0]->server;
 }
 
 /*
- * One replica does not answer. The other is asked too; its answer is the
- * caller's, the first request is cancelled, and if it answers all the same
- * its shard must not count again.
+ * One replica does not answer in time, and a hedge is sent to the other. The
+ * hedge's answer wins, the first request is cancelled, and if it is answered
+ * nevertheless the shard must not count again.
  */
-static void test_slow_part_is_hedged(void)
+static void test_late_part_is_hedged(void)
 {
-	struct world world;
-
-	set_up_replicas(&world);
-	pass(&world, PATH_DEADLINE_MS / 4 - 1);
-	CU_ASSERT_EQUAL(world.n_sent, 1);
-	pass(&world, 1);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 2);
-	CU_ASSERT_STRING_NOT_EQUAL(server_of(&world, 0), server_of(&world, 1));
-	CU_ASSERT_STRING_NOT_EQUAL(world.sent[0].query->request_id,
-				   world.sent[1].query->request_id);
-	answer(&world, 1, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.n_cancels, 1);
-	CU_ASSERT_EQUAL(world.count, 1);
-	CU_ASSERT_EQUAL(world.covered, PATH_HELD);
-	answer(&world, 0, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up_replicas(&fixture);
+	advance_ms(&fixture, PATH_DEADLINE_MS / 4 - 1);
+	CU_ASSERT_EQUAL(fixture.n_sent, 1);
+	advance_ms(&fixture, 1);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
+	CU_ASSERT_STRING_NOT_EQUAL(server_of(&fixture, 0),
+				   server_of(&fixture, 1));
+	CU_ASSERT_STRING_NOT_EQUAL(fixture.sent[0].query->request_id,
+				   fixture.sent[1].query->request_id);
+	answer(&fixture, 1, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.n_cancels, 1);
+	CU_ASSERT_EQUAL(fixture.count, 1);
+	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	answer(&fixture, 0, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	tear_down(&fixture);
 }
 
-static void test_quicker_original_cancels_the_hedge(void)
+static void test_faster_original_cancels_hedge(void)
 {
-	struct world world;
-
-	set_up_replicas(&world);
-	pass(&world, PATH_DEADLINE_MS / 4);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 2);
-	answer(&world, 0, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.n_cancels, 1);
-	CU_ASSERT_EQUAL(world.count, 1);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up_replicas(&fixture);
+	advance_ms(&fixture, PATH_DEADLINE_MS / 4);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
+	answer(&fixture, 0, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.n_cancels, 1);
+	CU_ASSERT_EQUAL(fixture.count, 1);
+	tear_down(&fixture);
 }
 
-static void tell_late(struct world *world, int sent)
+static void send_late_notice(struct fixture *fixture, int sent)
 {
-	const Peer__Query *query = world->sent[sent].query;
+	const Peer__Query *query = fixture->sent[sent].query;
 	Peer__QueryResult result = PEER__QUERY_RESULT__INIT;
 	Peer__ServerResult item = PEER__SERVER_RESULT__INIT;
 	Peer__ServerResult *items = &item;
@@ -963,198 +976,200 @@
 	result.results = &items;
 	item.part = query->parts[0]->part;
 	item.late = true;
-	searches_result(&world->searches, str_from(world->sent[sent].home),
+	searches_result(&fixture->searches, str_from(fixture->sent[sent].home),
 			&result);
 }
 
-/* The home says that a request runs for too long: the entry need not wait. */
-static void test_late_notice_is_hedged_at_once(void)
+/* A late notice from the home triggers the hedge before the hedge delay. */
+static void test_late_notice_triggers_hedge(void)
 {
-	struct world world;
-
-	set_up_replicas(&world);
-	tell_late(&world, 0);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 2);
-	CU_ASSERT_EQUAL(world.n_done, 0);
-	/* A repeated notice adds nothing while the hedge is out. */
-	tell_late(&world, 0);
-	CU_ASSERT_EQUAL(world.n_sent, 2);
-	answer(&world, 1, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.count, 1);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up_replicas(&fixture);
+	send_late_notice(&fixture, 0);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
+	CU_ASSERT_EQUAL(fixture.n_done, 0);
+	/* A repeated notice sends no second hedge. */
+	send_late_notice(&fixture, 0);
+	CU_ASSERT_EQUAL(fixture.n_sent, 2);
+	answer(&fixture, 1, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.count, 1);
+	tear_down(&fixture);
 }
 
 /*
- * Original and hedge are both stragglers, and there is no third replica. The
- * first server is asked anew, in place of its older request: it must not work
- * twice on one shard.
+ * Original and hedge are both late, and there is no third replica. The first
+ * server is asked again and its older request is cancelled, so that it does not
+ * work twice on one shard.
  */
-static void test_late_hedge_replaces_the_original(void)
+static void test_second_hedge_replaces_original(void)
 {
-	struct world world;
-
-	set_up_replicas(&world);
-	tell_late(&world, 0);
-	tell_late(&world, 1);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 3);
-	CU_ASSERT_STRING_EQUAL(server_of(&world, 0), server_of(&world, 2));
-	CU_ASSERT_EQUAL(world.n_cancels, 1);
-	answer(&world, 2, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.n_cancels, 2);
-	CU_ASSERT_EQUAL(world.count, 1);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up_replicas(&fixture);
+	send_late_notice(&fixture, 0);
+	send_late_notice(&fixture, 1);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 3);
+	CU_ASSERT_STRING_EQUAL(server_of(&fixture, 0), server_of(&fixture, 2));
+	CU_ASSERT_EQUAL(fixture.n_cancels, 1);
+	answer(&fixture, 2, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.n_cancels, 2);
+	CU_ASSERT_EQUAL(fixture.count, 1);
+	tear_down(&fixture);
 }
 
-/* The only replica: there is nobody to hedge to, and it is not asked twice. */
+/* A hedge is never sent to the server that is late, even if it is the only. */
 static void test_no_hedge_to_the_same_server(void)
 {
-	struct world world;
-
-	set_up(&world, 1);
-	path_put(&world.path, "h1", "b1", 1, 1, "0");
-	start(&world);
-	tell_late(&world, 0);
-	pass(&world, PATH_DEADLINE_MS / 2);
-	CU_ASSERT_EQUAL(world.n_sent, 1);
-	answer(&world, 0, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 1);
+	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	start(&fixture);
+	send_late_notice(&fixture, 0);
+	advance_ms(&fixture, PATH_DEADLINE_MS / 2);
+	CU_ASSERT_EQUAL(fixture.n_sent, 1);
+	answer(&fixture, 0, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	tear_down(&fixture);
 }
 
 /*
- * A connection of the only replica went silent. The server is in order: it is
- * asked again, and no answer is lost.
+ * A connection to the only replica went silent. The server itself works, so it
+ * is asked again.
  */
-static void test_silence_is_asked_again(void)
+static void test_silent_connection_is_retried(void)
 {
-	struct world world;
-
-	set_up(&world, 1);
-	path_put(&world.path, "h1", "b1", 1, 1, "0");
-	start(&world);
-	fail_part(&world, 0, 0, ERR_SILENT, false);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 2);
-	answer(&world, 1, 0);
-	CU_ASSERT_EQUAL(world.n_done, 1);
-	CU_ASSERT_EQUAL(world.covered, PATH_HELD);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 1);
+	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	start(&fixture);
+	fail_part(&fixture, 0, 0, ERR_SILENT, false);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
+	answer(&fixture, 1, 0);
+	CU_ASSERT_EQUAL(fixture.n_done, 1);
+	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	tear_down(&fixture);
 }
 
-/* Searches of a service answer within 10 ms; all of ten shards. */
-static void learn_searches(struct world *world)
+/* Completes 20 searches of ten shards within 10 ms each. */
+static void complete_quick_searches(struct fixture *fixture)
 {
 	int i;
 
 	for (i = 0; i < 20; i++) {
-		start(world);
-		clock_advance(&world->path.clock, MSEC(10));
-		answer(world, i, 0);
-		answer(world, i, 1);
+		start(fixture);
+		clock_advance(&fixture->path.clock, MSEC(10));
+		answer(fixture, i, 0);
+		answer(fixture, i, 1);
 	}
-	CU_ASSERT_EQUAL(world->n_done, 20);
+	CU_ASSERT_EQUAL(fixture->n_done, 20);
 }
 
 /*
- * Latency-first: one of ten shards does not come, and no replica has it. The
- * agent on the line gets nine tenths once the answer is late for its service,
- * not at the deadline, and is told what is missing.
+ * Latency-first: one of ten shards is not answered and has no other replica.
+ * Once the search is late for its service, it answers with nine tenths and the
+ * reason for the missing shard, without waiting for the deadline.
  */
 static void test_late_search_answers_at_min_coverage(void)
 {
-	struct world world;
-
-	set_up(&world, 2);
-	path_put(&world.path, "h1", "b1", 1, 10, "012345678");
-	path_put(&world.path, "h1", "b2", 1, 10, "9");
-	learn_searches(&world);
-	start(&world);
-	CU_ASSERT_EQUAL_FATAL(world.n_sent, 21);
-	answer(&world, 20,
-	       world.sent[20].query->parts[0]->n_shards == 9 ? 0 : 1);
-	pass(&world, 12);
-	CU_ASSERT_EQUAL(world.n_done, 20);
-	pass(&world, 18);
-	CU_ASSERT_EQUAL(world.n_done, 21);
-	CU_ASSERT_EQUAL(world.code, 0);
-	CU_ASSERT_EQUAL(world.covered, 9 * PATH_HELD);
-	CU_ASSERT_EQUAL(world.reasons[9], ERR_TOO_LATE);
-	CU_ASSERT_EQUAL(world.n_cancels, 1);
-	tear_down(&world);
+	struct fixture fixture;
+
+	set_up(&fixture, 2);
+	path_put(&fixture.path, "h1", "b1", 1, 10, "012345678");
+	path_put(&fixture.path, "h1", "b2", 1, 10, "9");
+	complete_quick_searches(&fixture);
+	start(&fixture);
+	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 21);
+	answer(&fixture, 20,
+	       fixture.sent[20].query->parts[0]->n_shards == 9 ? 0 : 1);
+	advance_ms(&fixture, 12);
+	CU_ASSERT_EQUAL(fixture.n_done, 20);
+	advance_ms(&fixture, 18);
+	CU_ASSERT_EQUAL(fixture.n_done, 21);
+	CU_ASSERT_EQUAL(fixture.code, 0);
+	CU_ASSERT_EQUAL(fixture.covered, 9 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.reasons[9], ERR_TOO_LATE);
+	CU_ASSERT_EQUAL(fixture.n_cancels, 1);
+	tear_down(&fixture);
 }
 
 /*
- * Every server of the service sheds. The caller is told at once, and that
- * nothing ran: it may safely ask again.
+ * Every server of the service sheds load. The caller gets "not_run" at once and
+ * may safely retry.
  */
-static void test_shed_everywhere_is_not_run(void)
+static void test_all_servers_shed(void)
 {
-	struct world world;
+	struct fixture fixture;
 	int i;
 
-	set_up(&world, 1);
-	path_put(&world.path, "h1", "b1", 1, 1, "0");
+	set_up(&fixture, 1);
+	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
 	for (i = 0; i < 5; i++) {
-		start(&world);
-		if (world.n_sent > i)
-			fail_part(&world, i, 0, ERR_SHED, false);
+		start(&fixture);
+		if (fixture.n_sent > i)
+			fail_part(&fixture, i, 0, ERR_SHED, false);
 		else
 			break;
-		clock_advance(&world.path.clock, MSEC(1000));
-		CU_ASSERT_EQUAL(world.n_done, i + 1);
-		CU_ASSERT_STRING_EQUAL(world.outcome, "not_run");
+		clock_advance(&fixture.path.clock, MSEC(1000));
+		CU_ASSERT_EQUAL(fixture.n_done, i + 1);
+		CU_ASSERT_STRING_EQUAL(fixture.outcome, "not_run");
 	}
-	start(&world);
-	fail_part(&world, world.n_sent - 1, 0, ERR_SHED, false);
-	/* It asked not to be called now. */
-	i = world.n_sent;
-	start(&world);
-	CU_ASSERT_EQUAL(world.n_sent, i);
-	CU_ASSERT_EQUAL(world.n_done, 7);
-	CU_ASSERT_STRING_EQUAL(world.outcome, "not_run");
-	tear_down(&world);
+	start(&fixture);
+	fail_part(&fixture, fixture.n_sent - 1, 0, ERR_SHED, false);
+	/* The server is backing off. */
+	i = fixture.n_sent;
+	start(&fixture);
+	CU_ASSERT_EQUAL(fixture.n_sent, i);
+	CU_ASSERT_EQUAL(fixture.n_done, 7);
+	CU_ASSERT_STRING_EQUAL(fixture.outcome, "not_run");
+	tear_down(&fixture);
 }
 
 static const struct unit_test tests[] = {
-	{"counts add over servers", test_counts_add_over_servers},
-	{"records merge", test_records_merge},
-	{"version switch never mixes", test_version_switch_never_mixes},
-	{"version switch not known yet", test_version_switch_not_known_yet},
-	{"version gone without a newer", test_version_gone_without_a_newer},
-	{"no restart after the deadline", test_no_restart_after_the_deadline},
+	{"counts of all servers are added", test_counts_add_over_servers},
+	{"records of all servers are merged", test_records_merge},
+	{"a version switch restarts the search", test_version_switch_restarts},
+	{"a version switch before the catalog knows it",
+	 test_version_switch_not_known_yet},
+	{"a version disappears without a successor",
+	 test_version_without_successor},
+	{"no restart at the deadline", test_no_restart_at_deadline},
 	{"restarts are bounded", test_restarts_are_bounded},
-	{"split shard counts once", test_split_shard_counts_once},
-	{"shard answered twice counts once",
-	 test_shard_answered_twice_counts_once},
+	{"a split shard counts once", test_split_shard_counts_once},
+	{"a duplicate answer counts once", test_duplicate_answer_counts_once},
 	{"bad answers are not counted", test_bad_answers_are_not_counted},
 	{"foreign answers are dropped", test_foreign_answers_are_dropped},
-	{"home lost", test_home_lost},
-	{"last home lost", test_last_home_lost},
-	{"deadline gives honest coverage", test_deadline_gives_honest_coverage},
-	{"nothing by the deadline", test_nothing_by_the_deadline},
-	{"refusals are typed", test_refusals_are_typed},
+	{"connection to a home lost", test_home_lost},
+	{"connection to the last home lost", test_last_home_lost},
+	{"partial coverage at the deadline", test_partial_coverage_at_deadline},
+	{"no answer by the deadline", test_no_answer_by_deadline},
+	{"refusals have an error code", test_refusals_have_error_code},
 	{"no table yet", test_no_table_yet},
-	{"not run only if no byte left", test_not_run_only_if_no_byte_left},
-	{"caller gone", test_caller_gone},
-	{"table changes under a search", test_table_changes_under_a_search},
-	{"slow part is hedged", test_slow_part_is_hedged},
-	{"quicker original cancels the hedge",
-	 test_quicker_original_cancels_the_hedge},
-	{"late notice is hedged at once", test_late_notice_is_hedged_at_once},
-	{"late hedge replaces the original",
-	 test_late_hedge_replaces_the_original},
+	{"not_run only if no byte was sent", test_not_run_only_if_no_byte_sent},
+	{"the caller disconnects", test_caller_disconnects},
+	{"the table changes during a search", test_table_changes_during_search},
+	{"a late part is hedged", test_late_part_is_hedged},
+	{"a faster original cancels the hedge",
+	 test_faster_original_cancels_hedge},
+	{"a late notice triggers a hedge at once",
+	 test_late_notice_triggers_hedge},
+	{"a second hedge replaces the original",
+	 test_second_hedge_replaces_original},
 	{"no hedge to the same server", test_no_hedge_to_the_same_server},
-	{"silence is asked again", test_silence_is_asked_again},
-	{"shed everywhere is not run", test_shed_everywhere_is_not_run},
-	{"late search answers at min_coverage",
+	{"a silent connection is retried", test_silent_connection_is_retried},
+	{"all servers shed load", test_all_servers_shed},
+	{"a late search answers at min_coverage",
 	 test_late_search_answers_at_min_coverage},
-	{"a record explains a missing shard",
-	 test_record_explains_missing_shard},
-	{"a record of a good search", test_record_of_good_search},
-	{"a refusal burns", test_refusal_burns},
-	{"an unknown service burns nothing",
-	 test_unknown_service_burns_nothing},
+	{"the trace explains a missing shard",
+	 test_trace_explains_missing_shard},
+	{"trace of a complete search", test_trace_of_complete_search},
+	{"a refusal uses error budget", test_refusal_uses_budget},
+	{"an unknown service uses no error budget",
+	 test_unknown_service_uses_no_budget},
 };
 
 UNIT_MAIN("search", tests)
