--- a/caller.h
+++ b/caller.h
@@ -12,6 +12,10 @@
 
 /**
  * struct caller - the HTTP server for callers
+ * @board: borrowed, as @entry and @runs
+ * @entry: starts searches
+ * @runs: issues tickets, and runs requests that must not be repeated
+ * @http: owned
  * @next_request_id: number of the next generated request id
  * @conns: limits on callers' connections
  * @accept_backoff: pauses accepting when accept() fails
--- a/replica.h
+++ b/replica.h
@@ -54,8 +54,8 @@
 
 /**
  * replica_choose() - choose a replica by power of two choices
- * @replicas: candidates; two are drawn at random by weight, and the one with
- *	      the shorter expected completion time is chosen
+ * @replicas: candidates; two are drawn at random by weight, and the second is
+ *	      chosen if its expected completion time is clearly shorter
  * @n: number of candidates
  * @urgent: a hedge or retry, which must not be spent on a probe
  * @pick: set on success
--- a/search.h
+++ b/search.h
@@ -49,7 +49,7 @@
 enum search_shard_state {
 	SEARCH_SHARD_PENDING,	 /* to be requested at send_at */
 	SEARCH_SHARD_IN_FLIGHT,	 /* at least one part is in flight */
-	SEARCH_SHARD_RETRY_WAIT, /* for the retry budget, see search_part */
+	SEARCH_SHARD_RETRY_WAIT, /* see search_part_retry() */
 	SEARCH_SHARD_ANSWERED,	 /* counted */
 	SEARCH_SHARD_MISSING,	 /* given up, see code */
 };
@@ -78,8 +78,7 @@
  * struct search_part - the part of a search sent to one server via one home
  * @server: reference held
  * @home: reference held
- * @observed_server: statistics of the server, borrowed while the part is in
- *flight; else NULL
+ * @observed_server: statistics of the server, borrowed; NULL unless in flight
  * @shards: owned: indexes into the partition map
  * @round: number of the round it was sent in, from 0
  * @code: error of its failure
@@ -90,7 +89,7 @@
  * @is_hedge: sent as a hedge of another part
  * @is_late: in flight for @hedge_after, or reported late by its home
  * @is_cancelled: cancelled, and its home's result has not been handled
- * @was_sent: it failed after bytes had reached the server
+ * @was_sent: it failed after bytes may have been sent to the server
  * @is_done: answered, failed or cancelled
  */
 struct search_part {
@@ -118,27 +117,35 @@
  * @id: unique within the incarnation; on the wire between entry and homes
  * @owner: opaque, for struct search_ops.done
  * @started_at: microseconds, as all times here
- * @partial_answer_at: from when on coverage of @min_coverage is enough for an
- *answer
+ * @deadline_at: when it ends with the answers that it has
+ * @partial_answer_at: when coverage of @min_coverage starts to be sufficient
  * @wake_at: no later than the next time searches_tick() must handle it
- * @move_wait_until: end of the wait for the catalog to show where its data
- *moved; 0: not waiting
+ * @move_wait_until: limit of the wait for the new place of moved data; 0: none
+ * @min_coverage: share of the snapshot's records, 0 to 1
+ * @mode: of the service: latency-first or coverage-first
+ * @priority: of the service
  * @map: partition map of the snapshot, reference held; NULL before prepare()
  * @shards: owned, one per shard of @map
+ * @n_answered: shards that are answered
+ * @n_open: shards neither answered nor missing
  * @parts: owned
  * @n_rounds: rounds of parts sent
+ * @merge: records of the answered shards
  * @count: matching records of the answered shards
  * @covered: records held by the answered shards
  * @n_homes: queries sent to homes
- * @n_requests: parts sent, hedges and retries included
+ * @n_requests: parts sent, including @n_hedges and @n_retries
+ * @n_restarts: how often it restarted on another snapshot
  * @fingerprint: see poison.h
  * @single_server: it must run on one server at a time, see poison.h
  * @n_results: parts that homes answered
  * @n_shed: of these, refused because of load
- * @wait_us: sum of the times these were queued at homes
+ * @wait_us: sum of their queueing times at homes, microseconds
  * @maybe_ran: bytes of it may have reached a backend server
  * @code: 0 when it is done with an answer, else the error
  * @error: for a refusal, its subject and what was expected
+ * @retry_after_ms: when the caller may retry; 0: not said
+ * @hh: in struct searches.by_id
  */
 struct search {
 	uint64_t id;
@@ -156,7 +163,7 @@
 	struct catalog_map *map;
 	struct search_shard *shards;
 	int n_answered;
-	int n_open; /* shards neither answered nor missing */
+	int n_open;
 	struct search_part *parts;
 	int n_parts;
 	int cap_parts;
@@ -189,6 +196,7 @@
  * @by_id: hash of the searches in flight
  * @next_id: id of the next search or round
  * @policy: chooses replicas, hedges and retries
+ * @table_watch: updates @policy with each new table
  * @wake_at: when searches_tick() must be called at the latest, microseconds
  * @arena: scratch memory for the answer being handled
  */
--- a/search_plan.h
+++ b/search_plan.h
@@ -15,8 +15,9 @@
  * @first_part: index of the first part of this round
  * @hedged_part: the part that is hedged, or -1
  * @late_notice: its home reported that it runs for too long
- * @is_retry: parts were sent before
+ * @is_retry: the search has sent parts before
  * @replicas: owned: candidates for the shard being planned
+ * @cap_replicas: allocated elements of @replicas
  */
 struct search_round {
 	struct search *search;
--- a/search_round.c
+++ b/search_round.c
@@ -12,7 +12,7 @@
 #include "search_trace.h"
 
 /* The query for one home, with all parts of the round for it. */
-struct outgoing {
+struct home_query {
 	struct catalog_instance *home;
 	Peer__Query query;
 	Peer__ServerPart **parts;
@@ -81,7 +81,7 @@
 	query->watched = search->single_server;
 }
 
-static void free_outgoing(struct outgoing *out)
+static void free_home_query(struct home_query *out)
 {
 	size_t i;
 
@@ -92,7 +92,7 @@
 	free(out->parts);
 }
 
-static void send_outgoing(struct search *search, struct outgoing *out)
+static void send_home_query(struct search *search, struct home_query *out)
 {
 	struct searches *searches = search->searches;
 	size_t i;
@@ -152,18 +152,18 @@
 	search_wake(search, part->hedge_at);
 }
 
-static struct outgoing *get_outgoing(struct search_round *round,
-				     struct outgoing *outs, int *n,
-				     struct catalog_instance *home)
+static struct home_query *get_home_query(struct search_round *round,
+					 struct home_query *queries, int *n,
+					 struct catalog_instance *home)
 {
-	struct outgoing *out;
+	struct home_query *out;
 	int max = round->search->n_parts - round->first_part;
 
 	if (home->plan_round == round->id)
-		return &outs[home->plan_slot];
+		return &queries[home->plan_slot];
 	home->plan_round = round->id;
 	home->plan_slot = *n;
-	out = &outs[(*n)++];
+	out = &queries[(*n)++];
 	out->home = home;
 	out->parts = mem_zalloc((size_t)max * sizeof(*out->parts));
 	fill_query(round->search, round->wire_id, &out->query);
@@ -174,13 +174,14 @@
 {
 	struct search *search = round->search;
 	int n_new = search->n_parts - round->first_part;
-	struct outgoing *outs = mem_zalloc((size_t)n_new * sizeof(*outs));
+	struct home_query *queries =
+		mem_zalloc((size_t)n_new * sizeof(*queries));
 	int n = 0;
 	int i;
 
 	for (i = round->first_part; i < search->n_parts; i++) {
-		struct outgoing *out =
-			get_outgoing(round, outs, &n, search->parts[i].home);
+		struct home_query *out = get_home_query(round, queries, &n,
+							search->parts[i].home);
 
 		count_part(round, &search->parts[i]);
 		observe_part(round, &search->parts[i]);
@@ -188,10 +189,10 @@
 	}
 	search->n_homes += n;
 	for (i = 0; i < n; i++) {
-		send_outgoing(search, &outs[i]);
-		free_outgoing(&outs[i]);
+		send_home_query(search, &queries[i]);
+		free_home_query(&queries[i]);
 	}
-	free(outs);
+	free(queries);
 }
 
 static bool has_part_in_flight(const struct search *search)
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -181,9 +181,9 @@
 }
 
 /*
- * A server that is four times slower than its replica gets almost no requests,
- * where a random choice would send it half of them. Its statistics fade with
- * time, so that it is tried again and its recovery is noticed.
+ * A server that takes four times as long as its replica gets almost no
+ * requests, where a random choice would send it half of them. Its statistics
+ * fade with time, so that it is tried again and its recovery is noticed.
  */
 static void test_slow_server(void)
 {
--- a/tests/test_search.c
+++ b/tests/test_search.c
@@ -1020,7 +1020,7 @@
 	tear_down(&fixture);
 }
 
-/* A hedge is never sent to the server that is late, even if it is the only. */
+/* The only replica gets no hedge of its own late part. */
 static void test_no_hedge_to_the_same_server(void)
 {
 	struct fixture fixture;
