--- a/tests/test_search.c
+++ b/tests/test_search.c
@@ -613,7 +613,7 @@
 	start(&fixture);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 1);
 	home = fixture.sent[0].home;
-	catalog_drop_home(&fixture.path.board.catalog, str_from(home));
+	catalog_remove_instance(&fixture.path.board.catalog, str_from(home));
 	searches_home_lost(&fixture.searches, str_from(home));
 	CU_ASSERT_EQUAL(fixture.n_done, 0);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
@@ -635,7 +635,7 @@
 	set_up(&fixture, 1);
 	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
 	start(&fixture);
-	catalog_drop_home(&fixture.path.board.catalog, STR("h1"));
+	catalog_remove_instance(&fixture.path.board.catalog, STR("h1"));
 	searches_home_lost(&fixture.searches, STR("h1"));
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
 	CU_ASSERT_STRING_EQUAL(fixture.outcome, "unknown");
