--- a/caller.c
+++ b/caller.c
@@ -218,7 +218,7 @@
  * @answered: the outcome is known
  */
 struct pending_run {
-	struct run_wait wait;
+	struct run_waiter wait;
 	struct caller *caller;
 	evhtp_request_t *http;
 	struct run_trace trace;
@@ -252,7 +252,7 @@
 		metric_inc(&counters->runs_unknown);
 }
 
-static void on_run_answered(struct run_wait *wait,
+static void on_run_answered(struct run_waiter *wait,
 			    const struct ticket_answer *answer)
 {
 	struct pending_run *pending = (struct pending_run *)wait;
--- a/search_result.c
+++ b/search_result.c
@@ -129,8 +129,8 @@
 	if (was_hedged(search, part))
 		cancel_losers(search);
 	if (search->single_server)
-		poison_cleared(&search->searches->board->poison,
-			       search->fingerprint);
+		poison_mark_cleared(&search->searches->board->poison,
+				    search->fingerprint);
 	search->single_server = false;
 }
 
