--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -256,7 +256,7 @@
 	struct gateway_fleet *fleet = arg;
 
 	(void)lag;
-	poison_net_beat(&fleet->poison);
+	poison_net_tick(&fleet->poison);
 }
 
 static bool heard_ready(const struct gateway_fleet *fleet, const char *instance)
@@ -338,7 +338,7 @@
 	fleet->peers.wanted = &fleet->wanted;
 	poison_net_init(&fleet->poison, &fleet->board, &fleet->peers);
 	fleet->poison.flood = true;
-	fleet->board.poison.tolerant = true;
+	fleet->board.poison.no_canaries = true;
 	fleet->board.poison.ban_after = CRASHES_MOST;
 	loop_lag_init(&fleet->loop, &fleet->board, on_beat, fleet);
 	fleet->handler.up = on_up;
--- a/poison.c
+++ b/poison.c
@@ -10,14 +10,16 @@
 #include "error.h"
 #include "mem.h"
 
-#define GOODS_PER_ENTRY 4
+/* Fingerprints known to be safe that are stored per suspect or ban. */
+#define SAFE_PER_ENTRY 4
+/* Leaves the two highest bits of a rank for the flags below. */
 #define RANK_SHIFT 2
-#define RANK_LOST (1ULL << 63)
-#define RANK_OTHER_SET (1ULL << 62)
+#define RANK_CRASHED_BEFORE (1ULL << 63)
+#define RANK_OTHER_REPLICA_SET (1ULL << 62)
 
 struct poison_entry {
 	uint64_t hash;
-	bool unwatched;
+	bool unwatched_crash;
 	bool was_safe;
 	bool banned;
 	int n_servers;
@@ -28,7 +30,7 @@
 	UT_hash_handle hh;
 };
 
-struct poison_good {
+struct poison_safe_entry {
 	uint64_t hash;
 	int64_t expires;
 	UT_hash_handle hh;
@@ -49,12 +51,13 @@
 	return entry;
 }
 
-static struct poison_good *find_good(const struct poison *poison, uint64_t hash)
+static struct poison_safe_entry *find_safe_entry(const struct poison *poison,
+						 uint64_t hash)
 {
-	struct poison_good *good;
+	struct poison_safe_entry *safe_entry;
 
-	HASH_FIND(hh, poison->goods, &hash, sizeof(hash), good);
-	return good;
+	HASH_FIND(hh, poison->safe_entries, &hash, sizeof(hash), safe_entry);
+	return safe_entry;
 }
 
 static void drop_entry(struct poison *poison, struct poison_entry *entry)
@@ -63,13 +66,15 @@
 	free(entry);
 }
 
-static void drop_good(struct poison *poison, struct poison_good *good)
+static void drop_safe_entry(struct poison *poison,
+			    struct poison_safe_entry *safe_entry)
 {
-	HASH_DEL(poison->goods, good);
-	free(good);
+	HASH_DEL(poison->safe_entries, safe_entry);
+	free(safe_entry);
 }
 
-static struct poison_entry *live_entry(struct poison *poison, uint64_t hash)
+static struct poison_entry *find_live_entry(struct poison *poison,
+					    uint64_t hash)
 {
 	struct poison_entry *entry = find_entry(poison, hash);
 
@@ -79,12 +84,15 @@
 	return NULL;
 }
 
-/* The oldest suspect goes first: a ban is worth more than a suspicion. */
-static void make_room(struct poison *poison)
+/*
+ * Evicts the oldest suspect. Bans are evicted only if there are no suspects,
+ * as losing a ban costs more than losing a suspect.
+ */
+static void evict_if_full(struct poison *poison)
 {
 	struct poison_entry *entry = poison->entries;
 
-	if ((int64_t)HASH_COUNT(poison->entries) < poison->tunables.max)
+	if ((int64_t)HASH_COUNT(poison->entries) < poison->tunables.max_entries)
 		return;
 	while (entry && entry->banned)
 		entry = entry->hh.next;
@@ -95,7 +103,7 @@
 {
 	struct poison_entry *entry;
 
-	make_room(poison);
+	evict_if_full(poison);
 	entry = mem_zalloc(sizeof(*entry));
 	entry->hash = hash;
 	HASH_ADD(hh, poison->entries, hash, sizeof(hash), entry);
@@ -103,14 +111,14 @@
 }
 
 /*
- * Guard against banning a popular search for servers that are restarted in a
- * row: it runs everywhere, so that the first restart always finds it there,
- * and the second may find it on probation. What ran well before it was lost
- * with a server among others is on probation for that, but not counted.
+ * An unwatched crash of a fingerprint that was known to be safe doesn't count.
+ * Otherwise restarting servers one after the other could ban a popular search:
+ * it runs on all servers, so the first restart always hits it, and the second
+ * may hit it while it is on probation.
  */
 static int count_crashes(const struct poison_entry *entry)
 {
-	bool counted = entry->unwatched && !entry->was_safe;
+	bool counted = entry->unwatched_crash && !entry->was_safe;
 
 	return entry->n_servers + counted;
 }
@@ -132,19 +140,20 @@
 		entry->servers[entry->n_servers++] = server;
 }
 
-/* After each crash: a ban is due at the second. */
-static void judge(struct poison *poison, struct poison_entry *entry)
+/* Bans a fingerprint that has crashed enough servers, and renews its expiry. */
+static void update_ban(struct poison *poison, struct poison_entry *entry)
 {
 	int64_t now = clock_now(poison->clock);
-	struct poison_good *good = find_good(poison, entry->hash);
+	struct poison_safe_entry *safe_entry =
+		find_safe_entry(poison, entry->hash);
 
-	if (good)
-		drop_good(poison, good);
+	if (safe_entry)
+		drop_safe_entry(poison, safe_entry);
 	if (count_crashes(entry) >= poison->ban_after)
 		entry->banned = true;
 	entry->since = now;
-	entry->expires = now + (entry->banned ? poison->tunables.ban
-					      : poison->tunables.suspect);
+	entry->expires = now + (entry->banned ? poison->tunables.ban_ttl
+					      : poison->tunables.suspect_ttl);
 }
 
 static void fill_report(const struct poison *poison,
@@ -153,17 +162,18 @@
 {
 	*report = (struct poison_report){
 		.hash = entry->hash,
-		.unwatched = entry->unwatched,
+		.unwatched_crash = entry->unwatched_crash,
 		.was_safe = entry->was_safe,
 		.n_servers = entry->n_servers,
 		.replica_set = entry->replica_set,
 		.banned = entry->banned,
-		.left = entry->expires - clock_now(poison->clock),
+		.remaining = entry->expires - clock_now(poison->clock),
 	};
 	memcpy(report->servers, entry->servers, sizeof(report->servers));
 }
 
-static void tell(const struct poison *poison, const struct poison_entry *entry)
+static void notify_changed(const struct poison *poison,
+			   const struct poison_entry *entry)
 {
 	struct poison_report report;
 
@@ -173,7 +183,7 @@
 	poison->changed(poison->ctx, &report);
 }
 
-static void clear(struct poison *poison, struct poison_entry *entry)
+static void clear_entry(struct poison *poison, struct poison_entry *entry)
 {
 	struct poison_report report = {.hash = entry->hash};
 
@@ -188,7 +198,7 @@
 {
 	memset(poison, 0, sizeof(*poison));
 	poison->clock = clock;
-	poison->ban_after = POISON_CRASHES;
+	poison->ban_after = POISON_BAN_AFTER_CRASHES;
 	poison->changed = changed;
 	poison->ctx = ctx;
 }
@@ -200,8 +210,8 @@
 
 	while (poison->entries)
 		drop_entry(poison, poison->entries);
-	while (poison->goods)
-		drop_good(poison, poison->goods);
+	while (poison->safe_entries)
+		drop_safe_entry(poison, poison->safe_entries);
 	HASH_ITER (hh, poison->servers, server, next) {
 		HASH_DEL(poison->servers, server);
 		free(server);
@@ -224,16 +234,17 @@
 
 static bool is_known_safe(const struct poison *poison, uint64_t hash)
 {
-	const struct poison_good *good = find_good(poison, hash);
+	const struct poison_safe_entry *safe_entry =
+		find_safe_entry(poison, hash);
 
-	return good && good->expires > clock_now(poison->clock);
+	return safe_entry && safe_entry->expires > clock_now(poison->clock);
 }
 
 enum poison_verdict poison_check(struct poison *poison, uint64_t hash,
 				 uint32_t *retry_after_ms)
 {
 	int64_t now = clock_now(poison->clock);
-	struct poison_entry *entry = live_entry(poison, hash);
+	struct poison_entry *entry = find_live_entry(poison, hash);
 
 	if (entry && entry->banned) {
 		*retry_after_ms =
@@ -242,11 +253,11 @@
 	}
 	if (entry)
 		return POISON_PROBATION;
-	return is_known_safe(poison, hash) ? POISON_FREE : POISON_CANARY;
+	return is_known_safe(poison, hash) ? POISON_KNOWN_SAFE : POISON_CANARY;
 }
 
-static uint64_t rank_of(const struct poison *poison, uint64_t hash,
-			struct str server, struct str replica_set)
+static uint64_t rank_server(const struct poison *poison, uint64_t hash,
+			    struct str server, struct str replica_set)
 {
 	const struct poison_entry *entry = find_entry(poison, hash);
 	uint64_t rank = str_hash_mix(hash, str_hash(server)) >> RANK_SHIFT;
@@ -254,22 +265,22 @@
 	if (!entry)
 		return rank;
 	if (entry->replica_set != str_hash(replica_set))
-		rank |= RANK_OTHER_SET;
+		rank |= RANK_OTHER_REPLICA_SET;
 	if (has_server(entry, str_hash(server)))
-		rank |= RANK_LOST;
+		rank |= RANK_CRASHED_BEFORE;
 	return rank;
 }
 
 /*
- * Between a crash and its report a suspect would be taken to the next server,
- * and a third one lost to it.
+ * Until the report of a crash has arrived here, the suspect would be sent to
+ * the next server and could crash a third one.
  */
-static bool is_settling(const struct poison *poison, uint64_t hash,
-			const struct poison_candidate *candidate)
+static bool is_awaiting_reports(const struct poison *poison, uint64_t hash,
+				const struct poison_candidate *candidate)
 {
 	int64_t since = clock_now(poison->clock) - candidate->changed;
 
-	return !candidate->reachable && since < POISON_SETTLE &&
+	return !candidate->reachable && since < POISON_REPORT_WAIT &&
 	       find_entry(poison, hash) &&
 	       !has_server(find_entry(poison, hash),
 			   str_hash(candidate->server));
@@ -283,12 +294,12 @@
 	int i;
 
 	for (i = 0; i < n; i++) {
-		uint64_t rank = rank_of(poison, hash, candidates[i].server,
-					candidates[i].replica_set);
+		uint64_t rank = rank_server(poison, hash, candidates[i].server,
+					    candidates[i].replica_set);
 
 		if (rank >= least)
 			continue;
-		if (is_settling(poison, hash, &candidates[i]))
+		if (is_awaiting_reports(poison, hash, &candidates[i]))
 			best = ERR_NO_SLOT;
 		else if (candidates[i].reachable)
 			best = i;
@@ -313,7 +324,7 @@
 	return server;
 }
 
-static struct poison_server *server_of(struct poison *poison, uint64_t name)
+static struct poison_server *get_server(struct poison *poison, uint64_t name)
 {
 	struct poison_server *server = find_server(poison, name);
 
@@ -326,8 +337,8 @@
 }
 
 /*
- * Two suspects on one server would both be blamed for its crash, and a suspect
- * on two servers could take both.
+ * A crash can be attributed to a suspect only if no other one runs on the same
+ * server, and a suspect running on two servers could crash both.
  */
 static bool may_run_suspect(const struct poison *poison, uint64_t hash,
 			    uint64_t server_name)
@@ -348,14 +359,15 @@
 int poison_begin(struct poison *poison, struct poison_run *run, uint64_t hash,
 		 struct str server, struct str replica_set, bool watched)
 {
-	const struct poison_entry *entry = live_entry(poison, hash);
+	const struct poison_entry *entry = find_live_entry(poison, hash);
 	uint64_t name = str_hash(server);
 
 	if (entry && entry->banned)
 		return ERR_BANNED;
-	if (entry && !watched && !poison->tolerant)
+	if (entry && !watched && !poison->no_canaries)
 		return ERR_SHED;
-	if (entry && !poison->tolerant && !may_run_suspect(poison, hash, name))
+	if (entry && !poison->no_canaries &&
+	    !may_run_suspect(poison, hash, name))
 		return ERR_NO_SLOT;
 	run->hash = hash;
 	run->replica_set = str_hash(replica_set);
@@ -363,7 +375,7 @@
 	run->suspect = entry;
 	run->safe = is_known_safe(poison, hash);
 	run->started = clock_now(poison->clock);
-	run->server = server_of(poison, name);
+	run->server = get_server(poison, name);
 	DL_APPEND(run->server->runs, run);
 	return 0;
 }
@@ -381,12 +393,12 @@
 }
 
 /*
- * Only a run that began after the crash clears, and only on a server that
- * holds the same: what crashes on the records of one replica set runs well on
- * another's.
+ * A run clears a suspect only if it began after the last crash and ran on the
+ * same replica set: a request may crash on the records of one replica set and
+ * succeed on those of another.
  */
-static bool clears(const struct poison_entry *entry,
-		   const struct poison_run *run)
+static bool clears_suspicion(const struct poison_entry *entry,
+			     const struct poison_run *run)
 {
 	return !entry->banned && run->suspect && run->started >= entry->since &&
 	       run->replica_set == entry->replica_set;
@@ -401,44 +413,42 @@
 	drop_run(poison, run);
 	if (!well)
 		return;
-	entry = live_entry(poison, run->hash);
-	if (entry && clears(entry, run))
-		clear(poison, entry);
-	poison_well(poison, run->hash);
+	entry = find_live_entry(poison, run->hash);
+	if (entry && clears_suspicion(entry, run))
+		clear_entry(poison, entry);
+	poison_mark_safe(poison, run->hash);
 }
 
-static void add_unwatched(struct poison_entry *entry, bool was_safe)
+static void add_unwatched_crash(struct poison_entry *entry, bool was_safe)
 {
-	entry->was_safe = was_safe && (entry->was_safe || !entry->unwatched);
-	entry->unwatched = true;
+	entry->was_safe =
+		was_safe && (entry->was_safe || !entry->unwatched_crash);
+	entry->unwatched_crash = true;
 }
 
-/*
- * Whom a crash is put down to: those watched, if any ran there, for the others
- * are known to be safe; else all.
- */
-static void blame(struct poison *poison, const struct poison_run *run,
-		  uint64_t server)
+/* Attributes the crash of a server to a request that was running there. */
+static void record_crash(struct poison *poison, const struct poison_run *run,
+			 uint64_t server)
 {
-	struct poison_entry *entry = live_entry(poison, run->hash);
+	struct poison_entry *entry = find_live_entry(poison, run->hash);
 	bool was_banned;
 
 	if (!entry)
 		entry = add_entry(poison, run->hash);
-	if (poison->tolerant)
+	if (poison->no_canaries)
 		add_server(entry, server);
 	else if (!run->watched)
-		add_unwatched(entry, run->safe);
+		add_unwatched_crash(entry, run->safe);
 	else if (has_server(entry, server) && run->started >= entry->since)
-		/* The same server, back and lost again. */
+		/* The same server restarted and crashed again. */
 		add_server(entry, str_hash_mix(server, 1));
 	else
 		add_server(entry, server);
 	entry->replica_set = run->replica_set;
 	was_banned = entry->banned;
-	judge(poison, entry);
+	update_ban(poison, entry);
 	poison->n_banned += entry->banned && !was_banned;
-	tell(poison, entry);
+	notify_changed(poison, entry);
 }
 
 void poison_server_lost(struct poison *poison, struct str name)
@@ -455,88 +465,94 @@
 		watched = watched || run->watched;
 		run->server = NULL;
 	}
+	/*
+	 * If any watched request ran there, only the watched ones are blamed,
+	 * as all others are known to be safe. Otherwise all are blamed.
+	 */
 	DL_FOREACH (runs, run) {
 		if (run->watched || !watched)
-			blame(poison, run, server->name);
+			record_crash(poison, run, server->name);
 	}
 	HASH_DEL(poison->servers, server);
 	free(server);
 }
 
-void poison_well(struct poison *poison, uint64_t hash)
+void poison_mark_safe(struct poison *poison, uint64_t hash)
 {
-	struct poison_good *good = find_good(poison, hash);
+	struct poison_safe_entry *safe_entry = find_safe_entry(poison, hash);
 
 	if (find_entry(poison, hash))
 		return;
-	if (good)
-		HASH_DEL(poison->goods, good);
+	if (safe_entry)
+		HASH_DEL(poison->safe_entries, safe_entry);
 	else
-		good = mem_zalloc(sizeof(*good));
-	good->hash = hash;
-	good->expires = clock_now(poison->clock) + poison->tunables.suspect;
-	HASH_ADD(hh, poison->goods, hash, sizeof(hash), good);
-	if ((int64_t)HASH_COUNT(poison->goods) >
-	    poison->tunables.max * GOODS_PER_ENTRY)
-		drop_good(poison, poison->goods);
+		safe_entry = mem_zalloc(sizeof(*safe_entry));
+	safe_entry->hash = hash;
+	safe_entry->expires =
+		clock_now(poison->clock) + poison->tunables.suspect_ttl;
+	HASH_ADD(hh, poison->safe_entries, hash, sizeof(hash), safe_entry);
+	if ((int64_t)HASH_COUNT(poison->safe_entries) >
+	    poison->tunables.max_entries * SAFE_PER_ENTRY)
+		drop_safe_entry(poison, poison->safe_entries);
 }
 
-void poison_cleared(struct poison *poison, uint64_t hash)
+void poison_mark_cleared(struct poison *poison, uint64_t hash)
 {
 	if (!find_entry(poison, hash))
-		poison_well(poison, hash);
+		poison_mark_safe(poison, hash);
 }
 
-static int64_t bounded_left(const struct poison *poison,
-			    const struct poison_report *report)
+static int64_t bounded_remaining(const struct poison *poison,
+				 const struct poison_report *report)
 {
-	int64_t most = report->banned ? poison->tunables.ban
-				      : poison->tunables.suspect;
+	int64_t most = report->banned ? poison->tunables.ban_ttl
+				      : poison->tunables.suspect_ttl;
 
-	return report->left < most ? report->left : most;
+	return report->remaining < most ? report->remaining : most;
 }
 
-static bool differs(const struct poison_entry *entry,
-		    const struct poison_entry *before)
+static bool evidence_differs(const struct poison_entry *entry,
+			     const struct poison_entry *before)
 {
 	return entry->banned != before->banned ||
 	       entry->n_servers != before->n_servers ||
-	       entry->unwatched != before->unwatched ||
+	       entry->unwatched_crash != before->unwatched_crash ||
 	       entry->was_safe != before->was_safe;
 }
 
-bool poison_learn(struct poison *poison, const struct poison_report *report)
+bool poison_apply_report(struct poison *poison,
+			 const struct poison_report *report)
 {
 	int64_t now = clock_now(poison->clock);
-	struct poison_entry *entry = live_entry(poison, report->hash);
+	struct poison_entry *entry = find_live_entry(poison, report->hash);
 	struct poison_entry before = {0};
 	int i;
 
-	if (!report->unwatched && !report->n_servers && !report->banned) {
+	if (!report->unwatched_crash && !report->n_servers && !report->banned) {
 		if (!entry || entry->banned)
 			return false;
 		drop_entry(poison, entry);
-		poison_well(poison, report->hash);
+		poison_mark_safe(poison, report->hash);
 		return true;
 	}
-	if (report->left <= 0)
+	if (report->remaining <= 0)
 		return false;
 	if (entry)
 		before = *entry;
 	else
 		entry = add_entry(poison, report->hash);
-	if (report->unwatched)
-		add_unwatched(entry, report->was_safe);
+	if (report->unwatched_crash)
+		add_unwatched_crash(entry, report->was_safe);
 	entry->banned = entry->banned || report->banned;
 	for (i = 0; i < report->n_servers && i < POISON_SERVERS_MAX; i++)
 		add_server(entry, report->servers[i]);
-	if (!differs(entry, &before))
+	if (!evidence_differs(entry, &before))
 		return false;
 	entry->replica_set = report->replica_set;
-	judge(poison, entry);
-	entry->expires = now + bounded_left(poison, report);
+	update_ban(poison, entry);
+	entry->expires = now + bounded_remaining(poison, report);
 	if (entry->banned && !before.banned && !report->banned)
-		entry->expires = now + poison->tunables.ban;
+		entry->expires = now + poison->tunables.ban_ttl;
 	return true;
 }
 
@@ -560,15 +576,15 @@
 	int64_t now = clock_now(poison->clock);
 	struct poison_entry *entry;
 	struct poison_entry *next;
-	struct poison_good *good;
-	struct poison_good *next_good;
+	struct poison_safe_entry *safe_entry;
+	struct poison_safe_entry *next_safe;
 
 	HASH_ITER (hh, poison->entries, entry, next) {
 		if (entry->expires <= now)
 			drop_entry(poison, entry);
 	}
-	HASH_ITER (hh, poison->goods, good, next_good) {
-		if (good->expires <= now)
-			drop_good(poison, good);
+	HASH_ITER (hh, poison->safe_entries, safe_entry, next_safe) {
+		if (safe_entry->expires <= now)
+			drop_safe_entry(poison, safe_entry);
 	}
 }
--- a/poison.h
+++ b/poison.h
@@ -1,8 +1,10 @@
 /*
- * Requests that crash the backend servers that run them. A request whose
- * fingerprint is not known to be safe runs on one server first, and every
- * instance takes the same one; the fingerprint is refused everywhere once two
- * servers were lost to it. See docs/design/poison.md.
+ * Detects and bans requests that crash the backend servers running them. A
+ * request whose fingerprint isn't known to be safe runs on one server first
+ * (canary), and all instances choose the same one. A fingerprint that has
+ * crashed a server is a suspect and runs on one server at a time (probation).
+ * After crashes of two servers it is banned on all instances. See
+ * docs/design/poison.md.
  */
 #ifndef POISON_H
 #define POISON_H
@@ -14,62 +16,74 @@
 #include "str.h"
 
 struct poison_entry;
-struct poison_good;
+struct poison_safe_entry;
 struct poison_server;
 
-/* Servers lost to a fingerprint before it is banned. */
-#define POISON_CRASHES 2
-/* Servers lost to one fingerprint that are remembered. */
+/* Crashes of servers after which a fingerprint is banned. */
+#define POISON_BAN_AFTER_CRASHES 2
+/* Crashed servers stored for each fingerprint. */
 #define POISON_SERVERS_MAX 4
-/* A kind of request that is not a mode of searches. */
+/* Kind of POST /v1/run requests, distinct from all modes of searches. */
 #define POISON_KIND_RUN 100
-/* Most entries told to a peer at once. */
-#define POISON_PUSH_MAX 256
-/* Time for the reports of a crash to reach all instances. */
-#define POISON_SETTLE MSEC(200)
+/* Maximum number of entries sent to a newly connected peer. */
+#define POISON_EXPORT_MAX 256
+/* Time allowed for crash reports to reach all instances. */
+#define POISON_REPORT_WAIT MSEC(200)
 
 /**
  * enum poison_verdict - how a request may run
- * @POISON_FREE: it completed well lately
- * @POISON_CANARY: not known: on one server first
- * @POISON_PROBATION: suspect: on one server at a time
+ * @POISON_KNOWN_SAFE: without restriction: it completed recently
+ * @POISON_CANARY: on one server first: nothing is known about it
+ * @POISON_PROBATION: on one server at a time: it is a suspect
  * @POISON_BANNED: not at all
  */
 enum poison_verdict {
-	POISON_FREE,
+	POISON_KNOWN_SAFE,
 	POISON_CANARY,
 	POISON_PROBATION,
 	POISON_BANNED,
 };
 
 /**
- * struct poison_report - what instances tell each other of a fingerprint
- * @hash: of the request
- * @unwatched: a server was lost while it ran there among others
- * @was_safe: it had run well before each such loss, so that these do not count
- * @n_servers: lost while it ran there under watch
+ * struct poison_report - state of a fingerprint, exchanged between instances
+ * @hash: the fingerprint
+ * @unwatched_crash: a server crashed while the request ran there unwatched,
+ *	that is neither as a canary nor on probation
+ * @was_safe: the fingerprint was known to be safe before each unwatched crash,
+ *	so these don't count towards a ban
+ * @n_servers: number of servers that crashed while running it watched
  * @servers: hashes of their names
- * @replica_set: hash of that of the last one lost
- * @banned: refused everywhere
- * @left: until it expires, microseconds
+ * @replica_set: hash of the replica set of the server that crashed last
+ * @banned: refused on all instances
+ * @remaining: time until it expires, microseconds
  *
- * One with neither @unwatched nor @n_servers nor @banned says that the
- * fingerprint was cleared.
+ * A report with @unwatched_crash, @n_servers and @banned all unset says that
+ * the fingerprint was cleared.
  */
 struct poison_report {
 	uint64_t hash;
-	bool unwatched;
+	bool unwatched_crash;
 	bool was_safe;
 	int n_servers;
 	uint64_t servers[POISON_SERVERS_MAX];
 	uint64_t replica_set;
 	bool banned;
-	int64_t left;
+	int64_t remaining;
 };
 
 /**
- * struct poison_run - a request that runs on a server; owned by the home until
- * poison_end() or until its server was lost
+ * struct poison_run - a request running on a server
+ * @hash: its fingerprint
+ * @replica_set: hash of the name of the server's replica set
+ * @watched: sent as a canary or on probation
+ * @suspect: the fingerprint was a suspect at the start
+ * @safe: the fingerprint was known to be safe at the start
+ * @started: time of the start, microseconds
+ * @server: where it runs; NULL once the server is lost
+ * @prev: previous run on @server
+ * @next: next run on @server
+ *
+ * Owned by the home, linked until poison_end() or poison_server_lost().
  */
 struct poison_run {
 	uint64_t hash;
@@ -84,58 +98,77 @@
 };
 
 /**
- * struct poison_tunables - from the table
- * @max: entries, and a fourth of the fingerprints known to be safe
- * @suspect: how long a suspect is remembered, microseconds
- * @ban: how long a ban lasts, microseconds
+ * struct poison_tunables - settings from the table
+ * @max_entries: maximum number of suspects and bans; four times as many
+ *	fingerprints known to be safe are stored
+ * @suspect_ttl: how long a suspect or safe fingerprint is stored, microseconds
+ * @ban_ttl: how long a ban lasts, microseconds
  */
 struct poison_tunables {
-	int64_t max;
-	int64_t suspect;
-	int64_t ban;
+	int64_t max_entries;
+	int64_t suspect_ttl;
+	int64_t ban_ttl;
 };
 
 /**
- * struct poison - what one instance knows
- * @entries: suspects and banned, by hash, oldest first
- * @goods: known to be safe, by hash, oldest first
- * @servers: those with requests running, by hash of the name
- * @ban_after: servers lost to a fingerprint before it is banned; set by the
- *	owner, POISON_CRASHES unless told otherwise, POISON_SERVERS_MAX at most
- * @tolerant: set by the owner where requests cannot be tried on one server
- *	first: suspects run as all others, and each server that is lost counts
- *	against all that ran there
- * @changed: an entry changed here and peers should know; may be NULL
- * @n_banned: bans made here, not learned, since the start
+ * struct poison - what one instance knows about fingerprints
+ * @clock: borrowed
+ * @tunables: see poison_set_tunables()
+ * @entries: suspects and bans, by hash, oldest first
+ * @safe_entries: fingerprints known to be safe, by hash, oldest first
+ * @servers: servers with running requests, by hash of the name
+ * @ban_after: number of crashes that lead to a ban; set by the owner, at most
+ *	POISON_SERVERS_MAX, default POISON_BAN_AFTER_CRASHES
+ * @no_canaries: set by the owner where requests can't be tried on one server
+ *	first: suspects run without restriction, and each crash counts against
+ *	all requests running on that server
+ * @changed: called when an entry changed here and peers should be informed;
+ *	may be NULL
+ * @ctx: argument of @changed
+ * @n_banned: bans decided here, not received from peers, since the start
  */
 struct poison {
 	const struct clock *clock;
 	struct poison_tunables tunables;
 	struct poison_entry *entries;
-	struct poison_good *goods;
+	struct poison_safe_entry *safe_entries;
 	struct poison_server *servers;
 	int ban_after;
-	bool tolerant;
+	bool no_canaries;
 	void (*changed)(void *ctx, const struct poison_report *report);
 	void *ctx;
 	uint64_t n_banned;
 };
 
+/**
+ * poison_init() - initialise the state of an instance, without tunables
+ * @poison: owned by the caller
+ * @clock: borrowed
+ * @changed: see struct poison; may be NULL
+ * @ctx: argument of @changed
+ */
 void poison_init(struct poison *poison, const struct clock *clock,
 		 void (*changed)(void *ctx, const struct poison_report *report),
 		 void *ctx);
 
 /**
- * poison_finish() - free everything; nothing may run
+ * poison_finish() - free all entries; no request may be running
+ * @poison: state of this instance
  */
 void poison_finish(struct poison *poison);
+
+/**
+ * poison_set_tunables() - replace the settings
+ * @poison: state of this instance
+ * @tunables: copied
+ */
 void poison_set_tunables(struct poison *poison,
 			 const struct poison_tunables *tunables);
 
 /**
- * poison_fingerprint() - of what may crash a server
- * @service: name
- * @what: the where or the payload
+ * poison_fingerprint() - hash the parts of a request that may crash a server
+ * @service: name of the service
+ * @what: the search's "where" clause or the payload
  * @kind: the mode of a search, or another constant
  *
  * Return: a hash, never 0.
@@ -143,18 +176,22 @@
 uint64_t poison_fingerprint(struct str service, struct str what, uint64_t kind);
 
 /**
- * poison_check() - how a request may run, asked by the entry
- * @retry_after_ms: set with POISON_BANNED: when the ban ends
+ * poison_check() - decide how a request may run, called by the entry instance
+ * @poison: state of this instance
+ * @hash: fingerprint of the request
+ * @retry_after_ms: set for POISON_BANNED only: time until the ban ends
+ *
+ * Return: the decision.
  */
 enum poison_verdict poison_check(struct poison *poison, uint64_t hash,
 				 uint32_t *retry_after_ms);
 
 /**
- * struct poison_candidate - a server that a request could run on first
- * @server: name
- * @replica_set: of it
- * @reachable: as far as this entry knows
- * @changed: when @reachable last changed, microseconds
+ * struct poison_candidate - a server that a watched request could run on
+ * @server: its name
+ * @replica_set: name of its replica set
+ * @reachable: whether this entry instance can reach it
+ * @changed: time of the last change of @reachable, microseconds
  */
 struct poison_candidate {
 	struct str server;
@@ -164,41 +201,58 @@
 };
 
 /**
- * poison_pick() - which server a request not known to be safe runs on
+ * poison_pick() - choose the server for a request not known to be safe
+ * @poison: state of this instance
+ * @hash: fingerprint of the request
+ * @candidates: servers to choose from
+ * @n: number of @candidates
  *
- * All instances take the same one, so that however many callers send such a
- * request at once, one server runs it first. For a suspect that is one with
- * the same records as the server lost, and none lost before while there is
- * another.
+ * All instances choose the same server, so that one server runs the request
+ * first even if many callers send it at the same time. For a suspect, servers
+ * of the replica set that crashed last are preferred, as they hold the same
+ * records; servers that it has crashed before are used last.
  *
- * Return: index of the candidate; ERR_NO_REPLICA if none is reachable; or
- * ERR_NO_SLOT for a suspect whose server broke just now, maybe from it: the
- * reports of that are awaited.
+ * Return: index of the candidate; ERR_NO_REPLICA if none is reachable;
+ * ERR_NO_SLOT for a suspect whose preferred server became unreachable less
+ * than POISON_REPORT_WAIT ago: the suspect may be the cause, and the crash
+ * reports may still be on their way.
  */
 int poison_pick(const struct poison *poison, uint64_t hash,
 		const struct poison_candidate *candidates, int n);
 
 /**
- * poison_home_rank() - which of that server's homes: that of the lowest rank
+ * poison_home_rank() - rank a home of the chosen server
+ * @hash: fingerprint of the request
+ * @home: name of the home's instance
+ *
+ * Return: the rank; the request goes to the home with the lowest.
  */
 uint64_t poison_home_rank(uint64_t hash, struct str home);
 
 /**
- * poison_begin() - a home is about to send a request to a server
- * @run: owned by the caller
- * @watched: the entry sent it as a canary or on probation
+ * poison_begin() - register a request that a home is about to send to a server
+ * @poison: state of this instance
+ * @run: owned by the caller; must stay valid until poison_end() or until the
+ *	server is lost
+ * @hash: fingerprint of the request
+ * @server: name of the server
+ * @replica_set: name of its replica set
+ * @watched: the entry instance sent it as a canary or on probation
  *
- * Return: 0, or with nothing sent and @run left alone
- * ERR_BANNED;
- * ERR_SHED: suspect here, but the entry did not know;
- * ERR_NO_SLOT: suspect, and a suspect runs there or this one elsewhere.
+ * Return: 0; on error the request must not be sent, and @run is unchanged:
+ * ERR_BANNED: the fingerprint is banned;
+ * ERR_SHED: a suspect here, but the entry instance sent it unwatched;
+ * ERR_NO_SLOT: a suspect, and either another suspect runs on this server or
+ * the same request runs on any server.
  */
 int poison_begin(struct poison *poison, struct poison_run *run, uint64_t hash,
 		 struct str server, struct str replica_set, bool watched);
 
 /**
- * poison_end() - the request ended, and its server lives
- * @well: it was answered; not cancelled, refused or given up
+ * poison_end() - a request ended without a crash of its server
+ * @poison: state of this instance
+ * @run: the request
+ * @well: it was answered, rather than cancelled, refused or abandoned
  *
  * Does nothing for a run whose server was lost.
  */
@@ -206,41 +260,57 @@
 
 /**
  * poison_server_lost() - all connections to a server broke at once
+ * @poison: state of this instance
+ * @server: name of the server
  *
- * Its runs have ended; some fingerprints of them are blamed.
+ * Ends the requests that ran there and makes some of their fingerprints
+ * suspects or bans them.
  */
 void poison_server_lost(struct poison *poison, struct str server);
 
 /**
- * poison_well() - an entry saw the whole request answered
+ * poison_mark_safe() - the entry instance received a complete answer
+ * @poison: state of this instance
+ * @hash: fingerprint of the request
+ *
+ * Does nothing for a suspect or banned fingerprint.
  */
-void poison_well(struct poison *poison, uint64_t hash);
+void poison_mark_safe(struct poison *poison, uint64_t hash);
 
 /**
- * poison_cleared() - an entry saw what it sent under watch answered
+ * poison_mark_cleared() - the entry instance got the answer to a watched run
+ * @poison: state of this instance
+ * @hash: fingerprint of the request
  *
- * The home has judged it and told everybody; this only spares the wait.
+ * The home decides whether that clears the fingerprint and reports it to all
+ * instances. Marking it safe here only avoids waiting for that report.
  */
-void poison_cleared(struct poison *poison, uint64_t hash);
+void poison_mark_cleared(struct poison *poison, uint64_t hash);
 
 /**
- * poison_learn() - a peer's report
+ * poison_apply_report() - merge a report received from a peer
+ * @poison: state of this instance
+ * @report: copied
  *
  * Return: whether anything changed.
  */
-bool poison_learn(struct poison *poison, const struct poison_report *report);
+bool poison_apply_report(struct poison *poison,
+			 const struct poison_report *report);
 
 /**
- * poison_export() - the newest entries, for a peer that just connected
- * @reports: room for @max
+ * poison_export() - report the newest entries, for a newly connected peer
+ * @poison: state of this instance
+ * @reports: array of @max reports, filled in
+ * @max: maximum number of reports
  *
- * Return: how many were filled.
+ * Return: number of reports filled in.
  */
 int poison_export(struct poison *poison, struct poison_report *reports,
 		  int max);
 
 /**
- * poison_expire() - forget what is over
+ * poison_expire() - remove expired entries
+ * @poison: state of this instance
  */
 void poison_expire(struct poison *poison);
 
--- a/poison_net.c
+++ b/poison_net.c
@@ -11,10 +11,12 @@
 {
 	peer__fingerprint__init(out);
 	out->hash = report->hash;
-	out->crashes =
-		(uint32_t)(report->n_servers + (report->unwatched ? 1 : 0));
+	out->crashes = (uint32_t)(report->n_servers +
+				  (report->unwatched_crash ? 1 : 0));
 	out->expires_ms =
-		report->left > 0 ? (uint32_t)(report->left / USEC_PER_MSEC) : 0;
+		report->remaining > 0
+			? (uint32_t)(report->remaining / USEC_PER_MSEC)
+			: 0;
 	out->banned = report->banned;
 	out->was_safe = report->was_safe;
 	out->n_servers = (size_t)report->n_servers;
@@ -26,8 +28,8 @@
 			 const struct poison_report *reports, int n)
 {
 	Peer__Fingerprints message = PEER__FINGERPRINTS__INIT;
-	Peer__Fingerprint entries[POISON_PUSH_MAX];
-	Peer__Fingerprint *pointers[POISON_PUSH_MAX];
+	Peer__Fingerprint entries[POISON_EXPORT_MAX];
+	Peer__Fingerprint *pointers[POISON_EXPORT_MAX];
 	int i;
 
 	for (i = 0; i < n; i++) {
@@ -40,8 +42,9 @@
 }
 
 /*
- * On the links that others opened: queries come and their results go on these,
- * so that an entry hears of a crash before it hears of the part lost to it.
+ * Reports go out on the links that peers opened. Queries arrive and results
+ * leave on the same links, so an entry instance receives the report of a crash
+ * before the failure of the query part that it caused.
  */
 static void on_changed(void *ctx, const struct poison_report *report)
 {
@@ -59,41 +62,44 @@
 
 static void on_up(void *arg, struct peer_link *link)
 {
-	struct poison_report reports[POISON_PUSH_MAX];
+	struct poison_report reports[POISON_EXPORT_MAX];
 	struct poison_net *net = arg;
 	int n;
 
 	if (link->outgoing && !net->flood)
 		return;
-	n = poison_export(&net->board->poison, reports, POISON_PUSH_MAX);
+	n = poison_export(&net->board->poison, reports, POISON_EXPORT_MAX);
 	if (n)
 		send_reports(link, reports, n);
 }
 
-/* Return: whether it was news here. */
-static bool learn(struct poison_net *net, const Peer__Fingerprint *entry)
+/* Return: whether it changed anything here. */
+static bool apply_entry(struct poison_net *net, const Peer__Fingerprint *entry)
 {
 	struct poison_report report = {
 		.hash = entry->hash,
-		.unwatched = entry->crashes > entry->n_servers,
+		.unwatched_crash = entry->crashes > entry->n_servers,
 		.was_safe = entry->was_safe,
 		.n_servers = entry->n_servers < POISON_SERVERS_MAX
 				     ? (int)entry->n_servers
 				     : POISON_SERVERS_MAX,
 		.replica_set = entry->replica_set,
 		.banned = entry->banned,
-		.left = MSEC(entry->expires_ms),
+		.remaining = MSEC(entry->expires_ms),
 	};
 
 	if (report.n_servers)
 		memcpy(report.servers, entry->servers,
 		       (size_t)report.n_servers * sizeof(*report.servers));
-	return poison_learn(&net->board->poison, &report);
+	return poison_apply_report(&net->board->poison, &report);
 }
 
-/* Ends by itself: what comes back is no news. */
-static void pass_on(struct poison_net *net, const struct peer_link *from,
-		    const Peer__Fingerprint *entry)
+/*
+ * Flooding ends by itself: a report that comes back changes nothing and isn't
+ * forwarded again.
+ */
+static void forward_entry(struct poison_net *net, const struct peer_link *from,
+			  const Peer__Fingerprint *entry)
 {
 	Peer__Fingerprints message = PEER__FINGERPRINTS__INIT;
 	Peer__Fingerprint *pointers[] = {(Peer__Fingerprint *)entry};
@@ -117,8 +123,8 @@
 	if (!link->outgoing && !net->flood)
 		return;
 	for (i = 0; i < message->n_entries; i++) {
-		if (learn(net, message->entries[i]) && net->flood)
-			pass_on(net, link, message->entries[i]);
+		if (apply_entry(net, message->entries[i]) && net->flood)
+			forward_entry(net, link, message->entries[i]);
 	}
 }
 
@@ -127,9 +133,9 @@
 	struct poison_net *net = arg;
 	const struct tunables *tunables = blackboard_tunables(net->board);
 	struct poison_tunables values = {
-		.max = tunables->poison_max,
-		.suspect = MSEC(tunables->poison_suspect_ms),
-		.ban = MSEC(tunables->poison_ban_ms),
+		.max_entries = tunables->poison_max,
+		.suspect_ttl = MSEC(tunables->poison_suspect_ms),
+		.ban_ttl = MSEC(tunables->poison_ban_ms),
 	};
 
 	poison_set_tunables(&net->board->poison, &values);
@@ -153,7 +159,7 @@
 			 net);
 }
 
-void poison_net_beat(struct poison_net *net)
+void poison_net_tick(struct poison_net *net)
 {
 	poison_expire(&net->board->poison);
 }
--- a/poison_net.h
+++ b/poison_net.h
@@ -1,6 +1,6 @@
 /*
- * Tells the other instances of requests that crash servers, and hears of those
- * they know.
+ * Exchanges the fingerprints of requests that crash servers with the other
+ * instances.
  */
 #ifndef POISON_NET_H
 #define POISON_NET_H
@@ -9,9 +9,13 @@
 #include "peer.h"
 
 /**
- * struct poison_net - the state of one instance
- * @flood: set by the owner where instances are not all connected to each other:
- *	what is news here goes on to all that are
+ * struct poison_net - exchange of fingerprint reports
+ * @board: state of this instance, borrowed
+ * @peers: connections to other instances, borrowed
+ * @flood: set by the owner where not all instances are connected to each other:
+ *	reports with new information are forwarded to all connected peers
+ * @handler: handler of fingerprint frames
+ * @table_watch: watch for changes of the tunables
  */
 struct poison_net {
 	struct blackboard *board;
@@ -21,12 +25,19 @@
 	struct blackboard_watch table_watch;
 };
 
+/**
+ * poison_net_init() - start exchanging reports
+ * @net: owned by the caller
+ * @board: whose poison state is exchanged; borrowed
+ * @peers: connections to other instances; borrowed
+ */
 void poison_net_init(struct poison_net *net, struct blackboard *board,
 		     struct peers *peers);
 
 /**
- * poison_net_beat() - let time pass
+ * poison_net_tick() - remove expired entries
+ * @net: the exchange
  */
-void poison_net_beat(struct poison_net *net);
+void poison_net_tick(struct poison_net *net);
 
 #endif
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -10,14 +10,14 @@
 #include "poison.h"
 #include "unit.h"
 
-#define F 101
-#define G 202
-#define SET STR("r1")
+#define HASH_A 101
+#define HASH_B 202
+#define REPLICA_SET STR("r1")
 
 static const struct poison_tunables tunables = {
-	.max = 64,
-	.suspect = MSEC(60000),
-	.ban = MSEC(600000),
+	.max_entries = 64,
+	.suspect_ttl = MSEC(60000),
+	.ban_ttl = MSEC(600000),
 };
 
 struct fixture {
@@ -54,18 +54,18 @@
 		 const char *server, bool watched)
 {
 	clock_advance(&f->clock, 1);
-	return poison_begin(&f->poison, run, hash, str_from(server), SET,
-			    watched);
+	return poison_begin(&f->poison, run, hash, str_from(server),
+			    REPLICA_SET, watched);
 }
 
-static void lose(struct fixture *f, const char *server)
+static void lose_server(struct fixture *f, const char *server)
 {
 	poison_server_lost(&f->poison, str_from(server));
 }
 
 /*
- * A search crashes the server that runs it; its caller sends it again, and it
- * takes the next one. Then it is refused, until the ban ends.
+ * A search that crashes every server it runs on is resent by its caller. It is
+ * banned after the second crash, until the ban expires.
  */
 static void test_two_crashes(void)
 {
@@ -74,26 +74,27 @@
 	struct fixture f;
 
 	setup(&f);
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_CANARY);
-	CU_ASSERT_EQUAL(begin(&f, &run, F, "b1", true), 0);
-	lose(&f, "b1");
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_CANARY);
+	CU_ASSERT_EQUAL(begin(&f, &run, HASH_A, "b1", true), 0);
+	lose_server(&f, "b1");
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_PROBATION);
 	CU_ASSERT_FALSE(f.last.banned);
-	CU_ASSERT_EQUAL(begin(&f, &run, F, "b2", true), 0);
-	lose(&f, "b2");
-	CU_ASSERT_EQUAL(poison_check(&f.poison, F, &retry), POISON_BANNED);
+	CU_ASSERT_EQUAL(begin(&f, &run, HASH_A, "b2", true), 0);
+	lose_server(&f, "b2");
+	CU_ASSERT_EQUAL(poison_check(&f.poison, HASH_A, &retry), POISON_BANNED);
 	CU_ASSERT_EQUAL(retry, 600001);
 	CU_ASSERT(f.last.banned);
-	CU_ASSERT_EQUAL(begin(&f, &run, F, "b3", true), ERR_BANNED);
+	CU_ASSERT_EQUAL(begin(&f, &run, HASH_A, "b3", true), ERR_BANNED);
 	CU_ASSERT_EQUAL(f.poison.n_banned, 1);
 	clock_advance(&f.clock, MSEC(600000));
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_CANARY);
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_CANARY);
 	poison_finish(&f.poison);
 }
 
 /*
- * A server dies of its own while a popular search runs there. The search is
- * suspect, runs well elsewhere on its own, and is as free as before.
+ * A server crashes for another reason while a popular search runs there. The
+ * search becomes a suspect, completes on another server on probation, and is
+ * known to be safe again.
  */
 static void test_cleared(void)
 {
@@ -102,26 +103,26 @@
 	struct fixture f;
 
 	setup(&f);
-	poison_well(&f.poison, F);
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_FREE);
-	begin(&f, &old, F, "b3", false);
-	begin(&f, &run, F, "b1", false);
-	lose(&f, "b1");
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
-	/* One that began before the crash proves nothing. */
+	poison_mark_safe(&f.poison, HASH_A);
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_KNOWN_SAFE);
+	begin(&f, &old, HASH_A, "b3", false);
+	begin(&f, &run, HASH_A, "b1", false);
+	lose_server(&f, "b1");
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_PROBATION);
+	/* A run that began before the crash doesn't clear the search. */
 	poison_end(&f.poison, &old, true);
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
-	CU_ASSERT_EQUAL(begin(&f, &run, F, "b2", true), 0);
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_PROBATION);
+	CU_ASSERT_EQUAL(begin(&f, &run, HASH_A, "b2", true), 0);
 	poison_end(&f.poison, &run, true);
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_FREE);
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_KNOWN_SAFE);
 	CU_ASSERT_EQUAL(f.reports, 2);
-	CU_ASSERT_FALSE(f.last.unwatched);
+	CU_ASSERT_FALSE(f.last.unwatched_crash);
 	poison_finish(&f.poison);
 }
 
 /*
- * A search not known to be safe crashes a server where popular ones run too.
- * Those are not blamed.
+ * A canary crashes a server where a search known to be safe runs too. The safe
+ * search must not become a suspect.
  */
 static void test_innocent_not_blamed(void)
 {
@@ -130,19 +131,19 @@
 	struct fixture f;
 
 	setup(&f);
-	poison_well(&f.poison, G);
-	begin(&f, &good, G, "b1", false);
-	begin(&f, &bad, F, "b1", true);
-	lose(&f, "b1");
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
-	CU_ASSERT_EQUAL(verdict(&f, G), POISON_FREE);
+	poison_mark_safe(&f.poison, HASH_B);
+	begin(&f, &good, HASH_B, "b1", false);
+	begin(&f, &bad, HASH_A, "b1", true);
+	lose_server(&f, "b1");
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_PROBATION);
+	CU_ASSERT_EQUAL(verdict(&f, HASH_B), POISON_KNOWN_SAFE);
 	poison_end(&f.poison, &good, true);
 	poison_finish(&f.poison);
 }
 
 /*
- * A rack goes down, and two servers with it that both ran a popular search. It
- * must not be banned for that.
+ * A rack fails with two servers that both ran a popular search. The search must
+ * not be banned for that.
  */
 static void test_rack(void)
 {
@@ -150,16 +151,16 @@
 	struct fixture f;
 
 	setup(&f);
-	poison_well(&f.poison, F);
-	begin(&f, &runs[0], F, "b1", false);
-	begin(&f, &runs[1], F, "b2", false);
-	lose(&f, "b1");
-	lose(&f, "b2");
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
+	poison_mark_safe(&f.poison, HASH_A);
+	begin(&f, &runs[0], HASH_A, "b1", false);
+	begin(&f, &runs[1], HASH_A, "b2", false);
+	lose_server(&f, "b1");
+	lose_server(&f, "b2");
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_PROBATION);
 	poison_finish(&f.poison);
 }
 
-/* One crash seen by both homes of the server counts once. */
+/* One crash that both homes of the server detect counts once. */
 static void test_seen_twice(void)
 {
 	struct poison_report report;
@@ -169,24 +170,24 @@
 
 	setup(&a);
 	setup(&b);
-	begin(&a, &run, F, "b1", true);
-	lose(&a, "b1");
-	begin(&b, &run, F, "b1", true);
-	lose(&b, "b1");
+	begin(&a, &run, HASH_A, "b1", true);
+	lose_server(&a, "b1");
+	begin(&b, &run, HASH_A, "b1", true);
+	lose_server(&b, "b1");
 	report = a.last;
-	CU_ASSERT_FALSE(poison_learn(&b.poison, &report));
-	CU_ASSERT_EQUAL(verdict(&b, F), POISON_PROBATION);
-	begin(&a, &run, F, "b2", true);
-	lose(&a, "b2");
-	CU_ASSERT(poison_learn(&b.poison, &a.last));
-	CU_ASSERT_EQUAL(verdict(&b, F), POISON_BANNED);
+	CU_ASSERT_FALSE(poison_apply_report(&b.poison, &report));
+	CU_ASSERT_EQUAL(verdict(&b, HASH_A), POISON_PROBATION);
+	begin(&a, &run, HASH_A, "b2", true);
+	lose_server(&a, "b2");
+	CU_ASSERT(poison_apply_report(&b.poison, &a.last));
+	CU_ASSERT_EQUAL(verdict(&b, HASH_A), POISON_BANNED);
 	poison_finish(&a.poison);
 	poison_finish(&b.poison);
 }
 
 /*
- * Two homes each lose a server to the same search before either heard of the
- * other. Together that is two: it is banned at once.
+ * Two homes each see the same search crash a server before either has received
+ * the other's report. The merged report has two crashes and bans the search.
  */
 static void test_learned_together(void)
 {
@@ -196,98 +197,100 @@
 
 	setup(&a);
 	setup(&b);
-	begin(&a, &run, F, "b1", true);
-	lose(&a, "b1");
-	begin(&b, &run, F, "b2", true);
-	lose(&b, "b2");
-	CU_ASSERT(poison_learn(&b.poison, &a.last));
-	CU_ASSERT_EQUAL(verdict(&b, F), POISON_BANNED);
+	begin(&a, &run, HASH_A, "b1", true);
+	lose_server(&a, "b1");
+	begin(&b, &run, HASH_A, "b2", true);
+	lose_server(&b, "b2");
+	CU_ASSERT(poison_apply_report(&b.poison, &a.last));
+	CU_ASSERT_EQUAL(verdict(&b, HASH_A), POISON_BANNED);
 	poison_finish(&a.poison);
 	poison_finish(&b.poison);
 }
 
-/* The only server of a service comes back and is lost to it again. */
+/* The only server of a service restarts and is crashed a second time. */
 static void test_same_server(void)
 {
 	struct poison_run run;
 	struct fixture f;
 
 	setup(&f);
-	begin(&f, &run, F, "b1", true);
-	lose(&f, "b1");
-	begin(&f, &run, F, "b1", true);
-	lose(&f, "b1");
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_BANNED);
+	begin(&f, &run, HASH_A, "b1", true);
+	lose_server(&f, "b1");
+	begin(&f, &run, HASH_A, "b1", true);
+	lose_server(&f, "b1");
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_BANNED);
 	poison_finish(&f.poison);
 }
 
-/* Suspects run one at a time on a server, and each on one server. */
+/* A server runs one suspect at a time, and a suspect runs on one server. */
 static void test_one_at_a_time(void)
 {
 	struct poison_run runs[3];
 	struct fixture f;
 
 	setup(&f);
-	begin(&f, &runs[0], F, "b1", true);
-	begin(&f, &runs[1], G, "b1", true);
-	lose(&f, "b1");
-	CU_ASSERT_EQUAL(begin(&f, &runs[0], F, "b2", false), ERR_SHED);
-	CU_ASSERT_EQUAL(begin(&f, &runs[0], F, "b2", true), 0);
-	CU_ASSERT_EQUAL(begin(&f, &runs[1], F, "b3", true), ERR_NO_SLOT);
-	CU_ASSERT_EQUAL(begin(&f, &runs[1], G, "b2", true), ERR_NO_SLOT);
-	CU_ASSERT_EQUAL(begin(&f, &runs[1], G, "b3", true), 0);
+	begin(&f, &runs[0], HASH_A, "b1", true);
+	begin(&f, &runs[1], HASH_B, "b1", true);
+	lose_server(&f, "b1");
+	CU_ASSERT_EQUAL(begin(&f, &runs[0], HASH_A, "b2", false), ERR_SHED);
+	CU_ASSERT_EQUAL(begin(&f, &runs[0], HASH_A, "b2", true), 0);
+	CU_ASSERT_EQUAL(begin(&f, &runs[1], HASH_A, "b3", true), ERR_NO_SLOT);
+	CU_ASSERT_EQUAL(begin(&f, &runs[1], HASH_B, "b2", true), ERR_NO_SLOT);
+	CU_ASSERT_EQUAL(begin(&f, &runs[1], HASH_B, "b3", true), 0);
 	poison_end(&f.poison, &runs[0], false);
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
-	CU_ASSERT_EQUAL(begin(&f, &runs[0], F, "b2", true), 0);
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_PROBATION);
+	CU_ASSERT_EQUAL(begin(&f, &runs[0], HASH_A, "b2", true), 0);
 	poison_end(&f.poison, &runs[0], true);
 	poison_end(&f.poison, &runs[1], true);
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_FREE);
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_KNOWN_SAFE);
 	poison_finish(&f.poison);
 }
 
 /*
- * What crashes on the records of one replica set runs well on another's. That
- * must not clear it, and its next run is where it can be told. While the server
- * for that run has only just broken, the reports are awaited.
+ * A search crashes on the records of one replica set and completes on another.
+ * That must not clear it, and its next run goes to the replica set where it
+ * crashed. While the server for that run has only just become unreachable, the
+ * run waits for crash reports.
  */
 static void test_replica_set(void)
 {
 	struct poison_candidate candidates[] = {
-		{STR("b1"), SET, true, MSEC(-1000)},
-		{STR("b2"), SET, true, MSEC(-1000)},
+		{STR("b1"), REPLICA_SET, true, MSEC(-1000)},
+		{STR("b2"), REPLICA_SET, true, MSEC(-1000)},
 		{STR("c1"), STR("r2"), true, MSEC(-1000)},
 	};
 	struct poison_run run;
 	struct fixture f;
 
 	setup(&f);
-	begin(&f, &run, F, "b1", true);
-	lose(&f, "b1");
-	CU_ASSERT_EQUAL(poison_begin(&f.poison, &run, F, STR("c1"), STR("r2"),
-				     true),
+	begin(&f, &run, HASH_A, "b1", true);
+	lose_server(&f, "b1");
+	CU_ASSERT_EQUAL(poison_begin(&f.poison, &run, HASH_A, STR("c1"),
+				     STR("r2"), true),
 			0);
 	poison_end(&f.poison, &run, true);
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
-	CU_ASSERT_EQUAL(poison_pick(&f.poison, F, candidates, 3), 1);
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_PROBATION);
+	CU_ASSERT_EQUAL(poison_pick(&f.poison, HASH_A, candidates, 3), 1);
 	candidates[1].reachable = false;
-	CU_ASSERT_EQUAL(poison_pick(&f.poison, F, candidates, 3), 2);
+	CU_ASSERT_EQUAL(poison_pick(&f.poison, HASH_A, candidates, 3), 2);
 	candidates[1].changed = clock_now(&f.clock);
-	CU_ASSERT_EQUAL(poison_pick(&f.poison, F, candidates, 3), ERR_NO_SLOT);
-	clock_advance(&f.clock, POISON_SETTLE);
-	CU_ASSERT_EQUAL(poison_pick(&f.poison, F, candidates, 3), 2);
+	CU_ASSERT_EQUAL(poison_pick(&f.poison, HASH_A, candidates, 3),
+			ERR_NO_SLOT);
+	clock_advance(&f.clock, POISON_REPORT_WAIT);
+	CU_ASSERT_EQUAL(poison_pick(&f.poison, HASH_A, candidates, 3), 2);
 	candidates[2].reachable = false;
-	CU_ASSERT_EQUAL(poison_pick(&f.poison, F, candidates, 3), 0);
+	CU_ASSERT_EQUAL(poison_pick(&f.poison, HASH_A, candidates, 3), 0);
 	candidates[0].reachable = false;
-	CU_ASSERT_EQUAL(poison_pick(&f.poison, F, candidates, 3),
+	CU_ASSERT_EQUAL(poison_pick(&f.poison, HASH_A, candidates, 3),
 			ERR_NO_REPLICA);
 	poison_finish(&f.poison);
 }
 
 /*
- * Servers are restarted one after the other while a popular search runs
- * everywhere. It ran among others on the first, and on its own on the second
- * when that went too. It had run well until then, so that two restarts alone
- * do not ban it, here or at a peer; only a second server lost on its own does.
+ * Servers are restarted one after the other while a popular search runs on all
+ * of them, unwatched on the first and watched on the second. As the search was
+ * known to be safe, the first restart doesn't count, and these two must not ban
+ * it, here or on a peer; a second crash of a watched run does.
  */
 static void test_restarts_in_a_row(void)
 {
@@ -297,29 +300,29 @@
 
 	setup(&f);
 	setup(&peer);
-	poison_well(&f.poison, F);
-	begin(&f, &run, F, "b1", false);
-	lose(&f, "b1");
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
-	CU_ASSERT(poison_learn(&peer.poison, &f.last));
-	CU_ASSERT_EQUAL(verdict(&peer, F), POISON_PROBATION);
-	begin(&f, &run, F, "b2", true);
-	lose(&f, "b2");
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
-	CU_ASSERT(poison_learn(&peer.poison, &f.last));
-	CU_ASSERT_EQUAL(verdict(&peer, F), POISON_PROBATION);
-	begin(&f, &run, F, "b3", true);
-	lose(&f, "b3");
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_BANNED);
-	CU_ASSERT(poison_learn(&peer.poison, &f.last));
-	CU_ASSERT_EQUAL(verdict(&peer, F), POISON_BANNED);
+	poison_mark_safe(&f.poison, HASH_A);
+	begin(&f, &run, HASH_A, "b1", false);
+	lose_server(&f, "b1");
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_PROBATION);
+	CU_ASSERT(poison_apply_report(&peer.poison, &f.last));
+	CU_ASSERT_EQUAL(verdict(&peer, HASH_A), POISON_PROBATION);
+	begin(&f, &run, HASH_A, "b2", true);
+	lose_server(&f, "b2");
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_PROBATION);
+	CU_ASSERT(poison_apply_report(&peer.poison, &f.last));
+	CU_ASSERT_EQUAL(verdict(&peer, HASH_A), POISON_PROBATION);
+	begin(&f, &run, HASH_A, "b3", true);
+	lose_server(&f, "b3");
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_BANNED);
+	CU_ASSERT(poison_apply_report(&peer.poison, &f.last));
+	CU_ASSERT_EQUAL(verdict(&peer, HASH_A), POISON_BANNED);
 	poison_finish(&f.poison);
 	poison_finish(&peer.poison);
 }
 
 /*
- * A search that was cleared by one home ran well, and the others know it: when
- * a server of theirs is restarted next, that does not count against it either.
+ * One home clears a search and reports it. The other home must treat it as
+ * known to be safe too: a restart of a server there must not count against it.
  */
 static void test_cleared_elsewhere(void)
 {
@@ -329,26 +332,26 @@
 
 	setup(&f);
 	setup(&home);
-	begin(&home, &run, F, "b1", false);
-	lose(&home, "b1");
-	poison_learn(&f.poison, &home.last);
-	begin(&home, &run, F, "b2", true);
+	begin(&home, &run, HASH_A, "b1", false);
+	lose_server(&home, "b1");
+	poison_apply_report(&f.poison, &home.last);
+	begin(&home, &run, HASH_A, "b2", true);
 	poison_end(&home.poison, &run, true);
-	CU_ASSERT(poison_learn(&f.poison, &home.last));
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_FREE);
-	begin(&f, &run, F, "b3", false);
-	lose(&f, "b3");
-	begin(&f, &run, F, "b4", true);
-	lose(&f, "b4");
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
+	CU_ASSERT(poison_apply_report(&f.poison, &home.last));
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_KNOWN_SAFE);
+	begin(&f, &run, HASH_A, "b3", false);
+	lose_server(&f, "b3");
+	begin(&f, &run, HASH_A, "b4", true);
+	lose_server(&f, "b4");
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_PROBATION);
 	poison_finish(&f.poison);
 	poison_finish(&home.poison);
 }
 
 /*
- * A search nobody knew crashes all that it was sent to, and two homes see one
- * each. One had seen it run well on other records, the other had not: the
- * crash counts, and one more bans it.
+ * Two homes each see an unwatched crash of the same search. It is known to be
+ * safe at only one of them, from a run on other records. The crash must count,
+ * so that one more bans the search.
  */
 static void test_safe_elsewhere_only(void)
 {
@@ -358,95 +361,96 @@
 
 	setup(&f);
 	setup(&home);
-	poison_well(&home.poison, F);
-	begin(&f, &run, F, "b1", false);
-	lose(&f, "b1");
-	begin(&home, &run, F, "b2", false);
-	lose(&home, "b2");
-	CU_ASSERT(poison_learn(&home.poison, &f.last));
-	poison_learn(&f.poison, &home.last);
-	begin(&home, &run, F, "b3", true);
-	lose(&home, "b3");
-	CU_ASSERT_EQUAL(verdict(&home, F), POISON_BANNED);
-	CU_ASSERT(poison_learn(&f.poison, &home.last));
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_BANNED);
+	poison_mark_safe(&home.poison, HASH_A);
+	begin(&f, &run, HASH_A, "b1", false);
+	lose_server(&f, "b1");
+	begin(&home, &run, HASH_A, "b2", false);
+	lose_server(&home, "b2");
+	CU_ASSERT(poison_apply_report(&home.poison, &f.last));
+	poison_apply_report(&f.poison, &home.last);
+	begin(&home, &run, HASH_A, "b3", true);
+	lose_server(&home, "b3");
+	CU_ASSERT_EQUAL(verdict(&home, HASH_A), POISON_BANNED);
+	CU_ASSERT(poison_apply_report(&f.poison, &home.last));
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_BANNED);
 	poison_finish(&f.poison);
 	poison_finish(&home.poison);
 }
 
-/* However many fingerprints are sent, memory is bounded, and bans stay. */
+/* Memory is bounded for any number of fingerprints, and bans aren't evicted. */
 static void test_bounds(void)
 {
 	struct poison_report report = {
 		.n_servers = 1,
 		.servers = {1},
-		.left = MSEC(1000),
+		.remaining = MSEC(1000),
 	};
-	struct poison_report all[POISON_PUSH_MAX];
+	struct poison_report all[POISON_EXPORT_MAX];
 	struct fixture f;
 	int i;
 
 	setup(&f);
 	report.hash = 5;
 	report.banned = true;
-	poison_learn(&f.poison, &report);
+	poison_apply_report(&f.poison, &report);
 	report.banned = false;
 	for (i = 0; i < 1000; i++) {
 		report.hash = 1000 + (uint64_t)i;
-		poison_learn(&f.poison, &report);
-		poison_well(&f.poison, 10000 + (uint64_t)i);
+		poison_apply_report(&f.poison, &report);
+		poison_mark_safe(&f.poison, 10000 + (uint64_t)i);
 	}
-	CU_ASSERT_EQUAL(poison_export(&f.poison, all, POISON_PUSH_MAX), 64);
+	CU_ASSERT_EQUAL(poison_export(&f.poison, all, POISON_EXPORT_MAX), 64);
 	CU_ASSERT_EQUAL(poison_export(&f.poison, all, 10), 10);
 	CU_ASSERT_EQUAL(all[9].hash, 1999);
 	CU_ASSERT_EQUAL(verdict(&f, 5), POISON_BANNED);
-	CU_ASSERT_EQUAL(verdict(&f, 10999), POISON_FREE);
+	CU_ASSERT_EQUAL(verdict(&f, 10999), POISON_KNOWN_SAFE);
 	CU_ASSERT_EQUAL(verdict(&f, 10000), POISON_CANARY);
 	clock_advance(&f.clock, MSEC(60000));
 	poison_expire(&f.poison);
-	CU_ASSERT_EQUAL(poison_export(&f.poison, all, POISON_PUSH_MAX), 0);
-	CU_ASSERT_PTR_NULL(f.poison.goods);
+	CU_ASSERT_EQUAL(poison_export(&f.poison, all, POISON_EXPORT_MAX), 0);
+	CU_ASSERT_PTR_NULL(f.poison.safe_entries);
 	poison_finish(&f.poison);
 }
 
-/* A ban learned late lasts as long as with the one who made it. */
+/* A ban received from a peer expires at the same time as on the peer. */
 static void test_learned_expiry(void)
 {
 	struct poison_report report = {
-		.hash = F,
+		.hash = HASH_A,
 		.banned = true,
-		.left = MSEC(50),
+		.remaining = MSEC(50),
 	};
 	struct fixture f;
 
 	setup(&f);
-	CU_ASSERT(poison_learn(&f.poison, &report));
-	CU_ASSERT_FALSE(poison_learn(&f.poison, &report));
+	CU_ASSERT(poison_apply_report(&f.poison, &report));
+	CU_ASSERT_FALSE(poison_apply_report(&f.poison, &report));
 	clock_advance(&f.clock, MSEC(50));
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_CANARY);
-	report.left = 0;
-	CU_ASSERT_FALSE(poison_learn(&f.poison, &report));
+	CU_ASSERT_EQUAL(verdict(&f, HASH_A), POISON_CANARY);
+	report.remaining = 0;
+	CU_ASSERT_FALSE(poison_apply_report(&f.poison, &report));
 	poison_finish(&f.poison);
 }
 
 /*
- * A model: instances that are entries and homes, servers with two homes each,
- * searches that ask every server, reports that take a while. Steps of 1 ms.
+ * Simulation in steps of 1 ms: instances that are both entries and homes,
+ * servers with two homes each, searches that query every server, and reports
+ * with a delay.
  */
 #define NODES 8
 #define SERVERS 8
 #define HOMES 2
 #define POPULAR 100
-#define RING 4096
+#define RING_SLOTS 4096
 #define DOWN_MS 1000
 #define NAME_SIZE 8
 
-enum act_kind {
-	ACT_PART,   /* a part reaches a home */
-	ACT_DONE,   /* a server answered */
-	ACT_BROKEN, /* a home sees all connections of a server break */
-	ACT_REPORT,
-	ACT_RETRY,
+enum event_kind {
+	EVENT_PART,   /* a part of a query arrives at a home */
+	EVENT_DONE,   /* a server answers */
+	EVENT_BROKEN, /* a home loses all connections to a server */
+	EVENT_REPORT,
+	EVENT_RETRY,
 };
 
 struct query {
@@ -458,15 +462,15 @@
 	bool poison;
 };
 
-struct act {
-	enum act_kind kind;
+struct event {
+	enum event_kind kind;
 	struct query *query;
 	struct poison_run run;
 	int node;
 	int server;
 	bool watched;
 	struct poison_report report;
-	struct act *next;
+	struct event *next;
 };
 
 struct model_node {
@@ -487,7 +491,7 @@
 	bool plain;
 	struct model_node nodes[NODES];
 	struct model_server servers[SERVERS];
-	struct act *ring[RING];
+	struct event *ring[RING_SLOTS];
 	int64_t now;
 	int crashes;
 	int crashes_by_poison;
@@ -513,24 +517,24 @@
 	return next_random() % (uint64_t)one_in == 0;
 }
 
-static void later(struct model *model, struct act *act, int ms)
+static void schedule(struct model *model, struct event *event, int ms)
 {
-	struct act **slot = &model->ring[(model->now + ms) % RING];
+	struct event **slot = &model->ring[(model->now + ms) % RING_SLOTS];
 
-	act->next = *slot;
-	*slot = act;
+	event->next = *slot;
+	*slot = event;
 }
 
-static struct act *new_act(enum act_kind kind, int node)
+static struct event *new_event(enum event_kind kind, int node)
 {
-	struct act *act = mem_zalloc(sizeof(*act));
+	struct event *event = mem_zalloc(sizeof(*event));
 
-	act->kind = kind;
-	act->node = node;
-	return act;
+	event->kind = kind;
+	event->node = node;
+	return event;
 }
 
-static int some_ms(int lo, int hi)
+static int random_ms(int lo, int hi)
 {
 	return lo + (int)(next_random() % (uint64_t)(hi - lo + 1));
 }
@@ -541,13 +545,13 @@
 	int i;
 
 	for (i = 0; i < NODES; i++) {
-		struct act *act;
+		struct event *event;
 
 		if (i == node->index)
 			continue;
-		act = new_act(ACT_REPORT, i);
-		act->report = *report;
-		later(node->model, act, some_ms(1, 3));
+		event = new_event(EVENT_REPORT, i);
+		event->report = *report;
+		schedule(node->model, event, random_ms(1, 3));
 	}
 }
 
@@ -570,14 +574,15 @@
 static void send_part(struct model *model, struct query *query, int server,
 		      bool watched)
 {
-	struct act *act =
-		new_act(ACT_PART, home_of(model, server, query->hash, watched));
+	struct event *event =
+		new_event(EVENT_PART,
+			  home_of(model, server, query->hash, watched));
 
-	act->query = query;
-	act->server = server;
-	act->watched = watched;
+	event->query = query;
+	event->server = server;
+	event->watched = watched;
 	query->open++;
-	later(model, act, some_ms(1, 2));
+	schedule(model, event, random_ms(1, 2));
 }
 
 static bool is_up(const struct model *model, int server)
@@ -619,7 +624,8 @@
 {
 	if (answered) {
 		model->answered++;
-		poison_well(&model->nodes[query->node].poison, query->hash);
+		poison_mark_safe(&model->nodes[query->node].poison,
+				 query->hash);
 	} else {
 		model->refused++;
 	}
@@ -629,14 +635,14 @@
 static void start_query(struct model *model, struct query *query)
 {
 	uint32_t retry;
-	enum poison_verdict how =
+	enum poison_verdict decision =
 		poison_check(&model->nodes[query->node].poison, query->hash,
 			     &retry);
 	int server;
 
-	if (model->plain || how == POISON_FREE) {
+	if (model->plain || decision == POISON_KNOWN_SAFE) {
 		send_all(model, query, -1);
-	} else if (how != POISON_BANNED) {
+	} else if (decision != POISON_BANNED) {
 		server = pick_server(model, query);
 		query->watched = true;
 		if (server >= 0)
@@ -646,7 +652,8 @@
 		end_query(model, query, false);
 }
 
-static void offer(struct model *model, uint64_t hash, int node, bool poison)
+static void send_query(struct model *model, uint64_t hash, int node,
+		       bool poison)
 {
 	struct query *query = mem_zalloc(sizeof(*query));
 
@@ -657,19 +664,19 @@
 	start_query(model, query);
 }
 
-/* A part ended; a canary or a run on probation opens the way for the rest. */
+/* Ends a part; after a watched run the query is sent to all other servers. */
 static void end_part(struct model *model, struct query *query, int server,
 		     bool well)
 {
-	struct act *act;
+	struct event *event;
 
 	query->open--;
 	if (query->watched && well) {
 		send_all(model, query, server);
 	} else if (query->watched && query->tries++ < 2) {
-		act = new_act(ACT_RETRY, query->node);
-		act->query = query;
-		later(model, act, some_ms(5, 10));
+		event = new_event(EVENT_RETRY, query->node);
+		event->query = query;
+		schedule(model, event, random_ms(5, 10));
 		return;
 	}
 	if (!query->open)
@@ -679,7 +686,7 @@
 static void crash(struct model *model, int index)
 {
 	struct model_server *server = &model->servers[index];
-	struct act *act;
+	struct event *event;
 	int i;
 
 	if (!is_up(model, index))
@@ -688,89 +695,90 @@
 	server->down_until = model->now + DOWN_MS;
 	server->changed = model->now;
 	for (i = 0; i < HOMES; i++) {
-		act = new_act(ACT_BROKEN, (index + i) % NODES);
-		act->server = index;
-		later(model, act, some_ms(1, 2));
+		event = new_event(EVENT_BROKEN, (index + i) % NODES);
+		event->server = index;
+		schedule(model, event, random_ms(1, 2));
 	}
 }
 
-static void on_part(struct model *model, struct act *act)
+static void on_part(struct model *model, struct event *event)
 {
-	struct query *query = act->query;
-	struct model_server *server = &model->servers[act->server];
-	struct poison *poison = &model->nodes[act->node].poison;
+	struct query *query = event->query;
+	struct model_server *server = &model->servers[event->server];
+	struct poison *poison = &model->nodes[event->node].poison;
 
-	if (!is_up(model, act->server) ||
-	    (!model->plain &&
-	     poison_begin(poison, &act->run, query->hash,
-			  str_from(server->name), STR("set"), act->watched))) {
-		end_part(model, query, act->server, false);
-		free(act);
+	if (!is_up(model, event->server) ||
+	    (!model->plain && poison_begin(poison, &event->run, query->hash,
+					   str_from(server->name), STR("set"),
+					   event->watched))) {
+		end_part(model, query, event->server, false);
+		free(event);
 		return;
 	}
-	act->kind = ACT_DONE;
-	later(model, act, query->poison ? 3 : some_ms(5, 15));
+	event->kind = EVENT_DONE;
+	schedule(model, event, query->poison ? 3 : random_ms(5, 15));
 	if (query->poison) {
-		model->crashes_by_poison += is_up(model, act->server);
-		crash(model, act->server);
+		model->crashes_by_poison += is_up(model, event->server);
+		crash(model, event->server);
 	}
 }
 
-static void on_done(struct model *model, struct act *act)
+static void on_done(struct model *model, struct event *event)
 {
-	struct poison *poison = &model->nodes[act->node].poison;
-	/* A server that was down since this began answered nothing. */
-	bool well = is_up(model, act->server) && !act->query->poison;
+	struct poison *poison = &model->nodes[event->node].poison;
+	/* A server that is down at this point hasn't answered. */
+	bool well = is_up(model, event->server) && !event->query->poison;
 
 	if (!model->plain)
-		poison_end(poison, &act->run, well);
-	end_part(model, act->query, act->server, well);
-	free(act);
+		poison_end(poison, &event->run, well);
+	end_part(model, event->query, event->server, well);
+	free(event);
 }
 
-static void handle(struct model *model, struct act *act)
+static void handle_event(struct model *model, struct event *event)
 {
-	struct poison *poison = &model->nodes[act->node].poison;
+	struct poison *poison = &model->nodes[event->node].poison;
 
-	switch (act->kind) {
-	case ACT_PART:
-		on_part(model, act);
+	switch (event->kind) {
+	case EVENT_PART:
+		on_part(model, event);
 		return;
-	case ACT_DONE:
-		on_done(model, act);
+	case EVENT_DONE:
+		on_done(model, event);
 		return;
-	case ACT_BROKEN:
+	case EVENT_BROKEN:
 		poison_server_lost(poison,
-				   str_from(model->servers[act->server].name));
+				   str_from(
+					   model->servers[event->server].name));
 		break;
-	case ACT_REPORT:
-		poison_learn(poison, &act->report);
+	case EVENT_REPORT:
+		poison_apply_report(poison, &event->report);
 		break;
-	case ACT_RETRY:
-		start_query(model, act->query);
+	case EVENT_RETRY:
+		start_query(model, event->query);
 		break;
 	}
-	free(act);
+	free(event);
 }
 
 static void model_step(struct model *model)
 {
-	struct act **slot;
-	struct act *act;
+	struct event **slot;
+	struct event *event;
 
 	model->now++;
 	clock_advance(&model->clock, MSEC(1));
-	slot = &model->ring[model->now % RING];
-	while ((act = *slot)) {
-		*slot = act->next;
-		handle(model, act);
+	slot = &model->ring[model->now % RING_SLOTS];
+	while ((event = *slot)) {
+		*slot = event->next;
+		handle_event(model, event);
 	}
 }
 
 static void init_server(struct model_server *server, int index)
 {
 	snprintf(server->name, sizeof(server->name), "b%d", index);
-	server->changed = -RING;
+	server->changed = -RING_SLOTS;
 }
 
 static void model_init(struct model *model, uint64_t seed, bool plain)
@@ -790,9 +798,9 @@
 		poison_init(&node->poison, &model->clock, model_changed, node);
 		poison_set_tunables(&node->poison,
 				    &(struct poison_tunables){
-					    .max = 4096,
-					    .suspect = MSEC(60000),
-					    .ban = MSEC(600000),
+					    .max_entries = 4096,
+					    .suspect_ttl = MSEC(60000),
+					    .ban_ttl = MSEC(600000),
 				    });
 	}
 	for (i = 0; i < SERVERS; i++)
@@ -803,14 +811,14 @@
 {
 	int i;
 
-	for (i = 0; i < RING; i++)
+	for (i = 0; i < RING_SLOTS; i++)
 		model_step(model);
 	for (i = 0; i < NODES; i++)
 		poison_finish(&model->nodes[i].poison);
 }
 
-/* Popular ones by a steep law, and some that nobody sent before. */
-static uint64_t some_hash(struct model *model)
+/* Skewed distribution of popular searches; one in four is unique. */
+static uint64_t random_hash(struct model *model)
 {
 	uint64_t n = next_random() % POPULAR;
 
@@ -820,8 +828,8 @@
 }
 
 /*
- * Searches at 500 a second, and servers that crash of their own, each every
- * @crash_s seconds.
+ * Runs 500 searches a second. Each server also crashes for unrelated reasons
+ * every @crash_s seconds on average, never if 0.
  */
 static void model_run(struct model *model, int ms, int crash_s)
 {
@@ -830,8 +838,8 @@
 	while (ms--) {
 		model_step(model);
 		if (chance(2))
-			offer(model, some_hash(model),
-			      (int)(next_random() % NODES), false);
+			send_query(model, random_hash(model),
+				   (int)(next_random() % NODES), false);
 		for (i = 0; i < SERVERS && crash_s; i++) {
 			if (chance(crash_s * 1000))
 				crash(model, i);
@@ -852,7 +860,7 @@
 #define RESENDS 10
 #define POISONS 20
 
-/* The caller sends it again, each time to another instance. */
+/* The caller resends each search to another instance. */
 static int poison_losses(bool plain)
 {
 	struct model model;
@@ -866,8 +874,9 @@
 		int before = model.crashes_by_poison;
 
 		for (j = 0; j < RESENDS; j++) {
-			offer(&model, 500 + (uint64_t)i, (i + j) % NODES, true);
-			model_run(&model, some_ms(5, 50), 0);
+			send_query(&model, 500 + (uint64_t)i, (i + j) % NODES,
+				   true);
+			model_run(&model, random_ms(5, 50), 0);
 		}
 		model_run(&model, DOWN_MS, 0);
 		if (model.crashes_by_poison - before > most)
@@ -882,21 +891,24 @@
 }
 
 /*
- * A caller sends a search that crashes every server that runs it, again and
- * again and to other instances. At most two servers are lost to it.
+ * A caller resends a search that crashes every server, to another instance each
+ * time. It must not crash more than two servers.
  */
 static void test_model_poison(void)
 {
-	CU_ASSERT(poison_losses(false) <= POISON_CRASHES);
+	CU_ASSERT(poison_losses(false) <= POISON_BAN_AFTER_CRASHES);
 }
 
-/* Plain fan-out loses all servers at once, and again as they come back. */
+/*
+ * Control: plain fan-out loses all servers at once, and again after each
+ * restart.
+ */
 static void test_model_poison_plain(void)
 {
-	CU_ASSERT(poison_losses(true) > POISON_CRASHES);
+	CU_ASSERT(poison_losses(true) > POISON_BAN_AFTER_CRASHES);
 }
 
-/* The same poison from many callers at the same moment. */
+/* Many callers send the same crashing search at the same time. */
 static void test_model_poison_at_once(void)
 {
 	struct model model;
@@ -905,9 +917,9 @@
 	model_init(&model, 5, false);
 	model_run(&model, 1000, 0);
 	for (i = 0; i < 40; i++)
-		offer(&model, 700, i % NODES, true);
+		send_query(&model, 700, i % NODES, true);
 	model_run(&model, 3000, 0);
-	CU_ASSERT(model.crashes_by_poison <= POISON_CRASHES);
+	CU_ASSERT(model.crashes_by_poison <= POISON_BAN_AFTER_CRASHES);
 	CU_ASSERT_EQUAL(poison_check(&model.nodes[0].poison, 700,
 				     &(uint32_t){0}),
 			POISON_BANNED);
@@ -915,8 +927,8 @@
 }
 
 /*
- * Servers crash of their own, far more often than any does, while popular
- * searches run. Bans of these are false.
+ * Servers crash for unrelated reasons, far more often than in production, while
+ * popular searches run. Every ban is a false positive.
  */
 static void test_model_false_bans(void)
 {
@@ -936,23 +948,26 @@
 
 static const struct unit_test tests[] = {
 	{"two crashes", test_two_crashes},
-	{"cleared", test_cleared},
-	{"innocent not blamed", test_innocent_not_blamed},
-	{"rack", test_rack},
-	{"seen twice", test_seen_twice},
-	{"learned together", test_learned_together},
-	{"same server", test_same_server},
-	{"one at a time", test_one_at_a_time},
-	{"replica set", test_replica_set},
-	{"restarts in a row", test_restarts_in_a_row},
-	{"cleared elsewhere", test_cleared_elsewhere},
-	{"safe elsewhere only", test_safe_elsewhere_only},
+	{"suspect cleared by a later run", test_cleared},
+	{"safe request not blamed for a canary's crash",
+	 test_innocent_not_blamed},
+	{"two servers fail together", test_rack},
+	{"crash detected by two homes", test_seen_twice},
+	{"crashes merged from two homes", test_learned_together},
+	{"same server crashed twice", test_same_server},
+	{"one suspect at a time", test_one_at_a_time},
+	{"cleared only on the same replica set", test_replica_set},
+	{"servers restarted one after the other", test_restarts_in_a_row},
+	{"cleared by another home", test_cleared_elsewhere},
+	{"known safe at one home only", test_safe_elsewhere_only},
 	{"bounds", test_bounds},
-	{"learned expiry", test_learned_expiry},
-	{"model, poison", test_model_poison},
-	{"model, poison, plain", test_model_poison_plain},
-	{"model, poison at once", test_model_poison_at_once},
-	{"model, false bans", test_model_false_bans},
+	{"expiry of a received ban", test_learned_expiry},
+	{"simulation, crashing request", test_model_poison},
+	{"simulation, crashing request without canaries",
+	 test_model_poison_plain},
+	{"simulation, crashing request from many callers",
+	 test_model_poison_at_once},
+	{"simulation, false bans", test_model_false_bans},
 };
 
 UNIT_MAIN("poison", tests)
