--- a/home_net.c
+++ b/home_net.c
@@ -445,7 +445,7 @@
 	struct server_link *link = link_of(job->server);
 	Backend__RunAnswer *answer = NULL;
 	struct str body = {NULL, 0};
-	int code = run_code(reply->status, reply->code, reply->sent);
+	int code = run_reply_error(reply->status, reply->code, reply->sent);
 
 	if (hold_lost(job, code, reply->sent))
 		return;
--- a/run.c
+++ b/run.c
@@ -10,21 +10,22 @@
 #include "error.h"
 #include "mem.h"
 
-/* When to come back, where nobody knows better. */
-#define ASK_AGAIN_MS 200
-/* How much longer than its waiters a call stays, for a late answer. */
-#define GRACE MSEC(1000)
+/* Retry time for callers when no other is known. */
+#define RETRY_AFTER_MS 200
+/* Time that a call is kept after its deadline, for a late answer. */
+#define LATE_ANSWER_GRACE MSEC(1000)
 
 /*
- * A call is either forwarded to the issuer (wait is set) or executed here
- * for a ticket of this incarnation (sequence is set).
+ * A request sent to an issuer or a home. Either forwarded to the issuer (waiter
+ * is set) or executed here under a ticket of this incarnation (sequence is
+ * set).
  */
 struct run_call {
 	uint64_t id;
 	uint64_t sequence;
-	struct run_wait *wait;
+	struct run_waiter *waiter;
 	int64_t deadline;
-	char *peer; /* the instance that has the frame */
+	char *peer; /* the instance that the frame was sent to */
 	char *strings;
 	struct run_message request;
 	char *tried[RUN_ATTEMPTS_MAX];
@@ -65,7 +66,7 @@
 	}
 }
 
-int run_code(int status, int code, bool sent)
+int run_reply_error(int status, int code, bool sent)
 {
 	switch (status) {
 	case 0:
@@ -90,7 +91,7 @@
 	return code;
 }
 
-uint16_t run_point(struct str key)
+uint16_t run_key_point(struct str key)
 {
 	return (uint16_t)(str_hash(key) & UINT16_MAX);
 }
@@ -102,7 +103,7 @@
 	return str_hash_mix(hash, str_hash(request->payload));
 }
 
-static char *copy_part(char *at, struct str *part)
+static char *copy_str(char *at, struct str *part)
 {
 	if (part->len)
 		memcpy(at, part->data, part->len);
@@ -119,31 +120,31 @@
 
 	call->strings = at;
 	call->request = *request;
-	at = copy_part(at, &call->request.ticket);
-	at = copy_part(at, &call->request.request_id);
-	at = copy_part(at, &call->request.service);
-	at = copy_part(at, &call->request.key);
-	copy_part(at, &call->request.payload);
+	at = copy_str(at, &call->request.ticket);
+	at = copy_str(at, &call->request.request_id);
+	at = copy_str(at, &call->request.service);
+	at = copy_str(at, &call->request.key);
+	copy_str(at, &call->request.payload);
 }
 
-static struct run_call *add_call(struct run_book *book)
+static struct run_call *add_call(struct run_tracker *tracker)
 {
 	struct run_call *call = mem_zalloc(sizeof(*call));
 
-	call->id = ++book->last_id;
-	HASH_ADD(hh, book->calls, id, sizeof(call->id), call);
-	book->n_calls++;
+	call->id = ++tracker->last_id;
+	HASH_ADD(hh, tracker->calls, id, sizeof(call->id), call);
+	tracker->n_calls++;
 	return call;
 }
 
-static void drop_call(struct run_book *book, struct run_call *call)
+static void drop_call(struct run_tracker *tracker, struct run_call *call)
 {
 	int i;
 
-	HASH_DEL(book->calls, call);
-	book->n_calls--;
-	if (call->wait)
-		call->wait->call = NULL;
+	HASH_DEL(tracker->calls, call);
+	tracker->n_calls--;
+	if (call->waiter)
+		call->waiter->call = NULL;
 	for (i = 0; i < call->n_tried; i++)
 		free(call->tried[i]);
 	free(call->peer);
@@ -151,69 +152,72 @@
 	free(call);
 }
 
-static void leave(struct run_wait *wait)
+static void detach_waiter(struct run_waiter *waiter)
 {
-	if (!wait->book)
+	if (!waiter->tracker)
 		return;
-	DL_DELETE(wait->book->waits, wait);
-	wait->book = NULL;
-	ticket_unwait(&wait->waiter);
-	if (wait->call)
-		wait->call->wait = NULL;
-	wait->call = NULL;
+	DL_DELETE(waiter->tracker->waiters, waiter);
+	waiter->tracker = NULL;
+	ticket_unwait(&waiter->ticket_waiter);
+	if (waiter->call)
+		waiter->call->waiter = NULL;
+	waiter->call = NULL;
 }
 
-static void reply(struct run_wait *wait, const struct ticket_answer *answer)
+static void reply(struct run_waiter *waiter, const struct ticket_answer *answer)
 {
-	leave(wait);
-	wait->answered(wait, answer);
+	detach_waiter(waiter);
+	waiter->answered(waiter, answer);
 }
 
-static void reply_code(struct run_wait *wait, int code, uint32_t retry_after_ms)
+static void reply_code(struct run_waiter *waiter, int code,
+		       uint32_t retry_after_ms)
 {
 	struct ticket_answer answer = {
 		.code = code,
 		.retry_after_ms = retry_after_ms,
 	};
 
-	reply(wait, &answer);
+	reply(waiter, &answer);
 }
 
-static void on_answer(struct ticket_waiter *waiter,
+static void on_answer(struct ticket_waiter *ticket_waiter,
 		      const struct ticket_answer *answer)
 {
-	struct run_wait *wait =
-		(struct run_wait *)((char *)waiter -
-				    offsetof(struct run_wait, waiter));
+	struct run_waiter *waiter =
+		(struct run_waiter *)((char *)ticket_waiter -
+				      offsetof(struct run_waiter,
+					       ticket_waiter));
 
-	reply(wait, answer);
+	reply(waiter, answer);
 }
 
-/* The last word on a request executed here. */
-static void settle(struct run_book *book, struct run_call *call,
-		   const struct ticket_answer *answer)
+/* Ends a request executed here with its final answer. */
+static void finish_call(struct run_tracker *tracker, struct run_call *call,
+			const struct ticket_answer *answer)
 {
 	uint64_t sequence = call->sequence;
 	struct ticket_answer final = *answer;
 
 	if (run_outcome(final.code) == RUN_NOT_RUN && !final.retry_after_ms)
-		final.retry_after_ms = ASK_AGAIN_MS;
-	drop_call(book, call);
-	ticket_answer(book->tickets, sequence, &final);
+		final.retry_after_ms = RETRY_AFTER_MS;
+	drop_call(tracker, call);
+	ticket_answer(tracker->tickets, sequence, &final);
 }
 
-static void settle_code(struct run_book *book, struct run_call *call, int code,
-			uint32_t retry_after_ms)
+static void finish_call_with_code(struct run_tracker *tracker,
+				  struct run_call *call, int code,
+				  uint32_t retry_after_ms)
 {
 	struct ticket_answer answer = {
 		.code = code,
 		.retry_after_ms = retry_after_ms,
 	};
 
-	settle(book, call, &answer);
+	finish_call(tracker, call, &answer);
 }
 
-static int send_to(struct run_book *book, struct run_call *call,
+static int send_to(struct run_tracker *tracker, struct run_call *call,
 		   const struct run_target *target, int64_t left)
 {
 	call->tried[call->n_tried++] =
@@ -221,20 +225,21 @@
 	free(call->peer);
 	call->peer = mem_dup_len(target->home.data, target->home.len);
 	call->request.deadline_ms = (uint32_t)(left / USEC_PER_MSEC);
-	return book->ops->send(book->ctx, call->id, target, &call->request);
+	return tracker->ops->send(tracker->ctx, call->id, target,
+				  &call->request);
 }
 
 /*
- * Send to the next server. Only called while the request provably did not run
- * anywhere: before the first attempt, or after one which proved that. The
- * time is read before each attempt, so that a process that was stopped and
- * wakes late sends nothing that nobody waits for any more.
+ * Sends a request to the next server. Must only be called while the request
+ * provably has not run: before the first attempt, or after an attempt that
+ * proved it. Reads the clock before each attempt, so that a process that was
+ * stopped doesn't send requests whose deadline has passed.
  */
-static void try_next(struct run_book *book, struct run_call *call, int code,
-		     uint32_t retry_after_ms)
+static void try_next(struct run_tracker *tracker, struct run_call *call,
+		     int code, uint32_t retry_after_ms)
 {
 	while (call->n_tried < RUN_ATTEMPTS_MAX) {
-		int64_t left = call->deadline - clock_now(book->clock);
+		int64_t left = call->deadline - clock_now(tracker->clock);
 		struct str tried[RUN_ATTEMPTS_MAX];
 		struct run_target target;
 		int ret;
@@ -246,304 +251,314 @@
 		}
 		for (i = 0; i < call->n_tried; i++)
 			tried[i] = str_from(call->tried[i]);
-		ret = book->ops->pick(book->ctx, call->request.service,
-				      run_point(call->request.key), tried,
-				      call->n_tried, &target);
+		ret = tracker->ops->pick(tracker->ctx, call->request.service,
+					 run_key_point(call->request.key),
+					 tried, call->n_tried, &target);
 		if (ret) {
 			code = call->n_tried ? code : ret;
 			break;
 		}
-		ret = send_to(book, call, &target, left);
+		ret = send_to(tracker, call, &target, left);
 		if (!ret)
 			return;
 		code = ERR_NOT_RUN;
 	}
-	settle_code(book, call, code, retry_after_ms);
+	finish_call_with_code(tracker, call, code, retry_after_ms);
 }
 
-static void execute(struct run_book *book, uint64_t sequence,
+static void execute(struct run_tracker *tracker, uint64_t sequence,
 		    const struct run_message *request, int64_t deadline)
 {
-	struct run_call *call = add_call(book);
-	int64_t expires =
-		clock_now(book->clock) + ticket_left(book->tickets, sequence);
+	struct run_call *call = add_call(tracker);
+	int64_t expires = clock_now(tracker->clock) +
+			  ticket_time_left(tracker->tickets, sequence);
 
 	call->sequence = sequence;
 	call->deadline = deadline < expires ? deadline : expires;
 	copy_request(call, request);
-	try_next(book, call, ERR_NOT_RUN, 0);
+	try_next(tracker, call, ERR_NOT_RUN, 0);
 }
 
-static void close_overloaded(struct run_book *book, uint64_t sequence)
+static void answer_overloaded(struct run_tracker *tracker, uint64_t sequence)
 {
 	static const struct ticket_answer overload = {
 		.code = ERR_OVERLOAD,
-		.retry_after_ms = ASK_AGAIN_MS,
+		.retry_after_ms = RETRY_AFTER_MS,
 	};
 
-	ticket_answer(book->tickets, sequence, &overload);
+	ticket_answer(tracker->tickets, sequence, &overload);
 }
 
-/* This incarnation issued the ticket. */
-static void accept_own(struct run_book *book, const struct ticket_id *id,
-		       const struct run_message *request, struct run_wait *wait)
+/* Accepts a request under a ticket of this incarnation. */
+static void accept_own(struct run_tracker *tracker, const struct ticket_id *id,
+		       const struct run_message *request,
+		       struct run_waiter *waiter)
 {
 	struct ticket_answer answer;
-	int state = ticket_use(book->tickets, id, request->service,
+	int state = ticket_use(tracker->tickets, id, request->service,
 			       request_digest(request), &answer);
 
 	if (state < 0) {
-		reply_code(wait, state, 0);
+		reply_code(waiter, state, 0);
 		return;
 	}
 	if (state == TICKET_ANSWERED) {
-		reply(wait, &answer);
+		reply(waiter, &answer);
 		return;
 	}
-	wait->waiter.answered = on_answer;
-	ticket_wait(book->tickets, id->sequence, &wait->waiter);
+	waiter->ticket_waiter.answered = on_answer;
+	ticket_wait(tracker->tickets, id->sequence, &waiter->ticket_waiter);
 	if (state == TICKET_RUNNING)
 		return;
-	if (book->n_calls >= book->calls_max)
-		close_overloaded(book, id->sequence);
+	if (tracker->n_calls >= tracker->calls_max)
+		answer_overloaded(tracker, id->sequence);
 	else
-		execute(book, id->sequence, request, wait->deadline);
+		execute(tracker, id->sequence, request, waiter->deadline);
 }
 
 /*
- * An earlier frame of the same ticket may be on its way or may have run, so
- * that even where no byte of this one left, the outcome is not known here.
+ * Forwards a request to the issuer of its ticket. An earlier frame with the
+ * same ticket may be on its way or may have run, so the outcome is unknown even
+ * if no byte of this frame was sent.
  */
-static void forward(struct run_book *book, const struct ticket_id *id,
-		    const struct run_message *request, struct run_wait *wait)
+static void forward(struct run_tracker *tracker, const struct ticket_id *id,
+		    const struct run_message *request,
+		    struct run_waiter *waiter)
 {
 	struct run_call *call;
 	int ret;
 
-	if (book->n_calls >= book->calls_max) {
-		reply_code(wait, ERR_UNAVAILABLE, ASK_AGAIN_MS);
+	if (tracker->n_calls >= tracker->calls_max) {
+		reply_code(waiter, ERR_UNAVAILABLE, RETRY_AFTER_MS);
 		return;
 	}
-	call = add_call(book);
-	call->wait = wait;
-	wait->call = call;
-	call->deadline = wait->deadline;
+	call = add_call(tracker);
+	call->waiter = waiter;
+	waiter->call = call;
+	call->deadline = waiter->deadline;
 	call->peer = mem_dup_len(id->instance.data, id->instance.len);
-	ret = book->ops->forward(book->ctx, call->id, id->instance, request);
+	ret = tracker->ops->forward(tracker->ctx, call->id, id->instance,
+				    request);
 	if (!ret)
 		return;
-	drop_call(book, call);
-	reply_code(wait, ERR_UNAVAILABLE, ASK_AGAIN_MS);
+	drop_call(tracker, call);
+	reply_code(waiter, ERR_UNAVAILABLE, RETRY_AFTER_MS);
 }
 
-static void start_wait(struct run_book *book, const struct run_message *request,
-		       struct run_wait *wait)
+static void start_wait(struct run_tracker *tracker,
+		       const struct run_message *request,
+		       struct run_waiter *waiter)
 {
-	wait->book = book;
-	wait->call = NULL;
-	wait->waiter.entry = NULL;
-	wait->deadline = clock_now(book->clock) + MSEC(request->deadline_ms);
-	DL_APPEND(book->waits, wait);
+	waiter->tracker = tracker;
+	waiter->call = NULL;
+	waiter->ticket_waiter.entry = NULL;
+	waiter->deadline =
+		clock_now(tracker->clock) + MSEC(request->deadline_ms);
+	DL_APPEND(tracker->waiters, waiter);
 }
 
-static void accept(struct run_book *book, const struct run_message *request,
-		   struct run_wait *wait, bool may_forward)
+static void accept_request(struct run_tracker *tracker,
+			   const struct run_message *request,
+			   struct run_waiter *waiter, bool may_forward)
 {
 	struct ticket_id id;
 
-	start_wait(book, request, wait);
+	start_wait(tracker, request, waiter);
 	if (ticket_parse(request->ticket, &id))
-		reply_code(wait, ERR_TICKET, 0);
-	else if (ticket_is_own(book->tickets, &id))
-		accept_own(book, &id, request, wait);
-	else if (str_eq(id.instance, book->tickets->instance))
-		reply_code(wait, ERR_TICKET_LOST, 0);
+		reply_code(waiter, ERR_TICKET, 0);
+	else if (ticket_is_own(tracker->tickets, &id))
+		accept_own(tracker, &id, request, waiter);
+	else if (str_eq(id.instance, tracker->tickets->instance))
+		reply_code(waiter, ERR_TICKET_LOST, 0);
 	else if (!may_forward)
-		reply_code(wait, ERR_UNAVAILABLE, ASK_AGAIN_MS);
+		reply_code(waiter, ERR_UNAVAILABLE, RETRY_AFTER_MS);
 	else
-		forward(book, &id, request, wait);
+		forward(tracker, &id, request, waiter);
 }
 
-void run_book_init(struct run_book *book, const struct clock *clock,
-		   struct ticket_book *tickets, const struct run_ops *ops,
-		   void *ctx)
+void run_tracker_init(struct run_tracker *tracker, const struct clock *clock,
+		      struct ticket_store *tickets, const struct run_ops *ops,
+		      void *ctx)
 {
-	memset(book, 0, sizeof(*book));
-	book->clock = clock;
-	book->tickets = tickets;
-	book->ops = ops;
-	book->ctx = ctx;
-	book->calls_max = RUN_CALLS_MAX;
-	/* So that an answer to an earlier incarnation matches no call. */
-	book->last_id = tickets->incarnation;
+	memset(tracker, 0, sizeof(*tracker));
+	tracker->clock = clock;
+	tracker->tickets = tickets;
+	tracker->ops = ops;
+	tracker->ctx = ctx;
+	tracker->calls_max = RUN_CALLS_MAX;
+	/* Answers to an earlier incarnation must not match any call. */
+	tracker->last_id = tickets->incarnation;
 }
 
-void run_book_finish(struct run_book *book)
+void run_tracker_finish(struct run_tracker *tracker)
 {
 	struct run_call *call;
 	struct run_call *tmp;
 
-	while (book->waits)
-		reply_code(book->waits, ERR_UNKNOWN, 0);
-	HASH_ITER (hh, book->calls, call, tmp)
-		drop_call(book, call);
+	while (tracker->waiters)
+		reply_code(tracker->waiters, ERR_UNKNOWN, 0);
+	HASH_ITER (hh, tracker->calls, call, tmp)
+		drop_call(tracker, call);
 }
 
-void run_accept(struct run_book *book, const struct run_message *request,
-		struct run_wait *wait)
+void run_accept(struct run_tracker *tracker, const struct run_message *request,
+		struct run_waiter *waiter)
 {
-	accept(book, request, wait, true);
+	accept_request(tracker, request, waiter, true);
 }
 
-void run_accept_forwarded(struct run_book *book,
+void run_accept_forwarded(struct run_tracker *tracker,
 			  const struct run_message *request,
-			  struct run_wait *wait)
+			  struct run_waiter *waiter)
 {
-	accept(book, request, wait, false);
+	accept_request(tracker, request, waiter, false);
 }
 
-void run_abandon(struct run_wait *wait)
+void run_abandon(struct run_waiter *waiter)
 {
-	struct run_call *call = wait->call;
-	struct run_book *book = wait->book;
+	struct run_call *call = waiter->call;
+	struct run_tracker *tracker = waiter->tracker;
 
-	leave(wait);
+	detach_waiter(waiter);
 	if (call)
-		drop_call(book, call);
+		drop_call(tracker, call);
 }
 
-static struct run_call *find_call(const struct run_book *book, uint64_t id)
+static struct run_call *find_call(const struct run_tracker *tracker,
+				  uint64_t id)
 {
 	struct run_call *call;
 
-	HASH_FIND(hh, book->calls, &id, sizeof(id), call);
+	HASH_FIND(hh, tracker->calls, &id, sizeof(id), call);
 	return call;
 }
 
-static void end_forwarded(struct run_book *book, struct run_call *call,
-			  const struct ticket_answer *answer)
+static void finish_forwarded(struct run_tracker *tracker, struct run_call *call,
+			     const struct ticket_answer *answer)
 {
-	struct run_wait *wait = call->wait;
+	struct run_waiter *waiter = call->waiter;
 
-	drop_call(book, call);
-	if (wait)
-		reply(wait, answer);
+	drop_call(tracker, call);
+	if (waiter)
+		reply(waiter, answer);
 }
 
-void run_result(struct run_book *book, uint64_t id, struct str from,
-		const struct ticket_answer *answer)
+void run_handle_result(struct run_tracker *tracker, uint64_t id,
+		       struct str from, const struct ticket_answer *answer)
 {
-	struct run_call *call = find_call(book, id);
+	struct run_call *call = find_call(tracker, id);
 
 	if (!call || !str_eq_text(from, call->peer))
 		return;
 	if (!call->sequence) {
-		end_forwarded(book, call, answer);
+		finish_forwarded(tracker, call, answer);
 		return;
 	}
 	if (run_outcome(answer->code) != RUN_NOT_RUN) {
-		settle(book, call, answer);
+		finish_call(tracker, call, answer);
 		return;
 	}
-	/* A new id: a second answer to the old one must not count for this. */
-	HASH_DEL(book->calls, call);
-	call->id = ++book->last_id;
-	HASH_ADD(hh, book->calls, id, sizeof(call->id), call);
-	try_next(book, call, answer->code, answer->retry_after_ms);
+	/* A duplicate of this answer must not match the next attempt. */
+	HASH_DEL(tracker->calls, call);
+	call->id = ++tracker->last_id;
+	HASH_ADD(hh, tracker->calls, id, sizeof(call->id), call);
+	try_next(tracker, call, answer->code, answer->retry_after_ms);
 }
 
 /*
- * The ids of the calls that match, so that whoever is answered may change the
- * list. Free the array.
+ * Returns the ids of the matching calls, as answering a waiter may change the
+ * list of calls. The caller frees the array.
  */
-static uint64_t *collect(const struct run_book *book,
-			 bool (*match)(const struct run_call *call,
-				       const void *arg),
-			 const void *arg, int *n)
+static uint64_t *collect_ids(const struct run_tracker *tracker,
+			     bool (*match)(const struct run_call *call,
+					   const void *arg),
+			     const void *arg, int *n)
 {
-	uint64_t *ids = mem_zalloc((size_t)book->n_calls * sizeof(*ids));
+	uint64_t *ids = mem_zalloc((size_t)tracker->n_calls * sizeof(*ids));
 	struct run_call *call;
 
 	*n = 0;
-	for (call = book->calls; call; call = call->hh.next) {
+	for (call = tracker->calls; call; call = call->hh.next) {
 		if (match(call, arg))
 			ids[(*n)++] = call->id;
 	}
 	return ids;
 }
 
-static bool is_at(const struct run_call *call, const void *instance)
+static bool is_held_by(const struct run_call *call, const void *instance)
 {
 	return str_eq_text(*(const struct str *)instance, call->peer);
 }
 
-static bool is_over(const struct run_call *call, const void *now)
+static bool is_expired(const struct run_call *call, const void *now)
 {
-	return call->deadline + GRACE <= *(const int64_t *)now;
+	return call->deadline + LATE_ANSWER_GRACE <= *(const int64_t *)now;
 }
 
-static void end_calls(struct run_book *book, const uint64_t *ids, int n,
-		      const struct ticket_answer *forwarded, int executed_code)
+static void finish_calls(struct run_tracker *tracker, const uint64_t *ids,
+			 int n, const struct ticket_answer *forwarded,
+			 int executed_code)
 {
 	int i;
 
 	for (i = 0; i < n; i++) {
-		struct run_call *call = find_call(book, ids[i]);
+		struct run_call *call = find_call(tracker, ids[i]);
 
 		if (!call)
 			continue;
 		if (call->sequence)
-			settle_code(book, call, executed_code, 0);
+			finish_call_with_code(tracker, call, executed_code, 0);
 		else
-			end_forwarded(book, call, forwarded);
+			finish_forwarded(tracker, call, forwarded);
 	}
 }
 
-void run_peer_lost(struct run_book *book, struct str instance)
+void run_peer_lost(struct run_tracker *tracker, struct str instance)
 {
 	static const struct ticket_answer lost = {
 		.code = ERR_UNAVAILABLE,
-		.retry_after_ms = ASK_AGAIN_MS,
+		.retry_after_ms = RETRY_AFTER_MS,
 	};
 	int n;
-	uint64_t *ids = collect(book, is_at, &instance, &n);
+	uint64_t *ids = collect_ids(tracker, is_held_by, &instance, &n);
 
-	end_calls(book, ids, n, &lost, ERR_LOST);
+	finish_calls(tracker, ids, n, &lost, ERR_LOST);
 	free(ids);
 }
 
-static struct run_wait *first_late(const struct run_book *book, int64_t now)
+static struct run_waiter *find_expired_waiter(const struct run_tracker *tracker,
+					      int64_t now)
 {
-	struct run_wait *wait;
+	struct run_waiter *waiter;
 
-	DL_FOREACH (book->waits, wait) {
-		if (wait->deadline <= now)
-			return wait;
+	DL_FOREACH (tracker->waiters, waiter) {
+		if (waiter->deadline <= now)
+			return waiter;
 	}
 	return NULL;
 }
 
-int64_t run_tick(struct run_book *book)
+int64_t run_tick(struct run_tracker *tracker)
 {
 	static const struct ticket_answer late = {.code = ERR_UNKNOWN};
-	int64_t now = clock_now(book->clock);
+	int64_t now = clock_now(tracker->clock);
 	int64_t next = INT64_MAX;
 	struct run_call *call;
-	struct run_wait *wait;
+	struct run_waiter *waiter;
 	uint64_t *ids;
 	int n;
 
-	/* What they wait for goes on without them. */
-	while ((wait = first_late(book, now)))
-		reply_code(wait, ERR_UNKNOWN, ASK_AGAIN_MS);
-	ids = collect(book, is_over, &now, &n);
-	end_calls(book, ids, n, &late, ERR_UNKNOWN);
+	/* Their requests continue. */
+	while ((waiter = find_expired_waiter(tracker, now)))
+		reply_code(waiter, ERR_UNKNOWN, RETRY_AFTER_MS);
+	ids = collect_ids(tracker, is_expired, &now, &n);
+	finish_calls(tracker, ids, n, &late, ERR_UNKNOWN);
 	free(ids);
-	DL_FOREACH (book->waits, wait)
-		next = wait->deadline < next ? wait->deadline : next;
-	for (call = book->calls; call; call = call->hh.next) {
-		if (call->deadline + GRACE < next)
-			next = call->deadline + GRACE;
+	DL_FOREACH (tracker->waiters, waiter)
+		next = waiter->deadline < next ? waiter->deadline : next;
+	for (call = tracker->calls; call; call = call->hh.next) {
+		if (call->deadline + LATE_ANSWER_GRACE < next)
+			next = call->deadline + LATE_ANSWER_GRACE;
 	}
 	return next;
 }
--- a/run.h
+++ b/run.h
@@ -1,9 +1,10 @@
 /*
- * Requests that must not be repeated, from the caller to one backend server.
- * The instance that a caller asks hands the request to the issuer of its
- * ticket; the issuer sends it to one home of one server that holds the key's
- * shard, and to another only while it provably did not run. No sockets here:
- * frames go out through a table of functions and come in as calls.
+ * Requests that must not run twice, on the way from the caller to one backend
+ * server. The entry instance forwards the request to the issuer of its ticket.
+ * The issuer sends it to one home of one server that holds the shard of the
+ * key, and to another server only while it provably has not run. This module
+ * uses no sockets: frames are sent through a table of functions and received as
+ * calls.
  */
 #ifndef RUN_H
 #define RUN_H
@@ -17,16 +18,19 @@
 struct clock;
 struct run_call;
 
-/* Backend servers tried for one request, all provably without a run but one. */
+/*
+ * Maximum number of servers tried for one request. It provably has not run on
+ * any but the last.
+ */
 #define RUN_ATTEMPTS_MAX 4
-/* Default for struct run_book: requests in progress at one instance. */
+/* Default maximum number of requests in progress on one instance. */
 #define RUN_CALLS_MAX 4096
 
 /**
- * enum run_outcome - what a caller is told of its request
- * @RUN_DONE: it ran once; the answer is there
- * @RUN_NOT_RUN: it provably did not run and never will under its ticket
- * @RUN_REFUSED: it will never run as it stands
+ * enum run_outcome - outcome of a request as reported to its caller
+ * @RUN_DONE: it ran once and was answered
+ * @RUN_NOT_RUN: it provably has not run and never will under its ticket
+ * @RUN_REFUSED: it is invalid and will never run unchanged
  * @RUN_UNKNOWN: it may or may not have run
  */
 enum run_outcome {
@@ -37,8 +41,13 @@
 };
 
 /**
- * struct run_message - a request with its ticket; all parts borrowed
- * @deadline_ms: time left
+ * struct run_message - a request with its ticket; all strings are borrowed
+ * @ticket: text of the ticket
+ * @request_id: id for logs and traces
+ * @service: name of the service
+ * @key: record key that determines the shard
+ * @payload: body for the backend server
+ * @deadline_ms: remaining time, milliseconds
  */
 struct run_message {
 	struct str ticket;
@@ -50,9 +59,10 @@
 };
 
 /**
- * struct run_target - where one attempt goes
+ * struct run_target - destination of one attempt
  * @server: name of the backend server
- * @home: the instance that holds a share of it, maybe this one
+ * @home: name of the instance that holds a share of the server, possibly this
+ *	one
  */
 struct run_target {
 	struct str server;
@@ -60,14 +70,15 @@
 };
 
 /**
- * struct run_ops - what the lifecycle needs of its surroundings
- * @pick: choose a server that holds @point and one of its homes, none of
- * @tried; returns 0 with borrowed names, or an error code
- * @forward: hand the request to the issuer of its ticket under the id @id
- * @send: hand it to a home, to be sent to the server once, under the id @id
+ * struct run_ops - functions that the owner of a tracker provides
+ * @pick: choose a server that holds @point and isn't in @tried, and one of its
+ *	homes; return 0 and borrowed names, or an error code
+ * @forward: send the request to the issuer of its ticket under the id @id
+ * @send: send the request to a home under the id @id, which sends it to the
+ *	server once
  *
- * @forward and @send return 0 when the frame may have left, or an error code
- * only when no byte of it did. Neither may call back into the book.
+ * @forward and @send return an error code only if no byte of the frame can have
+ * been sent, else 0. Neither may call functions of the tracker.
  */
 struct run_ops {
 	int (*pick)(void *ctx, struct str service, uint16_t point,
@@ -80,118 +91,156 @@
 };
 
 /**
- * struct run_wait - who waits for the answer, a caller or a forwarding instance
- * @answered: called once, maybe within run_accept(); @answer is borrowed
- */
-struct run_wait {
-	struct ticket_waiter waiter;
-	void (*answered)(struct run_wait *wait,
+ * struct run_waiter - a caller or a forwarding instance that waits for an
+ *answer
+ * @ticket_waiter: waits for the answer to a ticket of this incarnation
+ * @answered: called once, possibly from within run_accept(); the answer is
+ *	borrowed
+ * @tracker: NULL if not waiting
+ * @call: the forwarded request; NULL if it wasn't forwarded
+ * @deadline: time at which ERR_UNKNOWN is answered, microseconds
+ * @prev: previous waiter of @tracker
+ * @next: next waiter of @tracker
+ */
+struct run_waiter {
+	struct ticket_waiter ticket_waiter;
+	void (*answered)(struct run_waiter *waiter,
 			 const struct ticket_answer *answer);
-	struct run_book *book;
+	struct run_tracker *tracker;
 	struct run_call *call;
 	int64_t deadline;
-	struct run_wait *prev;
-	struct run_wait *next;
+	struct run_waiter *prev;
+	struct run_waiter *next;
 };
 
 /**
- * struct run_book - requests in progress at one instance
- * @tickets: of this incarnation
- * @calls: waiting for a frame from an issuer or a home, by id
- * @waits: who waits, of all requests
- * @calls_max: bound of @calls; more are refused
- * @last_id: of a frame
+ * struct run_tracker - requests in progress on one instance
+ * @clock: borrowed
+ * @tickets: tickets of this incarnation; borrowed
+ * @ops: borrowed
+ * @ctx: first argument of @ops
+ * @calls: requests sent to an issuer or a home, by id
+ * @waiters: waiters of all requests
+ * @n_calls: number of @calls
+ * @calls_max: maximum of @n_calls; requests above it are refused
+ * @last_id: last id given to a frame
  */
-struct run_book {
+struct run_tracker {
 	const struct clock *clock;
-	struct ticket_book *tickets;
+	struct ticket_store *tickets;
 	const struct run_ops *ops;
 	void *ctx;
 	struct run_call *calls;
-	struct run_wait *waits;
+	struct run_waiter *waiters;
 	int n_calls;
 	int calls_max;
 	uint64_t last_id;
 };
 
-void run_book_init(struct run_book *book, const struct clock *clock,
-		   struct ticket_book *tickets, const struct run_ops *ops,
-		   void *ctx);
+/**
+ * run_tracker_init() - initialise a tracker without requests
+ * @tracker: owned by the caller
+ * @clock: borrowed
+ * @tickets: initialised; borrowed
+ * @ops: borrowed
+ * @ctx: first argument of @ops
+ */
+void run_tracker_init(struct run_tracker *tracker, const struct clock *clock,
+		      struct ticket_store *tickets, const struct run_ops *ops,
+		      void *ctx);
 
 /**
- * run_book_finish() - answer everyone ERR_UNKNOWN and free the calls
+ * run_tracker_finish() - answer all waiters with ERR_UNKNOWN and free the calls
+ * @tracker: the tracker
  */
-void run_book_finish(struct run_book *book);
+void run_tracker_finish(struct run_tracker *tracker);
 
 /**
- * run_outcome() - what a code says about the run
- * @code: any number, also one from the wire; one not listed is unknown
+ * run_outcome() - outcome that an error code implies
+ * @code: any number, including unknown ones received from a peer
+ *
+ * Return: the outcome; RUN_UNKNOWN for an unknown code.
  */
 enum run_outcome run_outcome(int code);
 
 /**
- * run_code() - what a backend server's reply to POST /v1/run says
- * @status: of the reply, 0 if none came
- * @code: why none came
+ * run_reply_error() - evaluate a backend server's reply to POST /v1/run
+ * @status: HTTP status of the reply, 0 if none arrived
+ * @code: why none arrived
  * @sent: bytes of the request may have reached the server
  *
- * Only what docs/PROTOCOL.md lists proves that it did not run. By the status
- * alone: a server that is leaving may say so beside a 200 as well.
+ * Only the statuses listed in docs/PROTOCOL.md prove that the request has not
+ * run. @code is ignored if there is a status, since a server that is leaving
+ * may say so along with a 200.
  *
- * Return: 0, or an error for run_outcome().
+ * Return: 0, or an error code for run_outcome().
  */
-int run_code(int status, int code, bool sent);
+int run_reply_error(int status, int code, bool sent);
 
 /**
- * run_point() - the point a record key hashes to, see docs/PROTOCOL.md
+ * run_key_point() - hash a record key to a point of the shard map
+ * @key: the record key
+ *
+ * Return: the point, see docs/PROTOCOL.md.
  */
-uint16_t run_point(struct str key);
+uint16_t run_key_point(struct str key);
 
 /**
- * run_accept() - take a request from a caller
+ * run_accept() - accept a request from a caller
+ * @tracker: the tracker
  * @request: copied as far as needed
- * @wait: owned by the caller, with @answered set, zeroed otherwise
+ * @waiter: owned by the caller, with @answered set and all other fields zero
  *
- * A ticket of another instance is forwarded.
+ * Forwards the request if its ticket was issued by another instance.
  */
-void run_accept(struct run_book *book, const struct run_message *request,
-		struct run_wait *wait);
+void run_accept(struct run_tracker *tracker, const struct run_message *request,
+		struct run_waiter *waiter);
 
 /**
- * run_accept_forwarded() - take a request that another instance forwarded
+ * run_accept_forwarded() - accept a request that another instance forwarded
+ * @tracker: the tracker
+ * @request: copied as far as needed
+ * @waiter: as for run_accept()
  *
- * Never forwarded again: a ticket of an earlier incarnation is answered
- * ERR_TICKET_LOST.
+ * Never forwards it again. A ticket of an earlier incarnation of this instance
+ * is answered with ERR_TICKET_LOST.
  */
-void run_accept_forwarded(struct run_book *book,
+void run_accept_forwarded(struct run_tracker *tracker,
 			  const struct run_message *request,
-			  struct run_wait *wait);
+			  struct run_waiter *waiter);
 
 /**
- * run_abandon() - the one who waits is gone; the request goes on
+ * run_abandon() - remove a waiter that is gone; its request continues
+ * @waiter: the waiter; @answered isn't called
  */
-void run_abandon(struct run_wait *wait);
+void run_abandon(struct run_waiter *waiter);
 
 /**
- * run_result() - an issuer or a home answered
- * @id: of the frame it answers; one not known is ignored
- * @from: the instance that sent it; an answer of another is ignored
+ * run_handle_result() - process the answer of an issuer or a home
+ * @tracker: the tracker
+ * @id: id of the frame that it answers; an unknown one is ignored
+ * @from: name of the instance that sent it; ignored if the frame was sent to
+ *	another instance
+ * @answer: copied
  */
-void run_result(struct run_book *book, uint64_t id, struct str from,
-		const struct ticket_answer *answer);
+void run_handle_result(struct run_tracker *tracker, uint64_t id,
+		       struct str from, const struct ticket_answer *answer);
 
 /**
  * run_peer_lost() - the connection to an instance broke
+ * @tracker: the tracker
+ * @instance: name of the instance
  *
- * Whatever was handed to it may have run.
+ * The outcome of each request sent to that instance becomes unknown.
  */
-void run_peer_lost(struct run_book *book, struct str instance);
+void run_peer_lost(struct run_tracker *tracker, struct str instance);
 
 /**
- * run_tick() - answer those whose deadline passed
+ * run_tick() - answer all waiters whose deadline has passed
+ * @tracker: the tracker
  *
- * Return: time of the next call, microseconds; INT64_MAX if nothing waits.
+ * Return: time of the next call, microseconds; INT64_MAX if nothing is pending.
  */
-int64_t run_tick(struct run_book *book);
+int64_t run_tick(struct run_tracker *tracker);
 
 #endif
--- a/run_net.c
+++ b/run_net.c
@@ -12,12 +12,12 @@
 #include "mem.h"
 
 #define LEAVING_RETRY_MS 50
-/* For a service that is not in the table any more. */
+/* Deadline for a service that was removed from the table. */
 #define DEADLINE_DEFAULT_MS 1000
 
-/* A request that another instance handed to this one, its ticket's issuer. */
+/* A request that another instance forwarded, as this one issued its ticket. */
 struct run_forwarded {
-	struct run_wait wait;
+	struct run_waiter waiter;
 	struct run_net *net;
 	struct peer_link *link;
 	uint64_t id;
@@ -25,7 +25,7 @@
 	struct run_forwarded *next;
 };
 
-static uint64_t draw(void)
+static uint64_t random_u64(void)
 {
 	uint64_t n;
 
@@ -33,12 +33,12 @@
 	return n;
 }
 
-static struct str bytes_of(const ProtobufCBinaryData *data)
+static struct str str_from_binary(const ProtobufCBinaryData *data)
 {
 	return (struct str){(const char *)data->data, data->len};
 }
 
-/* Choosing a server. */
+/* Choice of a server. */
 
 static bool was_tried(const struct catalog_server *server,
 		      const struct str *tried, int n_tried)
@@ -52,7 +52,7 @@
 	return false;
 }
 
-/* The home with most free slots for its share. */
+/* Chooses the usable home with the lowest fraction of slots in use. */
 static const struct catalog_home *
 choose_home(const struct catalog_server *server)
 {
@@ -89,7 +89,10 @@
 	return map->n_shards ? lo : ERR_NO_REPLICA;
 }
 
-/* Of the servers that hold the shard one by the table's weights. */
+/*
+ * Chooses an untried server of the shard at random by the weights of the table.
+ * Servers without weight are used only if no other is available.
+ */
 static const struct catalog_server *
 choose_server(const struct catalog_placement *placement, int shard,
 	      const struct str *tried, int n_tried)
@@ -109,14 +112,15 @@
 		if (server->weight <= 0)
 			continue;
 		sum += (uint64_t)server->weight;
-		if (draw() % sum < (uint64_t)server->weight)
+		if (random_u64() % sum < (uint64_t)server->weight)
 			chosen = server;
 	}
 	return chosen;
 }
 
-static int pick(void *ctx, struct str service, uint16_t point,
-		const struct str *tried, int n_tried, struct run_target *target)
+static int pick_target(void *ctx, struct str service, uint16_t point,
+		       const struct str *tried, int n_tried,
+		       struct run_target *target)
 {
 	struct run_net *net = ctx;
 	const struct catalog_placement *placement =
@@ -137,7 +141,7 @@
 	return 0;
 }
 
-/* Frames out. */
+/* Outgoing frames. */
 
 static char *dup_str(struct str s)
 {
@@ -184,12 +188,12 @@
 }
 
 static const struct run_ops ops = {
-	.pick = pick,
+	.pick = pick_target,
 	.forward = forward,
 	.send = send_to_home,
 };
 
-/* Time. */
+/* Timer. */
 
 static void on_timer(void *arg)
 {
@@ -199,7 +203,7 @@
 	wake_timer_arm(&net->timer, run_tick(&net->runs));
 }
 
-/* Frames in. */
+/* Incoming frames. */
 
 static void end_forwarded(struct run_forwarded *forwarded)
 {
@@ -210,10 +214,10 @@
 	free(forwarded);
 }
 
-static void on_forwarded_answer(struct run_wait *wait,
+static void on_forwarded_answer(struct run_waiter *waiter,
 				const struct ticket_answer *answer)
 {
-	struct run_forwarded *forwarded = (struct run_forwarded *)wait;
+	struct run_forwarded *forwarded = (struct run_forwarded *)waiter;
 	Peer__RunResult result = PEER__RUN_RESULT__INIT;
 
 	result.id = forwarded->id;
@@ -225,7 +229,7 @@
 	end_forwarded(forwarded);
 }
 
-/* What was read late has less time left than it says. */
+/* Subtracts the time by which this process read the message late. */
 static uint32_t time_left(const struct run_net *net, uint32_t deadline_ms)
 {
 	int64_t left = MSEC(deadline_ms) - blackboard_stall(net->board);
@@ -233,8 +237,8 @@
 	return left > 0 ? (uint32_t)(left / USEC_PER_MSEC) : 0;
 }
 
-static void take_run(struct run_net *net, struct peer_link *link,
-		     const Peer__Run *run)
+static void handle_run(struct run_net *net, struct peer_link *link,
+		       const Peer__Run *run)
 {
 	struct run_forwarded *forwarded = mem_zalloc(sizeof(*forwarded));
 	struct run_message message = {
@@ -242,30 +246,31 @@
 		.request_id = str_from(run->request_id),
 		.service = str_from(run->service),
 		.key = str_from(run->key),
-		.payload = bytes_of(&run->payload),
+		.payload = str_from_binary(&run->payload),
 		.deadline_ms = time_left(net, run->deadline_ms),
 	};
 
-	forwarded->wait.answered = on_forwarded_answer;
+	forwarded->waiter.answered = on_forwarded_answer;
 	forwarded->net = net;
 	forwarded->link = link;
 	forwarded->id = run->id;
 	DL_APPEND(net->forwarded, forwarded);
 	metric_add(&net->board->counters.runs_open, 1);
-	run_accept_forwarded(&net->runs, &message, &forwarded->wait);
+	run_accept_forwarded(&net->runs, &message, &forwarded->waiter);
 	wake_timer_arm(&net->timer, run_tick(&net->runs));
 }
 
-static void take_result(struct run_net *net, struct peer_link *link,
-			const Peer__RunResult *result)
+static void handle_result(struct run_net *net, struct peer_link *link,
+			  const Peer__RunResult *result)
 {
 	struct ticket_answer answer = {
 		.code = result->code,
-		.body = bytes_of(&result->body),
+		.body = str_from_binary(&result->body),
 		.retry_after_ms = result->retry_after_ms,
 	};
 
-	run_result(&net->runs, result->id, str_from(link->instance), &answer);
+	run_handle_result(&net->runs, result->id, str_from(link->instance),
+			  &answer);
 	wake_timer_arm(&net->timer, run_tick(&net->runs));
 }
 
@@ -275,10 +280,11 @@
 	struct run_net *net = arg;
 
 	if (frame->type == FRAME_RUN_RESULT && link->outgoing)
-		take_result(net, link, (const Peer__RunResult *)frame->message);
-	/* With a server it was for the home, which has taken the message. */
+		handle_result(net, link,
+			      (const Peer__RunResult *)frame->message);
+	/* A frame that names a server is for the home, see home_net.c. */
 	else if (frame->type == FRAME_RUN && run && !*run->server)
-		take_run(net, link, run);
+		handle_run(net, link, run);
 }
 
 static void on_link_down(void *arg, struct peer_link *link)
@@ -294,7 +300,7 @@
 	DL_FOREACH_SAFE (net->forwarded, forwarded, next) {
 		if (forwarded->link != link)
 			continue;
-		run_abandon(&forwarded->wait);
+		run_abandon(&forwarded->waiter);
 		end_forwarded(forwarded);
 	}
 }
@@ -310,7 +316,7 @@
 		.answer_reserve = tunables->ticket_answer_bytes,
 	};
 
-	ticket_book_set_limits(&net->tickets, &limits);
+	ticket_store_set_limits(&net->tickets, &limits);
 	net->runs.calls_max = (int)tunables->run_max;
 }
 
@@ -320,10 +326,10 @@
 	memset(net, 0, sizeof(*net));
 	net->board = board;
 	net->peers = peers;
-	ticket_book_init(&net->tickets, board->clock,
-			 str_from(board->settings->instance),
-			 board->incarnation, draw);
-	run_book_init(&net->runs, board->clock, &net->tickets, &ops, net);
+	ticket_store_init(&net->tickets, board->clock,
+			  str_from(board->settings->instance),
+			  board->incarnation, random_u64);
+	run_tracker_init(&net->runs, board->clock, &net->tickets, &ops, net);
 	on_table(net);
 	wake_timer_init(&net->timer, board->base, board->clock, on_timer, net);
 	net->handler.frame = on_frame;
@@ -337,8 +343,8 @@
 
 void run_net_finish(struct run_net *net)
 {
-	run_book_finish(&net->runs);
-	ticket_book_finish(&net->tickets);
+	run_tracker_finish(&net->runs);
+	ticket_store_finish(&net->tickets);
 	wake_timer_finish(&net->timer);
 }
 
@@ -360,8 +366,8 @@
 	if (!find_service(net, service))
 		return net->board->table ? ERR_NO_SERVICE : ERR_NOT_RUN;
 	/*
-	 * A ticket is worth nothing once its issuer is gone; another instance
-	 * will issue one.
+	 * A ticket is invalid once its issuer is gone, so another instance has
+	 * to issue it.
 	 */
 	if (net->board->lifecycle >= LIFECYCLE_LEAVING) {
 		*retry_after_ms = LEAVING_RETRY_MS;
@@ -374,13 +380,13 @@
 }
 
 void run_net_run(struct run_net *net, struct run_message *message,
-		 struct run_wait *wait)
+		 struct run_waiter *waiter)
 {
 	const struct service *service = find_service(net, message->service);
-	int64_t most = service ? service->deadline_ms : DEADLINE_DEFAULT_MS;
+	int64_t max_ms = service ? service->deadline_ms : DEADLINE_DEFAULT_MS;
 
-	if (!message->deadline_ms || message->deadline_ms > most)
-		message->deadline_ms = (uint32_t)most;
-	run_accept(&net->runs, message, wait);
+	if (!message->deadline_ms || message->deadline_ms > max_ms)
+		message->deadline_ms = (uint32_t)max_ms;
+	run_accept(&net->runs, message, waiter);
 	wake_timer_arm(&net->timer, run_tick(&net->runs));
 }
--- a/run_trace.c
+++ b/run_trace.c
@@ -16,7 +16,7 @@
 	run->deadline_ms = request->deadline_ms;
 }
 
-static void count_burn(struct blackboard *board, struct trace_summary *summary)
+static void record_burn(struct blackboard *board, struct trace_summary *summary)
 {
 	struct burn_event event = {
 		.answered = !summary->code,
@@ -55,6 +55,6 @@
 		 str_from(run->service));
 	if (board->table)
 		summary.table_revision = board->table->revision;
-	count_burn(board, &summary);
+	record_burn(board, &summary);
 	trace_book_add(&board->traces, &summary, NULL);
 }
--- a/tests/test_run.c
+++ b/tests/test_run.c
@@ -11,9 +11,9 @@
 #include "unit.h"
 
 /*
- * A small fleet in one process: instances with their books, each also a home,
- * and backend servers that count runs. Frames are events on a paused clock;
- * any may be lost or late, any instance may crash or be stopped.
+ * Simulated instances, each also a home, and backend servers that count runs.
+ * Frames are events on a paused clock. Any frame may be lost or late, and any
+ * instance may crash or be stopped.
  */
 #define NODES 3
 #define SERVERS 2
@@ -39,18 +39,18 @@
 	return (int)(next_random() % 1000) < per_mille;
 }
 
-static int64_t between(int64_t lo, int64_t hi)
+static int64_t random_between(int64_t lo, int64_t hi)
 {
 	return lo + (int64_t)(next_random() % (uint64_t)(hi - lo + 1));
 }
 
 enum event_kind {
-	EVENT_CALL,    /* a caller's request reaches an instance */
+	EVENT_CALL,    /* a request of a caller arrives at an instance */
 	EVENT_FORWARD, /* a frame from an instance to the issuer */
 	EVENT_SEND,    /* a frame from the issuer to a home */
 	EVENT_SERVE,   /* a home has a slot and sends to the server */
-	EVENT_RESULT,  /* an answer on its way back to an instance */
-	EVENT_LOST,    /* an instance sees its connection to another break */
+	EVENT_RESULT,  /* an answer arrives at an instance */
+	EVENT_LOST,    /* the connection to another instance breaks */
 	EVENT_CRASH,
 };
 
@@ -60,7 +60,7 @@
 	enum event_kind kind;
 	int64_t at;
 	int node;
-	uint64_t incarnation; /* of the node it is meant for; 0: any */
+	uint64_t incarnation; /* of the receiving node; 0: any */
 	int from;
 	uint64_t id;
 	int ticket;
@@ -79,23 +79,23 @@
 	struct fleet *fleet;
 	int index;
 	char name[NAME_SIZE];
-	struct ticket_book tickets;
-	struct run_book runs;
+	struct ticket_store tickets;
+	struct run_tracker runs;
 	int64_t stopped_until;
 };
 
-struct wait {
-	struct run_wait base;
+struct waiter {
+	struct run_waiter base;
 	struct fleet *fleet;
 	bool from_caller;
 	int call;
-	/* Of a forwarded request: where the answer goes. */
+	/* Destination of the answer, for a forwarded request. */
 	int node;
 	int from;
 	uint64_t id;
 	uint64_t from_incarnation;
-	struct wait *prev;
-	struct wait *next;
+	struct waiter *prev;
+	struct waiter *next;
 };
 
 struct ticket {
@@ -106,7 +106,7 @@
 	int done_body;
 	int not_run;
 	int refused;
-	bool mixed;
+	bool inconsistent;
 };
 
 struct fleet {
@@ -114,15 +114,15 @@
 	struct node nodes[NODES];
 	struct ticket tickets[TICKETS];
 	struct event *events;
-	struct wait *waits;
+	struct waiter *waiters;
 	bool naive;
 	int faults; /* per mille, of each kind */
 	int runs;
 	int answers;
 };
 
-static struct event *post(struct fleet *fleet, enum event_kind kind, int node,
-			  int64_t delay)
+static struct event *post_event(struct fleet *fleet, enum event_kind kind,
+				int node, int64_t delay)
 {
 	struct event *event = mem_zalloc(sizeof(*event));
 
@@ -133,15 +133,15 @@
 	return event;
 }
 
-/* Mostly quick, now and then so late that a deadline or a ticket is over. */
+/* Short delay, or at a fault one that exceeds a deadline or lifetime. */
 static int64_t delay(struct fleet *fleet)
 {
 	if (chance(fleet->faults))
-		return between(MSEC(100), MSEC(1500));
-	return between(100, MSEC(5));
+		return random_between(MSEC(100), MSEC(1500));
+	return random_between(100, MSEC(5));
 }
 
-static bool lost(struct fleet *fleet)
+static bool is_lost(struct fleet *fleet)
 {
 	return chance(fleet->faults);
 }
@@ -170,8 +170,9 @@
 
 static const char *const server_names[SERVERS] = {"b0", "b1"};
 
-static int pick(void *ctx, struct str service, uint16_t point,
-		const struct str *tried, int n_tried, struct run_target *target)
+static int pick_target(void *ctx, struct str service, uint16_t point,
+		       const struct str *tried, int n_tried,
+		       struct run_target *target)
 {
 	struct node *node = ctx;
 	int start = (int)(next_random() % SERVERS);
@@ -196,10 +197,11 @@
 	return ERR_NO_REPLICA;
 }
 
-static struct event *frame(struct node *node, enum event_kind kind, int to,
-			   uint64_t id)
+static struct event *post_frame(struct node *node, enum event_kind kind, int to,
+				uint64_t id)
 {
-	struct event *event = post(node->fleet, kind, to, delay(node->fleet));
+	struct event *event =
+		post_event(node->fleet, kind, to, delay(node->fleet));
 
 	event->incarnation = node->fleet->nodes[to].tickets.incarnation;
 	event->from = node->index;
@@ -213,10 +215,10 @@
 	struct node *node = ctx;
 	struct event *event;
 
-	if (lost(node->fleet))
+	if (is_lost(node->fleet))
 		return ERR_UNAVAILABLE;
-	event = frame(node, EVENT_FORWARD, node_by_name(node->fleet, issuer),
-		      id);
+	event = post_frame(node, EVENT_FORWARD,
+			   node_by_name(node->fleet, issuer), id);
 	event->ticket = ticket_by_text(node->fleet, request->ticket);
 	event->deadline_ms = request->deadline_ms;
 	return 0;
@@ -228,10 +230,10 @@
 	struct node *node = ctx;
 	struct event *event;
 
-	if (lost(node->fleet))
+	if (is_lost(node->fleet))
 		return ERR_UNAVAILABLE;
-	event = frame(node, EVENT_SEND, node_by_name(node->fleet, target->home),
-		      id);
+	event = post_frame(node, EVENT_SEND,
+			   node_by_name(node->fleet, target->home), id);
 	event->ticket = ticket_by_text(node->fleet, request->ticket);
 	event->server = str_eq_text(target->server, "b1");
 	event->deadline_ms = request->deadline_ms;
@@ -239,7 +241,7 @@
 }
 
 static const struct run_ops ops = {
-	.pick = pick,
+	.pick = pick_target,
 	.forward = forward,
 	.send = send_frame,
 };
@@ -257,19 +259,20 @@
 	node->fleet = fleet;
 	node->index = index;
 	snprintf(node->name, sizeof(node->name), "node-%d", index);
-	ticket_book_init(&node->tickets, &fleet->clock, str_from(node->name),
-			 next_random() | 1, next_random);
-	ticket_book_set_limits(&node->tickets, &limits);
-	run_book_init(&node->runs, &fleet->clock, &node->tickets, &ops, node);
+	ticket_store_init(&node->tickets, &fleet->clock, str_from(node->name),
+			  next_random() | 1, next_random);
+	ticket_store_set_limits(&node->tickets, &limits);
+	run_tracker_init(&node->runs, &fleet->clock, &node->tickets, &ops,
+			 node);
 }
 
 static void node_finish(struct node *node)
 {
-	run_book_finish(&node->runs);
-	ticket_book_finish(&node->tickets);
+	run_tracker_finish(&node->runs);
+	ticket_store_finish(&node->tickets);
 }
 
-static void note_answer(struct fleet *fleet, int t, int code, int body)
+static void record_answer(struct fleet *fleet, int t, int code, int body)
 {
 	struct ticket *ticket = &fleet->tickets[t];
 
@@ -277,7 +280,7 @@
 	switch (run_outcome(code)) {
 	case RUN_DONE:
 		if (ticket->done++ && ticket->done_body != body)
-			ticket->mixed = true;
+			ticket->inconsistent = true;
 		ticket->done_body = body;
 		break;
 	case RUN_NOT_RUN:
@@ -296,12 +299,12 @@
 {
 	struct event *event;
 
-	if (lost(fleet)) {
-		event = post(fleet, EVENT_LOST, node, delay(fleet));
+	if (is_lost(fleet)) {
+		event = post_event(fleet, EVENT_LOST, node, delay(fleet));
 		event->from = from;
 		return;
 	}
-	event = post(fleet, EVENT_RESULT, node, delay(fleet));
+	event = post_event(fleet, EVENT_RESULT, node, delay(fleet));
 	event->incarnation = incarnation;
 	event->from = from;
 	event->id = id;
@@ -314,35 +317,35 @@
 	return body.len ? atoi(body.data) : -1;
 }
 
-static void on_answered(struct run_wait *base,
+static void on_answered(struct run_waiter *base,
 			const struct ticket_answer *answer)
 {
-	struct wait *wait = (struct wait *)base;
-	struct fleet *fleet = wait->fleet;
+	struct waiter *waiter = (struct waiter *)base;
+	struct fleet *fleet = waiter->fleet;
 	int body = body_number(answer->body);
 
-	/* The way back to the caller is lossy as well. */
-	if (!wait->from_caller)
-		post_result(fleet, wait->from, wait->node, wait->id,
-			    wait->from_incarnation, answer->code, body);
-	else if (!lost(fleet))
-		note_answer(fleet, wait->call, answer->code, body);
-	DL_DELETE(fleet->waits, wait);
-	free(wait);
+	/* Answers to callers may be lost too. */
+	if (!waiter->from_caller)
+		post_result(fleet, waiter->from, waiter->node, waiter->id,
+			    waiter->from_incarnation, answer->code, body);
+	else if (!is_lost(fleet))
+		record_answer(fleet, waiter->call, answer->code, body);
+	DL_DELETE(fleet->waiters, waiter);
+	free(waiter);
 }
 
-static struct wait *new_wait(struct fleet *fleet)
+static struct waiter *new_waiter(struct fleet *fleet)
 {
-	struct wait *wait = mem_zalloc(sizeof(*wait));
+	struct waiter *waiter = mem_zalloc(sizeof(*waiter));
 
-	wait->fleet = fleet;
-	wait->base.answered = on_answered;
-	DL_APPEND(fleet->waits, wait);
-	return wait;
+	waiter->fleet = fleet;
+	waiter->base.answered = on_answered;
+	DL_APPEND(fleet->waiters, waiter);
+	return waiter;
 }
 
-static struct run_message request_of(struct fleet *fleet, int t,
-				     uint32_t deadline_ms)
+static struct run_message make_request(struct fleet *fleet, int t,
+				       uint32_t deadline_ms)
 {
 	struct ticket *ticket = &fleet->tickets[t];
 
@@ -355,10 +358,11 @@
 	};
 }
 
-/* The baseline: whoever gets the request sends it until it is answered. */
+/* Baseline without tickets: retries a request until it is answered. */
 static void naive_send(struct fleet *fleet, int node, int t, int tries)
 {
-	struct event *event = post(fleet, EVENT_SERVE, node, delay(fleet));
+	struct event *event =
+		post_event(fleet, EVENT_SERVE, node, delay(fleet));
 
 	event->from = node;
 	event->ticket = t;
@@ -369,38 +373,39 @@
 static void on_call(struct fleet *fleet, const struct event *event)
 {
 	struct run_message request =
-		request_of(fleet, event->ticket, DEADLINE_MS);
-	struct wait *wait;
+		make_request(fleet, event->ticket, DEADLINE_MS);
+	struct waiter *waiter;
 
 	if (fleet->naive) {
 		naive_send(fleet, event->node, event->ticket, NAIVE_TRIES);
 		return;
 	}
-	wait = new_wait(fleet);
-	wait->from_caller = true;
-	wait->call = event->ticket;
-	run_accept(&fleet->nodes[event->node].runs, &request, &wait->base);
+	waiter = new_waiter(fleet);
+	waiter->from_caller = true;
+	waiter->call = event->ticket;
+	run_accept(&fleet->nodes[event->node].runs, &request, &waiter->base);
 }
 
 static void on_forward(struct fleet *fleet, const struct event *event)
 {
 	struct run_message request =
-		request_of(fleet, event->ticket, event->deadline_ms);
-	struct wait *wait = new_wait(fleet);
-
-	wait->node = event->node;
-	wait->from = event->from;
-	wait->id = event->id;
-	wait->from_incarnation = fleet->nodes[event->from].tickets.incarnation;
+		make_request(fleet, event->ticket, event->deadline_ms);
+	struct waiter *waiter = new_waiter(fleet);
+
+	waiter->node = event->node;
+	waiter->from = event->from;
+	waiter->id = event->id;
+	waiter->from_incarnation =
+		fleet->nodes[event->from].tickets.incarnation;
 	run_accept_forwarded(&fleet->nodes[event->node].runs, &request,
-			     &wait->base);
+			     &waiter->base);
 }
 
-/* The home queues it for a slot. */
+/* A home queues a request until it has a slot. */
 static void on_send(struct fleet *fleet, const struct event *event)
 {
 	struct event *serve =
-		post(fleet, EVENT_SERVE, event->node, delay(fleet));
+		post_event(fleet, EVENT_SERVE, event->node, delay(fleet));
 
 	serve->incarnation = event->incarnation;
 	serve->from = event->from;
@@ -410,7 +415,7 @@
 	serve->deadline = clock_now(&fleet->clock) + MSEC(event->deadline_ms);
 }
 
-/* What becomes of one request at a home and its server. */
+/* Runs one request at a home and its server. */
 static int serve(struct fleet *fleet, const struct event *event, int *body)
 {
 	static const int refusals[] = {ERR_NO_SLOT, ERR_CONNECT, ERR_SHED,
@@ -421,13 +426,13 @@
 		return ERR_TOO_LATE;
 	if (chance(fleet->faults))
 		return refusals[next_random() % 4];
-	/* The server crashes before it ran, or the connection broke. */
+	/* The server crashed or the connection broke before the run. */
 	if (chance(fleet->faults))
 		return ERR_LOST;
 	ticket->runs++;
 	fleet->runs++;
 	*body = fleet->runs;
-	/* It ran, and the answer was cut off or never came. */
+	/* The answer was cut off or never arrived after the run. */
 	if (chance(fleet->faults))
 		return chance(500) ? ERR_LOST : ERR_SILENT;
 	return 0;
@@ -447,7 +452,7 @@
 	if (code && event->tries > 1)
 		naive_send(fleet, event->node, event->ticket, event->tries - 1);
 	else
-		note_answer(fleet, event->ticket, code, body);
+		record_answer(fleet, event->ticket, code, body);
 }
 
 static void on_result(struct fleet *fleet, const struct event *event)
@@ -457,8 +462,8 @@
 
 	snprintf(body, sizeof(body), "%d", event->body);
 	answer.body = str_from(body);
-	run_result(&fleet->nodes[event->node].runs, event->id,
-		   str_from(fleet->nodes[event->from].name), &answer);
+	run_handle_result(&fleet->nodes[event->node].runs, event->id,
+			  str_from(fleet->nodes[event->from].name), &answer);
 }
 
 static void on_crash(struct fleet *fleet, const struct event *event)
@@ -469,12 +474,12 @@
 	node_start(fleet, event->node);
 	for (i = 0; i < NODES; i++) {
 		if (i != event->node)
-			post(fleet, EVENT_LOST, i, delay(fleet))->from =
+			post_event(fleet, EVENT_LOST, i, delay(fleet))->from =
 				event->node;
 	}
 }
 
-static void handle(struct fleet *fleet, const struct event *event)
+static void handle_event(struct fleet *fleet, const struct event *event)
 {
 	struct node *node = &fleet->nodes[event->node];
 
@@ -507,7 +512,7 @@
 	}
 }
 
-static struct event *take_next(struct fleet *fleet)
+static struct event *take_next_event(struct fleet *fleet)
 {
 	struct event *first = NULL;
 	struct event *event;
@@ -521,10 +526,10 @@
 	return first;
 }
 
-/* One event; the process it is for may be stopped, and then gets it late. */
+/* Handles one event, later if its process is stopped. */
 static bool step(struct fleet *fleet)
 {
-	struct event *event = take_next(fleet);
+	struct event *event = take_next_event(fleet);
 	struct node *node;
 
 	if (!event)
@@ -540,9 +545,9 @@
 	}
 	run_tick(&node->runs);
 	if (chance(fleet->faults / 4))
-		node->stopped_until =
-			clock_now(&fleet->clock) + between(0, MSEC(2000));
-	handle(fleet, event);
+		node->stopped_until = clock_now(&fleet->clock) +
+				      random_between(0, MSEC(2000));
+	handle_event(fleet, event);
 	free(event);
 	return true;
 }
@@ -557,8 +562,8 @@
 	ticket_issue(&fleet->nodes[next_random() % NODES].tickets, STR("desk"),
 		     ticket->text, &retry);
 	for (i = 0; i < CALLS; i++)
-		post(fleet, EVENT_CALL, (int)(next_random() % NODES),
-		     i ? between(0, MSEC(1500)) : 0)
+		post_event(fleet, EVENT_CALL, (int)(next_random() % NODES),
+			   i ? random_between(0, MSEC(1500)) : 0)
 			->ticket = t;
 }
 
@@ -578,7 +583,8 @@
 		start_ticket(fleet, i);
 	for (i = 0; i < NODES; i++) {
 		if (chance(faults * 2))
-			post(fleet, EVENT_CRASH, i, between(0, MSEC(1500)));
+			post_event(fleet, EVENT_CRASH, i,
+				   random_between(0, MSEC(1500)));
 	}
 }
 
@@ -589,7 +595,7 @@
 
 	for (i = 0; i < NODES; i++)
 		node_finish(&fleet->nodes[i]);
-	while ((event = take_next(fleet)))
+	while ((event = take_next_event(fleet)))
 		free(event);
 }
 
@@ -599,7 +605,7 @@
 	int repeated;
 	int false_not_run;
 	int false_done;
-	int mixed;
+	int inconsistent;
 	int done;
 	int not_run;
 	int unanswered;
@@ -613,7 +619,8 @@
 	tally->false_not_run +=
 		(ticket->not_run || ticket->refused) && ticket->runs;
 	tally->false_done += ticket->done && !ticket->runs;
-	tally->mixed += ticket->mixed || (ticket->done && ticket->not_run);
+	tally->inconsistent +=
+		ticket->inconsistent || (ticket->done && ticket->not_run);
 	tally->done += ticket->done > 0;
 	tally->not_run += ticket->not_run > 0;
 	tally->unanswered += !ticket->done && !ticket->not_run;
@@ -631,7 +638,7 @@
 	clock_advance(&fleet.clock, MSEC(60000));
 	for (i = 0; i < NODES; i++)
 		run_tick(&fleet.nodes[i].runs);
-	CU_ASSERT_PTR_NULL(fleet.waits);
+	CU_ASSERT_PTR_NULL(fleet.waiters);
 	for (i = 0; i < TICKETS; i++)
 		count_ticket(&fleet.tickets[i], tally);
 	fleet_finish(&fleet);
@@ -648,15 +655,15 @@
 	       "run twice %d, falsely not run %d, answers differ %d\n",
 	       naive ? "plain retries" : "tickets", faults, tally.tickets,
 	       tally.done, tally.not_run, tally.repeated, tally.false_not_run,
-	       tally.mixed);
+	       tally.inconsistent);
 	return tally;
 }
 
 /*
- * Two vans come for one leak: the answer to the order was lost, an instance
- * crashed or slept, and the caller or the system sent it again. Over thousands
- * of histories of repeats, losses, crashes, stops and forwards no order runs
- * twice, none that was called not run has run, and all answers to one agree.
+ * A request would run twice if it were resent after a lost answer or after a
+ * crash or stop of an instance. Over thousands of random histories of repeats,
+ * losses, crashes, stops and forwards, no request runs twice, none that was
+ * reported as not run has run, and all answers to one request agree.
  */
 static void test_histories(void)
 {
@@ -669,26 +676,26 @@
 		CU_ASSERT_EQUAL(tally.repeated, 0);
 		CU_ASSERT_EQUAL(tally.false_not_run, 0);
 		CU_ASSERT_EQUAL(tally.false_done, 0);
-		CU_ASSERT_EQUAL(tally.mixed, 0);
+		CU_ASSERT_EQUAL(tally.inconsistent, 0);
 		CU_ASSERT(tally.done > 0);
 		CU_ASSERT(tally.not_run > 0);
 	}
 }
 
 /*
- * The same histories under the plain way, which sends again on any error: the
- * checker must see orders that ran twice, or it would see nothing above.
+ * Control: with plain retries on any error, the same histories must contain
+ * requests that ran twice. Otherwise the test above proves nothing.
  */
-static void test_histories_naive(void)
+static void test_histories_plain_retries(void)
 {
 	struct tally tally = run_histories(200, 100, true);
 
 	CU_ASSERT(tally.repeated > 0);
-	CU_ASSERT(tally.mixed > 0);
+	CU_ASSERT(tally.inconsistent > 0);
 }
 
-/* Without faults every order runs, and every caller learns so. */
-static void test_histories_calm(void)
+/* Without faults every request runs, and its callers get the answer. */
+static void test_histories_without_faults(void)
 {
 	struct tally tally = run_histories(200, 0, false);
 
@@ -697,11 +704,11 @@
 	CU_ASSERT_EQUAL(tally.repeated, 0);
 }
 
-/* Fixed surroundings for the steps below. */
-struct bench {
+/* One instance whose frames are counted, for the tests below. */
+struct fixture {
 	struct clock clock;
-	struct ticket_book tickets;
-	struct run_book runs;
+	struct ticket_store tickets;
+	struct run_tracker runs;
 	char text[TICKET_TEXT_SIZE];
 	int picks;
 	int sends;
@@ -711,61 +718,61 @@
 	uint32_t deadline_ms;
 };
 
-struct bench_wait {
-	struct run_wait base;
+struct fixture_waiter {
+	struct run_waiter base;
 	int calls;
 	int code;
 	uint32_t retry_after_ms;
 };
 
-static int bench_pick(void *ctx, struct str service, uint16_t point,
-		      const struct str *tried, int n_tried,
-		      struct run_target *target)
+static int fixture_pick(void *ctx, struct str service, uint16_t point,
+			const struct str *tried, int n_tried,
+			struct run_target *target)
 {
-	struct bench *bench = ctx;
+	struct fixture *fixture = ctx;
 
 	(void)service;
 	(void)point;
 	(void)tried;
 	if (n_tried >= SERVERS)
 		return ERR_NO_REPLICA;
-	bench->picks++;
+	fixture->picks++;
 	target->server = str_from(server_names[n_tried]);
 	target->home = STR("h");
 	return 0;
 }
 
-static int bench_forward(void *ctx, uint64_t id, struct str issuer,
-			 const struct run_message *request)
+static int fixture_forward(void *ctx, uint64_t id, struct str issuer,
+			   const struct run_message *request)
 {
-	struct bench *bench = ctx;
+	struct fixture *fixture = ctx;
 
 	(void)issuer;
 	(void)request;
-	bench->forwards++;
-	bench->id = id;
+	fixture->forwards++;
+	fixture->id = id;
 	return 0;
 }
 
-static int bench_send(void *ctx, uint64_t id, const struct run_target *target,
-		      const struct run_message *request)
+static int fixture_send(void *ctx, uint64_t id, const struct run_target *target,
+			const struct run_message *request)
 {
-	struct bench *bench = ctx;
+	struct fixture *fixture = ctx;
 
 	(void)target;
-	bench->sends++;
-	bench->id = id;
-	bench->deadline_ms = request->deadline_ms;
-	return bench->fail_send-- > 0 ? ERR_UNAVAILABLE : 0;
+	fixture->sends++;
+	fixture->id = id;
+	fixture->deadline_ms = request->deadline_ms;
+	return fixture->fail_send-- > 0 ? ERR_UNAVAILABLE : 0;
 }
 
-static const struct run_ops bench_ops = {
-	.pick = bench_pick,
-	.forward = bench_forward,
-	.send = bench_send,
+static const struct run_ops fixture_ops = {
+	.pick = fixture_pick,
+	.forward = fixture_forward,
+	.send = fixture_send,
 };
 
-static void bench_init(struct bench *bench)
+static void fixture_init(struct fixture *fixture)
 {
 	struct ticket_limits limits = {
 		.lifetime = MSEC(1000),
@@ -775,35 +782,35 @@
 	};
 	uint32_t retry;
 
-	memset(bench, 0, sizeof(*bench));
+	memset(fixture, 0, sizeof(*fixture));
 	random_state = 1;
-	clock_init_paused(&bench->clock, MSEC(1));
-	ticket_book_init(&bench->tickets, &bench->clock, STR("a"), 42,
-			 next_random);
-	ticket_book_set_limits(&bench->tickets, &limits);
-	run_book_init(&bench->runs, &bench->clock, &bench->tickets, &bench_ops,
-		      bench);
-	ticket_issue(&bench->tickets, STR("desk"), bench->text, &retry);
+	clock_init_paused(&fixture->clock, MSEC(1));
+	ticket_store_init(&fixture->tickets, &fixture->clock, STR("a"), 42,
+			  next_random);
+	ticket_store_set_limits(&fixture->tickets, &limits);
+	run_tracker_init(&fixture->runs, &fixture->clock, &fixture->tickets,
+			 &fixture_ops, fixture);
+	ticket_issue(&fixture->tickets, STR("desk"), fixture->text, &retry);
 }
 
-static void bench_finish(struct bench *bench)
+static void fixture_finish(struct fixture *fixture)
 {
-	run_book_finish(&bench->runs);
-	ticket_book_finish(&bench->tickets);
+	run_tracker_finish(&fixture->runs);
+	ticket_store_finish(&fixture->tickets);
 }
 
-static void bench_answered(struct run_wait *base,
-			   const struct ticket_answer *answer)
+static void fixture_answered(struct run_waiter *base,
+			     const struct ticket_answer *answer)
 {
-	struct bench_wait *wait = (struct bench_wait *)base;
+	struct fixture_waiter *waiter = (struct fixture_waiter *)base;
 
-	wait->calls++;
-	wait->code = answer->code;
-	wait->retry_after_ms = answer->retry_after_ms;
+	waiter->calls++;
+	waiter->code = answer->code;
+	waiter->retry_after_ms = answer->retry_after_ms;
 }
 
-static void bench_accept_text(struct bench *bench, struct bench_wait *wait,
-			      const char *text)
+static void fixture_accept_text(struct fixture *fixture,
+				struct fixture_waiter *waiter, const char *text)
 {
 	struct run_message request = {
 		.ticket = str_from(text),
@@ -813,280 +820,281 @@
 		.deadline_ms = DEADLINE_MS,
 	};
 
-	memset(wait, 0, sizeof(*wait));
-	wait->base.answered = bench_answered;
-	run_accept(&bench->runs, &request, &wait->base);
+	memset(waiter, 0, sizeof(*waiter));
+	waiter->base.answered = fixture_answered;
+	run_accept(&fixture->runs, &request, &waiter->base);
 }
 
-static void bench_accept(struct bench *bench, struct bench_wait *wait)
+static void fixture_accept(struct fixture *fixture,
+			   struct fixture_waiter *waiter)
 {
-	bench_accept_text(bench, wait, bench->text);
+	fixture_accept_text(fixture, waiter, fixture->text);
 }
 
-static void bench_result(struct bench *bench, const char *from, int code)
+static void fixture_result(struct fixture *fixture, const char *from, int code)
 {
 	struct ticket_answer answer = {.code = code};
 
-	run_result(&bench->runs, bench->id, str_from(from), &answer);
+	run_handle_result(&fixture->runs, fixture->id, str_from(from), &answer);
 }
 
 /*
- * A server is out of slots, and another has one. The order provably did not
- * run at the first, so it goes to the second at once and is done.
+ * The first server has no free slot. The request provably has not run there, so
+ * it is sent to the second one at once.
  */
-static void test_elsewhere(void)
+static void test_next_server(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	bench_accept(&bench, &wait);
-	bench_result(&bench, "h", ERR_NO_SLOT);
-	CU_ASSERT_EQUAL(bench.sends, 2);
-	CU_ASSERT_EQUAL(wait.calls, 0);
-	bench_result(&bench, "h", 0);
-	CU_ASSERT_EQUAL(wait.calls, 1);
-	CU_ASSERT_EQUAL(wait.code, 0);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture_accept(&fixture, &waiter);
+	fixture_result(&fixture, "h", ERR_NO_SLOT);
+	CU_ASSERT_EQUAL(fixture.sends, 2);
+	CU_ASSERT_EQUAL(waiter.calls, 0);
+	fixture_result(&fixture, "h", 0);
+	CU_ASSERT_EQUAL(waiter.calls, 1);
+	CU_ASSERT_EQUAL(waiter.code, 0);
+	fixture_finish(&fixture);
 }
 
 /*
- * The server breaks the connection after the order left. It may have run: no
- * other server gets it, and the caller is told at once that it is unknown.
+ * The connection to the server breaks after the request was sent. It may have
+ * run, so no other server gets it, and the outcome is reported as unknown.
  */
 static void test_lost_after_send(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	bench_accept(&bench, &wait);
-	bench_result(&bench, "h", ERR_LOST);
-	CU_ASSERT_EQUAL(bench.sends, 1);
-	CU_ASSERT_EQUAL(wait.calls, 1);
-	CU_ASSERT_EQUAL(run_outcome(wait.code), RUN_UNKNOWN);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture_accept(&fixture, &waiter);
+	fixture_result(&fixture, "h", ERR_LOST);
+	CU_ASSERT_EQUAL(fixture.sends, 1);
+	CU_ASSERT_EQUAL(waiter.calls, 1);
+	CU_ASSERT_EQUAL(run_outcome(waiter.code), RUN_UNKNOWN);
+	fixture_finish(&fixture);
 }
 
-/* As before, but it is the home that is gone with the order. */
+/* The same after the connection to the home breaks. */
 static void test_home_lost(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	bench_accept(&bench, &wait);
-	run_peer_lost(&bench.runs, STR("other"));
-	CU_ASSERT_EQUAL(wait.calls, 0);
-	run_peer_lost(&bench.runs, STR("h"));
-	CU_ASSERT_EQUAL(wait.calls, 1);
-	CU_ASSERT_EQUAL(run_outcome(wait.code), RUN_UNKNOWN);
-	CU_ASSERT_EQUAL(bench.sends, 1);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture_accept(&fixture, &waiter);
+	run_peer_lost(&fixture.runs, STR("other"));
+	CU_ASSERT_EQUAL(waiter.calls, 0);
+	run_peer_lost(&fixture.runs, STR("h"));
+	CU_ASSERT_EQUAL(waiter.calls, 1);
+	CU_ASSERT_EQUAL(run_outcome(waiter.code), RUN_UNKNOWN);
+	CU_ASSERT_EQUAL(fixture.sends, 1);
+	fixture_finish(&fixture);
 }
 
-/* A home that can't be reached got no byte: the next one is asked. */
+/* A home that can't be reached got no byte, so the next one is tried. */
 static void test_home_unreachable(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	bench.fail_send = 1;
-	bench_accept(&bench, &wait);
-	CU_ASSERT_EQUAL(bench.sends, 2);
-	bench_result(&bench, "h", 0);
-	CU_ASSERT_EQUAL(wait.code, 0);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture.fail_send = 1;
+	fixture_accept(&fixture, &waiter);
+	CU_ASSERT_EQUAL(fixture.sends, 2);
+	fixture_result(&fixture, "h", 0);
+	CU_ASSERT_EQUAL(waiter.code, 0);
+	fixture_finish(&fixture);
 }
 
 /*
- * No server takes the order: the caller hears so at once, not at the deadline.
- * A repeat under the ticket hears the same and does not run either, so that a
- * caller who then orders under a new ticket gets one van.
+ * No server accepts the request: the caller gets "not run" at once, not at the
+ * deadline. A repeat with the same ticket gets the same answer and doesn't run,
+ * so that retrying with a new ticket can't run the request twice.
  */
 static void test_not_run_is_final(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	bench_accept(&bench, &wait);
-	bench_result(&bench, "h", ERR_SHED);
-	bench_result(&bench, "h", ERR_CONNECT);
-	CU_ASSERT_EQUAL(wait.calls, 1);
-	CU_ASSERT_EQUAL(run_outcome(wait.code), RUN_NOT_RUN);
-	bench_accept(&bench, &wait);
-	CU_ASSERT_EQUAL(wait.calls, 1);
-	CU_ASSERT_EQUAL(run_outcome(wait.code), RUN_NOT_RUN);
-	CU_ASSERT_EQUAL(bench.sends, 2);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture_accept(&fixture, &waiter);
+	fixture_result(&fixture, "h", ERR_SHED);
+	fixture_result(&fixture, "h", ERR_CONNECT);
+	CU_ASSERT_EQUAL(waiter.calls, 1);
+	CU_ASSERT_EQUAL(run_outcome(waiter.code), RUN_NOT_RUN);
+	fixture_accept(&fixture, &waiter);
+	CU_ASSERT_EQUAL(waiter.calls, 1);
+	CU_ASSERT_EQUAL(run_outcome(waiter.code), RUN_NOT_RUN);
+	CU_ASSERT_EQUAL(fixture.sends, 2);
+	fixture_finish(&fixture);
 }
 
 /*
- * The home's answer "no slot" comes twice, the second time after the order
- * went on to another server. The second must not be taken for that one's.
+ * The home's answer "no slot" arrives twice, the second time after the request
+ * was sent to another server. It must not be taken for the answer of that one.
  */
 static void test_duplicate_result(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 	uint64_t first;
 
-	bench_init(&bench);
-	bench_accept(&bench, &wait);
-	first = bench.id;
-	bench_result(&bench, "h", ERR_NO_SLOT);
-	bench.id = first;
-	bench_result(&bench, "h", ERR_NO_SLOT);
-	CU_ASSERT_EQUAL(bench.sends, 2);
-	CU_ASSERT_EQUAL(wait.calls, 0);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture_accept(&fixture, &waiter);
+	first = fixture.id;
+	fixture_result(&fixture, "h", ERR_NO_SLOT);
+	fixture.id = first;
+	fixture_result(&fixture, "h", ERR_NO_SLOT);
+	CU_ASSERT_EQUAL(fixture.sends, 2);
+	CU_ASSERT_EQUAL(waiter.calls, 0);
+	fixture_finish(&fixture);
 }
 
 /*
- * The issuer is stopped right after it got "no slot" and wakes when the
- * deadline is over. It sends nothing more and can say that nothing ran.
+ * The issuer is stopped before it reads "no slot" and resumes after the
+ * deadline. It must not send the request again, and reports it as not run.
  */
-static void test_late_wake(void)
+static void test_stopped_issuer(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	bench_accept(&bench, &wait);
-	clock_advance(&bench.clock, MSEC(30000));
-	bench_result(&bench, "h", ERR_NO_SLOT);
-	CU_ASSERT_EQUAL(bench.sends, 1);
-	CU_ASSERT_EQUAL(wait.code, ERR_TOO_LATE);
-	CU_ASSERT_EQUAL(run_outcome(wait.code), RUN_NOT_RUN);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture_accept(&fixture, &waiter);
+	clock_advance(&fixture.clock, MSEC(30000));
+	fixture_result(&fixture, "h", ERR_NO_SLOT);
+	CU_ASSERT_EQUAL(fixture.sends, 1);
+	CU_ASSERT_EQUAL(waiter.code, ERR_TOO_LATE);
+	CU_ASSERT_EQUAL(run_outcome(waiter.code), RUN_NOT_RUN);
+	fixture_finish(&fixture);
 }
 
-/* Near the end of a ticket's life no attempt outlives it. */
+/* The deadline of an attempt doesn't exceed the expiry of the ticket. */
 static void test_deadline_within_lifetime(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	clock_advance(&bench.clock, MSEC(900));
-	bench_accept(&bench, &wait);
-	CU_ASSERT_EQUAL(bench.deadline_ms, 100);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	clock_advance(&fixture.clock, MSEC(900));
+	fixture_accept(&fixture, &waiter);
+	CU_ASSERT_EQUAL(fixture.deadline_ms, 100);
+	fixture_finish(&fixture);
 }
 
 /*
- * The home is silent: at the deadline the caller hears that it is not known.
- * The answer still comes, and a repeat of the ticket then gets it.
+ * The home doesn't answer before the deadline, and the caller gets an unknown
+ * outcome. A repeat with the same ticket gets the answer that arrives later.
  */
 static void test_late_answer(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	bench_accept(&bench, &wait);
-	clock_advance(&bench.clock, MSEC(DEADLINE_MS));
-	run_tick(&bench.runs);
-	CU_ASSERT_EQUAL(wait.calls, 1);
-	CU_ASSERT_EQUAL(run_outcome(wait.code), RUN_UNKNOWN);
-	bench_result(&bench, "h", 0);
-	CU_ASSERT_EQUAL(wait.calls, 1);
-	bench_accept(&bench, &wait);
-	CU_ASSERT_EQUAL(wait.calls, 1);
-	CU_ASSERT_EQUAL(wait.code, 0);
-	CU_ASSERT_EQUAL(bench.sends, 1);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture_accept(&fixture, &waiter);
+	clock_advance(&fixture.clock, MSEC(DEADLINE_MS));
+	run_tick(&fixture.runs);
+	CU_ASSERT_EQUAL(waiter.calls, 1);
+	CU_ASSERT_EQUAL(run_outcome(waiter.code), RUN_UNKNOWN);
+	fixture_result(&fixture, "h", 0);
+	CU_ASSERT_EQUAL(waiter.calls, 1);
+	fixture_accept(&fixture, &waiter);
+	CU_ASSERT_EQUAL(waiter.calls, 1);
+	CU_ASSERT_EQUAL(waiter.code, 0);
+	CU_ASSERT_EQUAL(fixture.sends, 1);
+	fixture_finish(&fixture);
 }
 
 #define OTHER_TICKET "1-000000000000002b-0000000000000001-0000000000000001-b"
 #define FORMER_TICKET "1-000000000000002b-0000000000000001-0000000000000001-a"
 
-/* The issuer is gone: nobody can say whether the order ran. */
+/* The issuer is gone or restarted: the outcome is unknown. */
 static void test_issuer_gone(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	bench_accept_text(&bench, &wait, OTHER_TICKET);
-	CU_ASSERT_EQUAL(bench.forwards, 1);
-	CU_ASSERT_EQUAL(wait.calls, 0);
-	run_peer_lost(&bench.runs, STR("b"));
-	CU_ASSERT_EQUAL(run_outcome(wait.code), RUN_UNKNOWN);
-	bench_accept_text(&bench, &wait, FORMER_TICKET);
-	CU_ASSERT_EQUAL(wait.calls, 1);
-	CU_ASSERT_EQUAL(wait.code, ERR_TICKET_LOST);
-	CU_ASSERT_EQUAL(run_outcome(wait.code), RUN_UNKNOWN);
-	CU_ASSERT_EQUAL(bench.sends, 0);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture_accept_text(&fixture, &waiter, OTHER_TICKET);
+	CU_ASSERT_EQUAL(fixture.forwards, 1);
+	CU_ASSERT_EQUAL(waiter.calls, 0);
+	run_peer_lost(&fixture.runs, STR("b"));
+	CU_ASSERT_EQUAL(run_outcome(waiter.code), RUN_UNKNOWN);
+	fixture_accept_text(&fixture, &waiter, FORMER_TICKET);
+	CU_ASSERT_EQUAL(waiter.calls, 1);
+	CU_ASSERT_EQUAL(waiter.code, ERR_TICKET_LOST);
+	CU_ASSERT_EQUAL(run_outcome(waiter.code), RUN_UNKNOWN);
+	CU_ASSERT_EQUAL(fixture.sends, 0);
+	fixture_finish(&fixture);
 }
 
 /*
- * A frame for a ticket is answered by an instance that it was not sent to,
- * as after a change of connections. It is ignored.
+ * An answer from an instance that the frame wasn't sent to is ignored. This can
+ * happen after a change of connections.
  */
-static void test_foreign_result(void)
+static void test_result_of_other_instance(void)
 {
-	struct bench_wait wait;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	bench_accept_text(&bench, &wait, OTHER_TICKET);
-	bench_result(&bench, "c", 0);
-	CU_ASSERT_EQUAL(wait.calls, 0);
-	bench_result(&bench, "b", 0);
-	CU_ASSERT_EQUAL(wait.calls, 1);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture_accept_text(&fixture, &waiter, OTHER_TICKET);
+	fixture_result(&fixture, "c", 0);
+	CU_ASSERT_EQUAL(waiter.calls, 0);
+	fixture_result(&fixture, "b", 0);
+	CU_ASSERT_EQUAL(waiter.calls, 1);
+	fixture_finish(&fixture);
 }
 
 /*
- * Too many requests are in progress. The issuer closes the ticket as not run;
- * a forwarder can't say so, for the request may run on another way.
+ * Too many requests are in progress. The issuer answers "not run" for good. A
+ * forwarding instance can't, as the request may arrive through another one.
  */
-static void test_full(void)
-{
-	struct bench_wait wait;
-	struct bench bench;
-
-	bench_init(&bench);
-	bench.runs.calls_max = 0;
-	bench_accept_text(&bench, &wait, OTHER_TICKET);
-	CU_ASSERT_EQUAL(run_outcome(wait.code), RUN_UNKNOWN);
-	CU_ASSERT(wait.retry_after_ms > 0);
-	bench_accept(&bench, &wait);
-	CU_ASSERT_EQUAL(wait.code, ERR_OVERLOAD);
-	bench.runs.calls_max = 10;
-	bench_accept(&bench, &wait);
-	CU_ASSERT_EQUAL(wait.code, ERR_OVERLOAD);
-	CU_ASSERT_EQUAL(bench.sends, 0);
-	bench_finish(&bench);
-}
-
-/* A caller hangs up: its order goes on and is there for a repeat. */
+static void test_overload(void)
+{
+	struct fixture_waiter waiter;
+	struct fixture fixture;
+
+	fixture_init(&fixture);
+	fixture.runs.calls_max = 0;
+	fixture_accept_text(&fixture, &waiter, OTHER_TICKET);
+	CU_ASSERT_EQUAL(run_outcome(waiter.code), RUN_UNKNOWN);
+	CU_ASSERT(waiter.retry_after_ms > 0);
+	fixture_accept(&fixture, &waiter);
+	CU_ASSERT_EQUAL(waiter.code, ERR_OVERLOAD);
+	fixture.runs.calls_max = 10;
+	fixture_accept(&fixture, &waiter);
+	CU_ASSERT_EQUAL(waiter.code, ERR_OVERLOAD);
+	CU_ASSERT_EQUAL(fixture.sends, 0);
+	fixture_finish(&fixture);
+}
+
+/* A caller disconnects: its request continues, and a repeat gets the answer. */
 static void test_abandon(void)
 {
-	struct bench_wait wait;
-	struct bench_wait again;
-	struct bench bench;
+	struct fixture_waiter waiter;
+	struct fixture_waiter again;
+	struct fixture fixture;
 
-	bench_init(&bench);
-	bench_accept(&bench, &wait);
-	run_abandon(&wait.base);
-	bench_accept(&bench, &again);
-	bench_result(&bench, "h", 0);
-	CU_ASSERT_EQUAL(wait.calls, 0);
+	fixture_init(&fixture);
+	fixture_accept(&fixture, &waiter);
+	run_abandon(&waiter.base);
+	fixture_accept(&fixture, &again);
+	fixture_result(&fixture, "h", 0);
+	CU_ASSERT_EQUAL(waiter.calls, 0);
 	CU_ASSERT_EQUAL(again.calls, 1);
-	CU_ASSERT_EQUAL(bench.sends, 1);
-	bench_accept_text(&bench, &wait, OTHER_TICKET);
-	run_abandon(&wait.base);
-	bench_result(&bench, "b", 0);
-	CU_ASSERT_EQUAL(wait.calls, 0);
-	bench_finish(&bench);
+	CU_ASSERT_EQUAL(fixture.sends, 1);
+	fixture_accept_text(&fixture, &waiter, OTHER_TICKET);
+	run_abandon(&waiter.base);
+	fixture_result(&fixture, "b", 0);
+	CU_ASSERT_EQUAL(waiter.calls, 0);
+	fixture_finish(&fixture);
 }
 
-/* A number that this version does not know never reads as not run. */
+/* An unknown error code never means "not run". */
 static void test_outcome(void)
 {
 	CU_ASSERT_EQUAL(run_outcome(-9999), RUN_UNKNOWN);
@@ -1101,8 +1109,9 @@
 }
 
 /*
- * A server that is leaving answers an order with 200 and says beside it that
- * it leaves. Taken for a refusal, the order would go to another server too.
+ * A server that is leaving answers with 200 and also says that it is leaving.
+ * Taken for a refusal, the request would be sent to another server and run
+ * twice.
  */
 static void test_reply(void)
 {
@@ -1111,41 +1120,45 @@
 				     499, 500, 502, 504, 999};
 	size_t i;
 
-	CU_ASSERT_EQUAL(run_code(200, ERR_DRAINING, true), 0);
+	CU_ASSERT_EQUAL(run_reply_error(200, ERR_DRAINING, true), 0);
 	for (i = 0; i < sizeof(proofs) / sizeof(*proofs); i++)
-		CU_ASSERT_EQUAL(run_outcome(run_code(proofs[i], 0, true)),
+		CU_ASSERT_EQUAL(run_outcome(
+					run_reply_error(proofs[i], 0, true)),
 				RUN_NOT_RUN);
 	for (i = 0; i < sizeof(others) / sizeof(*others); i++)
-		CU_ASSERT_EQUAL(run_outcome(run_code(others[i], ERR_TOO_LATE,
-						     true)),
+		CU_ASSERT_EQUAL(run_outcome(run_reply_error(others[i],
+							    ERR_TOO_LATE,
+							    true)),
 				RUN_UNKNOWN);
-	CU_ASSERT_EQUAL(run_outcome(run_code(400, 0, true)), RUN_REFUSED);
-	CU_ASSERT_EQUAL(run_outcome(run_code(0, ERR_CONNECT, false)),
+	CU_ASSERT_EQUAL(run_outcome(run_reply_error(400, 0, true)),
+			RUN_REFUSED);
+	CU_ASSERT_EQUAL(run_outcome(run_reply_error(0, ERR_CONNECT, false)),
 			RUN_NOT_RUN);
-	CU_ASSERT_EQUAL(run_outcome(run_code(0, ERR_CONNECT, true)),
+	CU_ASSERT_EQUAL(run_outcome(run_reply_error(0, ERR_CONNECT, true)),
+			RUN_UNKNOWN);
+	CU_ASSERT_EQUAL(run_outcome(run_reply_error(0, ERR_LOST, true)),
 			RUN_UNKNOWN);
-	CU_ASSERT_EQUAL(run_outcome(run_code(0, ERR_LOST, true)), RUN_UNKNOWN);
 }
 
 static const struct unit_test tests[] = {
-	{"elsewhere", test_elsewhere},
-	{"lost after send", test_lost_after_send},
-	{"home lost", test_home_lost},
+	{"next server after a refusal", test_next_server},
+	{"connection lost after sending", test_lost_after_send},
+	{"connection to home lost", test_home_lost},
 	{"home unreachable", test_home_unreachable},
 	{"not run is final", test_not_run_is_final},
 	{"duplicate result", test_duplicate_result},
-	{"late wake", test_late_wake},
+	{"issuer stopped past the deadline", test_stopped_issuer},
 	{"deadline within lifetime", test_deadline_within_lifetime},
 	{"late answer", test_late_answer},
 	{"issuer gone", test_issuer_gone},
-	{"foreign result", test_foreign_result},
-	{"full", test_full},
-	{"abandon", test_abandon},
-	{"outcome", test_outcome},
-	{"reply", test_reply},
-	{"histories, naive", test_histories_naive},
-	{"histories, calm", test_histories_calm},
-	{"histories", test_histories},
+	{"result from another instance", test_result_of_other_instance},
+	{"too many requests", test_overload},
+	{"caller disconnects", test_abandon},
+	{"outcome of error codes", test_outcome},
+	{"outcome of HTTP replies", test_reply},
+	{"random histories, plain retries", test_histories_plain_retries},
+	{"random histories, no faults", test_histories_without_faults},
+	{"random histories", test_histories},
 };
 
 UNIT_MAIN("run", tests)
--- a/tests/test_run_trace.c
+++ b/tests/test_run_trace.c
@@ -48,8 +48,8 @@
 }
 
 /*
- * A van was ordered and nobody knows whether it comes: the record must not
- * read as "not run", and the request is bad for both objectives.
+ * A request with an unknown outcome must not be recorded as not run, and counts
+ * as bad for both objectives.
  */
 static void test_unknown(void)
 {
@@ -62,7 +62,7 @@
 	path_board_finish(&path);
 }
 
-static void test_own_mistake_burns_nothing(void)
+static void test_invalid_request_not_counted(void)
 {
 	path_board_init(&path, 1);
 	CU_ASSERT_FALSE(end(ERR_BAD_REQUEST, MSEC(3))->summary.notable);
@@ -71,9 +71,9 @@
 }
 
 static const struct unit_test tests[] = {
-	{"a record of a request", test_record},
-	{"an unknown outcome", test_unknown},
-	{"the caller's own mistake", test_own_mistake_burns_nothing},
+	{"trace of an answered request", test_record},
+	{"unknown outcome", test_unknown},
+	{"invalid request not counted", test_invalid_request_not_counted},
 };
 
 UNIT_MAIN("run_trace", tests)
--- a/tests/test_ticket.c
+++ b/tests/test_ticket.c
@@ -18,7 +18,7 @@
 
 struct fixture {
 	struct clock clock;
-	struct ticket_book book;
+	struct ticket_store store;
 	char text[TICKET_TEXT_SIZE];
 	struct ticket_id id;
 	struct ticket_answer answer;
@@ -33,14 +33,14 @@
 		.answer_reserve = 64,
 	};
 
-	ticket_book_set_limits(&f->book, &limits);
+	ticket_store_set_limits(&f->store, &limits);
 }
 
 static void setup(struct fixture *f)
 {
 	memset(f, 0, sizeof(*f));
 	clock_init_paused(&f->clock, MSEC(5));
-	ticket_book_init(&f->book, &f->clock, STR("be1-a"), 42, count_up);
+	ticket_store_init(&f->store, &f->clock, STR("be1-a"), 42, count_up);
 	set_limits(f, 100, 1 << 20);
 }
 
@@ -48,7 +48,7 @@
 {
 	uint32_t retry;
 
-	CU_ASSERT_EQUAL_FATAL(ticket_issue(&f->book, STR("desk"), f->text,
+	CU_ASSERT_EQUAL_FATAL(ticket_issue(&f->store, STR("desk"), f->text,
 					   &retry),
 			      0);
 	CU_ASSERT_EQUAL_FATAL(ticket_parse(str_from(f->text), &f->id), 0);
@@ -56,14 +56,14 @@
 
 static int use(struct fixture *f)
 {
-	return ticket_use(&f->book, &f->id, STR("desk"), DIGEST, &f->answer);
+	return ticket_use(&f->store, &f->id, STR("desk"), DIGEST, &f->answer);
 }
 
 static void answer(struct fixture *f, int code, const char *body)
 {
 	struct ticket_answer given = {.code = code, .body = str_from(body)};
 
-	ticket_answer(&f->book, f->id.sequence, &given);
+	ticket_answer(&f->store, f->id.sequence, &given);
 }
 
 struct waiter {
@@ -82,9 +82,9 @@
 }
 
 /*
- * A caller loses the answer to a van order and sends the order again. While
- * the first still runs, the second waits; both get the one answer, and so does
- * a third that comes later. The order runs once.
+ * A caller that lost the answer repeats its request. The repeat must not run:
+ * while the first request runs it waits, and it gets the same answer, as does a
+ * later one.
  */
 static void test_repeat(void)
 {
@@ -95,9 +95,9 @@
 	setup(&f);
 	issue(&f);
 	CU_ASSERT_EQUAL(use(&f), TICKET_FIRST);
-	CU_ASSERT_EQUAL(ticket_wait(&f.book, f.id.sequence, &first.base), 0);
+	CU_ASSERT_EQUAL(ticket_wait(&f.store, f.id.sequence, &first.base), 0);
 	CU_ASSERT_EQUAL(use(&f), TICKET_RUNNING);
-	CU_ASSERT_EQUAL(ticket_wait(&f.book, f.id.sequence, &second.base), 0);
+	CU_ASSERT_EQUAL(ticket_wait(&f.store, f.id.sequence, &second.base), 0);
 	answer(&f, 0, "van 7");
 	CU_ASSERT_EQUAL(first.calls, 1);
 	CU_ASSERT_EQUAL(second.calls, 1);
@@ -106,16 +106,16 @@
 	CU_ASSERT_EQUAL(use(&f), TICKET_ANSWERED);
 	CU_ASSERT_EQUAL(f.answer.code, 0);
 	CU_ASSERT(str_eq_text(f.answer.body, "van 7"));
-	CU_ASSERT_EQUAL(ticket_wait(&f.book, f.id.sequence, &first.base),
+	CU_ASSERT_EQUAL(ticket_wait(&f.store, f.id.sequence, &first.base),
 			ERR_TICKET);
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.store);
 }
 
 /*
- * A caller makes tickets up, alters one, or uses one for another service or
- * request. Each is refused with its type, and the true ticket still works.
+ * Forged or altered tickets, and tickets used for another service or request,
+ * are refused with the matching error. The valid ticket still works.
  */
-static void test_made_up(void)
+static void test_forged(void)
 {
 	struct fixture f;
 	struct ticket_id bad;
@@ -124,22 +124,22 @@
 	issue(&f);
 	bad = f.id;
 	bad.nonce ^= 1;
-	CU_ASSERT_EQUAL(ticket_use(&f.book, &bad, STR("desk"), DIGEST,
+	CU_ASSERT_EQUAL(ticket_use(&f.store, &bad, STR("desk"), DIGEST,
 				   &f.answer),
 			ERR_TICKET);
 	bad = f.id;
 	bad.sequence = 9;
-	CU_ASSERT_EQUAL(ticket_use(&f.book, &bad, STR("desk"), DIGEST,
+	CU_ASSERT_EQUAL(ticket_use(&f.store, &bad, STR("desk"), DIGEST,
 				   &f.answer),
 			ERR_TICKET);
-	CU_ASSERT_EQUAL(ticket_use(&f.book, &f.id, STR("registry"), DIGEST,
+	CU_ASSERT_EQUAL(ticket_use(&f.store, &f.id, STR("registry"), DIGEST,
 				   &f.answer),
 			ERR_TICKET);
 	CU_ASSERT_EQUAL(use(&f), TICKET_FIRST);
-	CU_ASSERT_EQUAL(ticket_use(&f.book, &f.id, STR("desk"), DIGEST + 1,
+	CU_ASSERT_EQUAL(ticket_use(&f.store, &f.id, STR("desk"), DIGEST + 1,
 				   &f.answer),
 			ERR_BAD_REQUEST);
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.store);
 }
 
 static void test_parse(void)
@@ -170,8 +170,8 @@
 }
 
 /*
- * An instance crashes and starts again under its name. A ticket of its former
- * life must not run in its new one, where nothing is known of what ran.
+ * An instance restarts after a crash under the same name. Tickets of its former
+ * incarnation must not run, as the new one doesn't know what has run.
  */
 static void test_incarnation(void)
 {
@@ -179,16 +179,16 @@
 
 	setup(&f);
 	issue(&f);
-	CU_ASSERT(ticket_is_own(&f.book, &f.id));
-	f.book.incarnation = 43;
-	CU_ASSERT_FALSE(ticket_is_own(&f.book, &f.id));
-	ticket_book_finish(&f.book);
+	CU_ASSERT(ticket_is_own(&f.store, &f.id));
+	f.store.incarnation = 43;
+	CU_ASSERT_FALSE(ticket_is_own(&f.store, &f.id));
+	ticket_store_finish(&f.store);
 }
 
 /*
- * A process is stopped for longer than a ticket's life and then reads a
- * request that came with it. The ticket is refused: as surely not run if it
- * was never used, as lost if it was. This holds after its entry is freed.
+ * A process that was stopped for longer than the lifetime of a ticket reads a
+ * request that arrived earlier. The ticket is refused: as not run if it was
+ * never used, as lost otherwise, also after its entry was freed.
  */
 static void test_expiry(void)
 {
@@ -202,25 +202,25 @@
 	used = f.id;
 	issue(&f);
 	clock_advance(&f.clock, LIFETIME - 1);
-	CU_ASSERT_EQUAL(ticket_left(&f.book, used.sequence), 1);
+	CU_ASSERT_EQUAL(ticket_time_left(&f.store, used.sequence), 1);
 	clock_advance(&f.clock, 1);
 	CU_ASSERT_EQUAL(use(&f), ERR_TICKET_EXPIRED);
-	CU_ASSERT_EQUAL(ticket_use(&f.book, &used, STR("desk"), DIGEST,
+	CU_ASSERT_EQUAL(ticket_use(&f.store, &used, STR("desk"), DIGEST,
 				   &f.answer),
 			ERR_TICKET_LOST);
-	ticket_expire(&f.book);
-	CU_ASSERT_EQUAL(f.book.n_entries, 0);
-	CU_ASSERT_EQUAL(f.book.bytes, 0);
+	ticket_expire(&f.store);
+	CU_ASSERT_EQUAL(f.store.n_entries, 0);
+	CU_ASSERT_EQUAL(f.store.bytes, 0);
 	CU_ASSERT_EQUAL(use(&f), ERR_TICKET_EXPIRED);
-	CU_ASSERT_EQUAL(ticket_use(&f.book, &used, STR("desk"), DIGEST,
+	CU_ASSERT_EQUAL(ticket_use(&f.store, &used, STR("desk"), DIGEST,
 				   &f.answer),
 			ERR_TICKET_LOST);
-	f.book.issued += TICKET_HISTORY;
+	f.store.issued += TICKET_HISTORY;
 	CU_ASSERT_EQUAL(use(&f), ERR_TICKET_LOST);
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.store);
 }
 
-/* A request that runs when its ticket expires is still answered. */
+/* A request that is running when its ticket expires still gets its answer. */
 static void test_expiry_while_running(void)
 {
 	struct waiter waiter = {.base.answered = on_answered};
@@ -229,21 +229,20 @@
 	setup(&f);
 	issue(&f);
 	CU_ASSERT_EQUAL(use(&f), TICKET_FIRST);
-	ticket_wait(&f.book, f.id.sequence, &waiter.base);
+	ticket_wait(&f.store, f.id.sequence, &waiter.base);
 	clock_advance(&f.clock, LIFETIME + 1);
-	ticket_expire(&f.book);
+	ticket_expire(&f.store);
 	CU_ASSERT_EQUAL(use(&f), TICKET_RUNNING);
 	answer(&f, 0, "van 7");
 	CU_ASSERT_EQUAL(waiter.calls, 1);
-	ticket_expire(&f.book);
-	CU_ASSERT_EQUAL(f.book.n_entries, 0);
-	ticket_book_finish(&f.book);
+	ticket_expire(&f.store);
+	CU_ASSERT_EQUAL(f.store.n_entries, 0);
+	ticket_store_finish(&f.store);
 }
 
 /*
- * A caller asks for tickets without end. Issuing is refused, as not run and
- * with a time to come back, before memory grows beyond its bounds; answers
- * already kept stay.
+ * A caller requests tickets without limit. Issuing is refused, with a retry
+ * time, before memory grows beyond its bounds.
  */
 static void test_bounds(void)
 {
@@ -254,23 +253,23 @@
 
 	setup(&f);
 	set_limits(&f, 10, 1 << 20);
-	while (!ticket_issue(&f.book, STR("desk"), text, &retry))
+	while (!ticket_issue(&f.store, STR("desk"), text, &retry))
 		n++;
 	CU_ASSERT_EQUAL(n, 10);
 	CU_ASSERT(retry > 0);
 	clock_advance(&f.clock, LIFETIME);
 	set_limits(&f, 1000, 2000);
 	n = 0;
-	while (!ticket_issue(&f.book, STR("desk"), text, &retry))
+	while (!ticket_issue(&f.store, STR("desk"), text, &retry))
 		n++;
 	CU_ASSERT(n > 1);
-	CU_ASSERT(f.book.bytes <= 2000);
-	ticket_book_finish(&f.book);
+	CU_ASSERT(f.store.bytes <= 2000);
+	ticket_store_finish(&f.store);
 }
 
 /*
- * A backend server answers with more than was set aside, and the book is full.
- * The waiter gets it whole; a repeat learns that it ran, without the body.
+ * An answer exceeds the reserved bytes while the store is full. The waiter gets
+ * the whole answer; a repeat gets the code without the body.
  */
 static void test_large_answer(void)
 {
@@ -280,25 +279,25 @@
 
 	setup(&f);
 	issue(&f);
-	set_limits(&f, 10, f.book.bytes);
+	set_limits(&f, 10, f.store.bytes);
 	CU_ASSERT_EQUAL(use(&f), TICKET_FIRST);
-	ticket_answer(&f.book, f.id.sequence, &given);
-	CU_ASSERT(f.book.bytes <= f.book.limits.bytes_max);
+	ticket_answer(&f.store, f.id.sequence, &given);
+	CU_ASSERT(f.store.bytes <= f.store.limits.bytes_max);
 	CU_ASSERT_EQUAL(use(&f), TICKET_ANSWERED);
 	CU_ASSERT_EQUAL(f.answer.code, 0);
 	CU_ASSERT_EQUAL(f.answer.body.len, 0);
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.store);
 }
 
 static const struct unit_test tests[] = {
-	{"repeat", test_repeat},
-	{"made up", test_made_up},
+	{"repeated request", test_repeat},
+	{"forged or altered ticket", test_forged},
 	{"parse", test_parse},
-	{"incarnation", test_incarnation},
+	{"ticket of a former incarnation", test_incarnation},
 	{"expiry", test_expiry},
 	{"expiry while running", test_expiry_while_running},
-	{"bounds", test_bounds},
-	{"large answer", test_large_answer},
+	{"bounds of memory", test_bounds},
+	{"answer larger than its reserve", test_large_answer},
 };
 
 UNIT_MAIN("ticket", tests)
