--- a/poison.c
+++ b/poison.c
@@ -25,7 +25,7 @@
 	int n_servers;
 	uint64_t servers[POISON_SERVERS_MAX];
 	uint64_t replica_set;
-	int64_t since;
+	int64_t updated;
 	int64_t expires;
 	UT_hash_handle hh;
 };
@@ -151,7 +151,7 @@
 		drop_safe_entry(poison, safe_entry);
 	if (count_crashes(entry) >= poison->ban_after)
 		entry->banned = true;
-	entry->since = now;
+	entry->updated = now;
 	entry->expires = now + (entry->banned ? poison->tunables.ban_ttl
 					      : poison->tunables.suspect_ttl);
 }
@@ -400,7 +400,8 @@
 static bool clears_suspicion(const struct poison_entry *entry,
 			     const struct poison_run *run)
 {
-	return !entry->banned && run->suspect && run->started >= entry->since &&
+	return !entry->banned && run->suspect &&
+	       run->started >= entry->updated &&
 	       run->replica_set == entry->replica_set;
 }
 
@@ -439,7 +440,7 @@
 		add_server(entry, server);
 	else if (!run->watched)
 		add_unwatched_crash(entry, run->safe);
-	else if (has_server(entry, server) && run->started >= entry->since)
+	else if (has_server(entry, server) && run->started >= entry->updated)
 		/* The same server restarted and crashed again. */
 		add_server(entry, str_hash_mix(server, 1));
 	else
@@ -505,10 +506,10 @@
 static int64_t bounded_remaining(const struct poison *poison,
 				 const struct poison_report *report)
 {
-	int64_t most = report->banned ? poison->tunables.ban_ttl
-				      : poison->tunables.suspect_ttl;
+	int64_t limit = report->banned ? poison->tunables.ban_ttl
+				       : poison->tunables.suspect_ttl;
 
-	return report->remaining < most ? report->remaining : most;
+	return report->remaining < limit ? report->remaining : limit;
 }
 
 static bool evidence_differs(const struct poison_entry *entry,
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -457,7 +457,7 @@
 	uint64_t hash;
 	int node;
 	int tries;
-	int open;
+	int open_parts;
 	bool watched;
 	bool poison;
 };
@@ -488,7 +488,7 @@
 
 struct model {
 	struct clock clock;
-	bool plain;
+	bool plain; /* no canaries and no bans */
 	struct model_node nodes[NODES];
 	struct model_server servers[SERVERS];
 	struct event *ring[RING_SLOTS];
@@ -581,7 +581,7 @@
 	event->query = query;
 	event->server = server;
 	event->watched = watched;
-	query->open++;
+	query->open_parts++;
 	schedule(model, event, random_ms(1, 2));
 }
 
@@ -609,13 +609,13 @@
 	return poison_pick(poison, query->hash, candidates, SERVERS);
 }
 
-static void send_all(struct model *model, struct query *query, int but)
+static void send_all(struct model *model, struct query *query, int except)
 {
 	int i;
 
 	query->watched = false;
 	for (i = 0; i < SERVERS; i++) {
-		if (i != but && is_up(model, i))
+		if (i != except && is_up(model, i))
 			send_part(model, query, i, false);
 	}
 }
@@ -648,7 +648,7 @@
 		if (server >= 0)
 			send_part(model, query, server, true);
 	}
-	if (!query->open)
+	if (!query->open_parts)
 		end_query(model, query, false);
 }
 
@@ -670,7 +670,7 @@
 {
 	struct event *event;
 
-	query->open--;
+	query->open_parts--;
 	if (query->watched && well) {
 		send_all(model, query, server);
 	} else if (query->watched && query->tries++ < 2) {
@@ -679,7 +679,7 @@
 		schedule(model, event, random_ms(5, 10));
 		return;
 	}
-	if (!query->open)
+	if (!query->open_parts)
 		end_query(model, query, well || !query->watched);
 }
 
@@ -860,7 +860,10 @@
 #define RESENDS 10
 #define POISONS 20
 
-/* The caller resends each search to another instance. */
+/*
+ * Sends crashing searches, each several times to different instances. Returns
+ * the maximum number of servers that one of them crashed.
+ */
 static int poison_losses(bool plain)
 {
 	struct model model;
--- a/tests/test_run.c
+++ b/tests/test_run.c
@@ -115,7 +115,7 @@
 	struct ticket tickets[TICKETS];
 	struct event *events;
 	struct waiter *waiters;
-	bool naive;
+	bool naive; /* plain retries without tickets */
 	int faults; /* per mille, of each kind */
 	int runs;
 	int answers;
@@ -133,7 +133,10 @@
 	return event;
 }
 
-/* Short delay, or at a fault one that exceeds a deadline or lifetime. */
+/*
+ * Usually a short delay; for a fault, one that may exceed a deadline or the
+ * lifetime of a ticket.
+ */
 static int64_t delay(struct fleet *fleet)
 {
 	if (chance(fleet->faults))
