--- a/poison.c
+++ b/poison.c
@@ -405,14 +405,14 @@
 	       run->replica_set == entry->replica_set;
 }
 
-void poison_end(struct poison *poison, struct poison_run *run, bool well)
+void poison_end(struct poison *poison, struct poison_run *run, bool answered)
 {
 	struct poison_entry *entry;
 
 	if (!run->server)
 		return;
 	drop_run(poison, run);
-	if (!well)
+	if (!answered)
 		return;
 	entry = find_live_entry(poison, run->hash);
 	if (entry && clears_suspicion(entry, run))
--- a/poison.h
+++ b/poison.h
@@ -252,11 +252,11 @@
  * poison_end() - a request ended without a crash of its server
  * @poison: state of this instance
  * @run: the request
- * @well: it was answered, rather than cancelled, refused or abandoned
+ * @answered: it was answered, rather than cancelled, refused or abandoned
  *
  * Does nothing for a run whose server was lost.
  */
-void poison_end(struct poison *poison, struct poison_run *run, bool well);
+void poison_end(struct poison *poison, struct poison_run *run, bool answered);
 
 /**
  * poison_server_lost() - all connections to a server broke at once
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -666,12 +666,12 @@
 
 /* Ends a part; after a watched run the query is sent to all other servers. */
 static void end_part(struct model *model, struct query *query, int server,
-		     bool well)
+		     bool answered)
 {
 	struct event *event;
 
 	query->open_parts--;
-	if (query->watched && well) {
+	if (query->watched && answered) {
 		send_all(model, query, server);
 	} else if (query->watched && query->tries++ < 2) {
 		event = new_event(EVENT_RETRY, query->node);
@@ -680,7 +680,7 @@
 		return;
 	}
 	if (!query->open_parts)
-		end_query(model, query, well || !query->watched);
+		end_query(model, query, answered || !query->watched);
 }
 
 static void crash(struct model *model, int index)
@@ -727,11 +727,11 @@
 {
 	struct poison *poison = &model->nodes[event->node].poison;
 	/* A server that is down at this point hasn't answered. */
-	bool well = is_up(model, event->server) && !event->query->poison;
+	bool answered = is_up(model, event->server) && !event->query->poison;
 
 	if (!model->plain)
-		poison_end(poison, &event->run, well);
-	end_part(model, event->query, event->server, well);
+		poison_end(poison, &event->run, answered);
+	end_part(model, event->query, event->server, answered);
 	free(event);
 }
 
