--- a/run_net.c
+++ b/run_net.c
@@ -124,7 +124,7 @@
 {
 	struct run_net *net = ctx;
 	const struct catalog_placement *placement =
-		catalog_best(&net->board->catalog, service);
+		catalog_best_placement(&net->board->catalog, service);
 	const struct catalog_server *server;
 	int shard;
 
@@ -352,7 +352,7 @@
 					  struct str name)
 {
 	const struct table *table = net->board->table;
-	int row = table ? table_service(table, name) : ERR_NO_SERVICE;
+	int row = table ? table_find_service(table, name) : ERR_NO_SERVICE;
 
 	return row < 0 ? NULL : &table->services[row];
 }
