--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -343,7 +343,7 @@
 	fleet->peers.wanted = &fleet->planned_links;
 	poison_net_init(&fleet->poison, &fleet->board, &fleet->peers);
 	fleet->poison.flood = true;
-	fleet->board.poison.tolerant = true;
+	fleet->board.poison.no_canaries = true;
 	fleet->board.poison.ban_after = CRASHES_MAX;
 	loop_lag_init(&fleet->loop_lag, &fleet->board, on_loop_tick, fleet);
 	fleet->handler.up = on_link_up;
