--- a/replica.c
+++ b/replica.c
@@ -137,7 +137,7 @@
 		if (i != skip && tier_of(&replicas[i], now) == tier)
 			total += weight_of(observe, &replicas[i], now);
 	}
-	remaining = rng_unit(rng) * total;
+	remaining = rng_uniform(rng) * total;
 	for (i = 0; i < n; i++) {
 		if (i == skip || tier_of(&replicas[i], now) != tier)
 			continue;
@@ -277,7 +277,7 @@
 		if (replica->homes[i].instance == avoid)
 			utilisation += 1e9;
 		/* Random tie-breaking. */
-		utilisation *= 1 + rng_unit(rng) / 64;
+		utilisation *= 1 + rng_uniform(rng) / 64;
 		if (utilisation >= lowest)
 			continue;
 		lowest = utilisation;
