--- a/arena.c
+++ b/arena.c
@@ -7,8 +7,8 @@
 #include "mem.h"
 
 #define BLOCK_SIZE (16 * 1024)
-/* A rare huge message does not keep its memory. */
-#define BLOCK_KEEP_MAX (1024 * 1024)
+/* Larger blocks are freed at reset: huge messages are rare. */
+#define RETAINED_BLOCK_MAX (1024 * 1024)
 
 struct arena_block {
 	struct arena_block *next;
@@ -25,58 +25,58 @@
 	return block;
 }
 
-static void *take(void *arg, size_t size)
+static void *arena_alloc(void *arg, size_t size)
 {
 	struct arena *arena = arg;
 	size_t align = alignof(max_align_t);
 	size_t need = (size + align - 1) / align * align;
 	struct arena_block *block = arena->block;
-	void *piece;
+	void *ptr;
 
 	if (arena->used + need > block->size) {
-		size_t grown = block->size * 2;
+		size_t doubled = block->size * 2;
 
-		block->next = arena->full;
-		arena->full = block;
-		arena->block = new_block(need > grown ? need : grown);
+		block->next = arena->full_blocks;
+		arena->full_blocks = block;
+		arena->block = new_block(need > doubled ? need : doubled);
 		arena->used = 0;
 	}
-	piece = arena->block->data + arena->used;
+	ptr = arena->block->data + arena->used;
 	arena->used += need;
-	return piece;
+	return ptr;
 }
 
-static void keep(void *arg, void *piece)
+static void ignore_free(void *arg, void *ptr)
 {
 	(void)arg;
-	(void)piece;
+	(void)ptr;
 }
 
 void arena_init(struct arena *arena)
 {
 	arena->block = new_block(BLOCK_SIZE);
-	arena->full = NULL;
+	arena->full_blocks = NULL;
 	arena->used = 0;
-	arena->allocator.alloc = take;
-	arena->allocator.free = keep;
+	arena->allocator.alloc = arena_alloc;
+	arena->allocator.free = ignore_free;
 	arena->allocator.allocator_data = arena;
 }
 
-static void free_full(struct arena *arena)
+static void free_full_blocks(struct arena *arena)
 {
-	while (arena->full) {
-		struct arena_block *block = arena->full;
+	while (arena->full_blocks) {
+		struct arena_block *block = arena->full_blocks;
 
-		arena->full = block->next;
+		arena->full_blocks = block->next;
 		free(block);
 	}
 }
 
 void arena_reset(struct arena *arena)
 {
-	free_full(arena);
+	free_full_blocks(arena);
 	arena->used = 0;
-	if (arena->block->size <= BLOCK_KEEP_MAX)
+	if (arena->block->size <= RETAINED_BLOCK_MAX)
 		return;
 	free(arena->block);
 	arena->block = new_block(BLOCK_SIZE);
@@ -84,7 +84,7 @@
 
 void arena_finish(struct arena *arena)
 {
-	free_full(arena);
+	free_full_blocks(arena);
 	free(arena->block);
 	arena->block = NULL;
 }
--- a/arena.h
+++ b/arena.h
@@ -1,6 +1,6 @@
 /*
- * Memory that is given out piece by piece and taken back all at once: for
- * messages that are unpacked, looked at and dropped.
+ * Arena allocator: allocations are freed all at once. Used for messages that
+ * are unpacked, read and discarded.
  */
 #ifndef ARENA_H
 #define ARENA_H
@@ -12,24 +12,29 @@
 struct arena_block;
 
 /**
- * struct arena - a growing block of memory
- * @block: pieces come from here; @full ones are kept until the next reset
- * @allocator: for protobuf-c's unpack functions; freeing does nothing
+ * struct arena - an allocator that frees everything at once
+ * @block: the block that new allocations come from
+ * @full_blocks: earlier blocks, kept until the next reset
+ * @used: bytes allocated from @block
+ * @allocator: for protobuf-c's unpack functions; its free() does nothing
  */
 struct arena {
 	struct arena_block *block;
-	struct arena_block *full;
+	struct arena_block *full_blocks;
 	size_t used;
 	ProtobufCAllocator allocator;
 };
 
 void arena_init(struct arena *arena);
+/* Frees all allocations and blocks. */
 void arena_finish(struct arena *arena);
 
 /**
- * arena_reset() - take all pieces back
+ * arena_reset() - free all allocations
+ * @arena: the arena
  *
- * Blocks that were too small are replaced by one that had been enough.
+ * Keeps only the newest and largest block, unless it is so large that it is
+ * replaced by one of the initial size.
  */
 void arena_reset(struct arena *arena);
 
--- a/clock.h
+++ b/clock.h
@@ -1,4 +1,4 @@
-/* The runtime's clock: monotonic, and in tests paused and advanced by hand. */
+/* A monotonic clock that tests can pause and advance explicitly. */
 #ifndef CLOCK_H
 #define CLOCK_H
 
@@ -11,8 +11,8 @@
 struct clock;
 
 /**
- * struct clock_ops - how a clock tells the time
- * @now: monotonic microseconds; must count while the process is paused
+ * struct clock_ops - how a clock is read
+ * @now: monotonic microseconds; must advance while the process is stopped
  * @wall: microseconds since 1970, for logs and records only
  */
 struct clock_ops {
@@ -22,8 +22,8 @@
 
 /**
  * struct clock - a source of time
- * @ops: how to read it
- * @paused_now: what a paused clock shows, microseconds
+ * @ops: how it is read
+ * @paused_now: current time of a paused clock, microseconds
  */
 struct clock {
 	const struct clock_ops *ops;
@@ -31,18 +31,26 @@
 };
 
 /**
- * clock_init() - a clock that runs (CLOCK_BOOTTIME)
+ * clock_init() - initialise a clock that reads CLOCK_BOOTTIME
+ * @clock: the clock
  *
- * It goes on while a process is stopped by a signal and while the machine is
- * suspended, so that a process which wakes late sees the elapsed time.
+ * It advances while the process is stopped by a signal and while the machine is
+ * suspended, so that a process that resumes late sees the elapsed time.
  */
 void clock_init(struct clock *clock);
 
 /**
- * clock_init_paused() - a clock that only clock_advance() moves
- * @now: where it starts, microseconds
+ * clock_init_paused() - initialise a clock that only clock_advance() advances
+ * @clock: the clock
+ * @now: initial time, microseconds
  */
 void clock_init_paused(struct clock *clock, int64_t now);
+
+/**
+ * clock_advance() - advance a paused clock
+ * @clock: initialised by clock_init_paused()
+ * @usec: microseconds
+ */
 void clock_advance(struct clock *clock, int64_t usec);
 
 static inline int64_t clock_now(const struct clock *clock)
--- a/mem.h
+++ b/mem.h
@@ -1,4 +1,4 @@
-/* Allocation that does not fail: the process ends when memory runs out. */
+/* Allocation that never returns NULL: the process aborts if out of memory. */
 #ifndef MEM_H
 #define MEM_H
 
@@ -7,10 +7,12 @@
 void *mem_zalloc(size_t size);
 void *mem_realloc(void *old, size_t size);
 char *mem_dup(const char *text);
+
+/* Copies @len bytes and appends a NUL. */
 char *mem_dup_len(const void *data, size_t len);
 
 /**
- * MEM_GROW() - make room for one more element in a growing array
+ * MEM_GROW() - grow a dynamic array if it has no room for another element
  * @array: pointer lvalue
  * @n: elements in use
  * @cap: lvalue, elements allocated
--- a/str.h
+++ b/str.h
@@ -1,4 +1,4 @@
-/* Length-counted strings. */
+/* Strings with an explicit length. */
 #ifndef STR_H
 #define STR_H
 
@@ -7,8 +7,8 @@
 #include <stdint.h>
 
 /**
- * struct str - a borrowed run of bytes
- * @data: not necessarily followed by a NUL
+ * struct str - a borrowed byte string
+ * @data: not necessarily NUL-terminated
  * @len: number of bytes
  */
 struct str {
@@ -25,36 +25,45 @@
 bool str_eq_text(struct str a, const char *text);
 
 /**
- * str_cmp() - order two strings by their bytes
+ * str_cmp() - compare two strings bytewise
+ * @a: first string
+ * @b: second string
  *
- * Return: below, equal to or above zero, as memcmp().
+ * A prefix sorts before the longer string.
+ *
+ * Return: less than, equal to or greater than zero, as memcmp().
  */
 int str_cmp(struct str a, struct str b);
 
 /**
- * str_hash() - a 64-bit hash, the same on every machine (XXH3)
+ * str_hash() - 64-bit hash (XXH3), the same on every machine
+ * @s: the string to hash
  */
 uint64_t str_hash(struct str s);
 
 /**
- * str_hash_mix() - combine a hash with another number
+ * str_hash_mix() - combine a hash with another integer
+ * @hash: the hash so far
+ * @more: the integer to add
  */
 uint64_t str_hash_mix(uint64_t hash, uint64_t more);
 
 /**
- * str_parse_u64() - read a whole decimal number
- * @s: the whole of it must be digits
+ * str_parse_u64() - parse an unsigned decimal integer
+ * @s: must consist of digits only
  * @out: set on success
  *
- * Return: 0, or ERR_SYNTAX or ERR_RANGE.
+ * Return: 0; ERR_SYNTAX, or ERR_RANGE if it exceeds 64 bits.
  */
 int str_parse_u64(struct str s, uint64_t *out);
 
 /**
- * str_copy() - copy into a buffer with a NUL behind
- * @dst: of @size bytes
+ * str_copy() - copy into a buffer and NUL-terminate
+ * @dst: the buffer
+ * @size: of @dst, bytes; at least 1
+ * @s: the string to copy
  *
- * Return: 0, or ERR_TOO_LARGE if it was cut.
+ * Return: 0, or ERR_TOO_LARGE if it was truncated.
  */
 int str_copy(char *dst, size_t size, struct str s);
 
