--- a/policy.c
+++ b/policy.c
@@ -193,7 +193,7 @@
 	if (doublings > RETRY_DOUBLINGS_MAX)
 		doublings = RETRY_DOUBLINGS_MAX;
 	return (int64_t)((double)(RETRY_DELAY_US << doublings) *
-			 (1 + rng_unit(&policy->rng)));
+			 (1 + rng_uniform(&policy->rng)));
 }
 
 /*
--- a/registry.c
+++ b/registry.c
@@ -485,7 +485,7 @@
 
 		if (!may_take(choice, server))
 			continue;
-		cost = cost_of(choice, server, rng_unit(&rng), now);
+		cost = cost_of(choice, server, rng_uniform(&rng), now);
 		if (cost >= least)
 			continue;
 		least = cost;
--- a/rng.h
+++ b/rng.h
@@ -1,4 +1,4 @@
-/* A small generator of pseudo-random numbers (SplitMix64), seeded by hand. */
+/* A pseudo-random number generator (SplitMix64) with an explicit seed. */
 #ifndef RNG_H
 #define RNG_H
 
@@ -23,9 +23,10 @@
 }
 
 /**
- * rng_unit() - a number from 0 up to, but not including, 1
+ * rng_uniform() - a uniformly distributed number in [0, 1)
+ * @rng: the generator
  */
-static inline double rng_unit(struct rng *rng)
+static inline double rng_uniform(struct rng *rng)
 {
 	return (double)(rng_next(rng) >> 11) * 0x1.0p-53;
 }
