--- a/burn_json.c
+++ b/burn_json.c
@@ -228,7 +228,7 @@
 {
 	evbuffer_add_printf(out, "%s{\"alarm\":\"%s\",\"service\":",
 			    (*n)++ ? "," : "", alarm);
-	json_text_add(out, str_from(service));
+	json_text_add_string(out, str_from(service));
 	evbuffer_add_printf(out, ",\"objective\":\"%s\"}",
 			    burn_objective_names[objective]);
 }
--- a/json_text.h
+++ b/json_text.h
@@ -1,4 +1,4 @@
-/* JSON written into a buffer piece by piece. */
+/* Writes JSON text to an evbuffer. */
 #ifndef JSON_TEXT_H
 #define JSON_TEXT_H
 
@@ -7,8 +7,10 @@
 struct evbuffer;
 
 /**
- * json_text_add() - append a quoted and escaped string
+ * json_text_add_string() - append a quoted and escaped string
+ * @out: the buffer
+ * @s: UTF-8
  */
-void json_text_add(struct evbuffer *out, struct str s);
+void json_text_add_string(struct evbuffer *out, struct str s);
 
 #endif
--- a/json_value.h
+++ b/json_value.h
@@ -1,4 +1,4 @@
-/* Members of json-c objects, read and added with less ado. */
+/* Helpers to read and add members of json-c objects. */
 #ifndef JSON_VALUE_H
 #define JSON_VALUE_H
 
@@ -10,39 +10,53 @@
 struct json_object;
 
 /**
- * json_value_parse() - read an object from bytes without a NUL behind
+ * json_value_parse() - parse an object from text that need not end with a NUL
+ * @text: JSON
  *
- * Return: the object, to be released with json_object_put(); NULL if the bytes
- * are no object.
+ * Return: the object, to be released with json_object_put(); NULL if the text
+ * is not an object.
  */
 struct json_object *json_value_parse(struct str text);
 
 /**
  * json_value_text() - a member as text
+ * @object: the object
+ * @key: name of the member
  *
- * Return: valid as long as the object; "-" if there is none.
+ * Return: borrowed from the object; "-" if the member is missing or null.
  */
 const char *json_value_text(struct json_object *object, const char *key);
 
 /**
- * json_value_int() - a member as a whole number, 0 if there is none
+ * json_value_int() - a member as an integer, 0 if it is missing
+ * @object: the object
+ * @key: name of the member
  */
 int64_t json_value_int(struct json_object *object, const char *key);
 
 /**
- * json_value_number() - a member as a number, 0 if there is none
+ * json_value_number() - a member as a number, 0 if it is missing
+ * @object: the object
+ * @key: name of the member
  */
 double json_value_number(struct json_object *object, const char *key);
 
 /**
- * json_value_list() - a member that is a list, or NULL
+ * json_value_list() - a member that is an array; NULL if it is not one
+ * @object: the object
+ * @key: name of the member
+ *
+ * Return: borrowed from the object.
  */
 struct json_object *json_value_list(struct json_object *object,
 				    const char *key);
 
 /**
- * json_value_copy() - copy a member that is a string; cut to fit
- * @out: left alone if there is none
+ * json_value_copy() - copy a member that is a string, truncated to fit
+ * @object: the object
+ * @key: name of the member
+ * @out: NUL-terminated; unchanged if the member is not a string
+ * @size: of @out, bytes
  */
 void json_value_copy(struct json_object *object, const char *key, char *out,
 		     size_t size);
@@ -53,7 +67,10 @@
 			int64_t value);
 
 /**
- * json_value_add_number() - add a number; null if it is infinite
+ * json_value_add_number() - add a number, or null if it is not finite
+ * @object: the object
+ * @key: name of the member
+ * @value: the number
  */
 void json_value_add_number(struct json_object *object, const char *key,
 			   double value);
