--- a/error.c
+++ b/error.c
@@ -2,28 +2,28 @@
 
 #include <stdio.h>
 
-#define ERROR_ROW(symbol, number, name, text) {number, name, text},
+#define ERROR_ENTRY(symbol, number, name, text) {number, name, text},
 static const struct {
 	int code;
 	const char *name;
 	const char *text;
-} rows[] = {ERROR_LIST(ERROR_ROW)};
-#undef ERROR_ROW
+} errors[] = {ERROR_LIST(ERROR_ENTRY)};
+#undef ERROR_ENTRY
 
-#define N_ROWS (int)(sizeof(rows) / sizeof(rows[0]))
+#define N_ERRORS (int)(sizeof(errors) / sizeof(errors[0]))
 
 const char *error_name(int code)
 {
-	if (code > 0 || -code >= N_ROWS)
+	if (code > 0 || -code >= N_ERRORS)
 		return "unknown_code";
-	return rows[-code].name;
+	return errors[-code].name;
 }
 
 const char *error_text(int code)
 {
-	if (code > 0 || -code >= N_ROWS)
-		return "a code this version does not know";
-	return rows[-code].text;
+	if (code > 0 || -code >= N_ERRORS)
+		return "an error code unknown to this version";
+	return errors[-code].text;
 }
 
 int error_set(struct error *err, enum error_code code, const char *subject,
