--- a/cmd_check.c
+++ b/cmd_check.c
@@ -30,11 +30,11 @@
 static void (*describe_format(const char *name))(FILE *out)
 {
 	if (!name || !strcmp(name, "markdown"))
-		return describe_table;
+		return describe_table_markdown;
 	return strcmp(name, "man") ? NULL : describe_table_man;
 }
 
-static error_t parse(int key, char *arg, struct argp_state *state)
+static error_t parse_option(int key, char *arg, struct argp_state *state)
 {
 	struct arguments *args = state->input;
 
@@ -58,7 +58,7 @@
 	}
 }
 
-enum document {
+enum document_type {
 	DOCUMENT_TABLE,
 	DOCUMENT_ROUTES,
 	DOCUMENT_SETTINGS,
@@ -70,23 +70,26 @@
 	return json_object_object_get_ex(root, key, NULL);
 }
 
-/* Each kind has a key that no other has; what cannot be read is no settings. */
-static enum document kind_of(const char *text, size_t len)
+/*
+ * Each type has a key that no other type has. Malformed documents are reported
+ * as tables.
+ */
+static enum document_type detect_type(const char *text, size_t len)
 {
-	enum document kind = DOCUMENT_SETTINGS;
+	enum document_type type = DOCUMENT_SETTINGS;
 	struct json_object *root;
 
 	if (option_parse_document(text, len, &root, NULL))
 		return DOCUMENT_TABLE;
 	if (has_key(root, "routes"))
-		kind = DOCUMENT_ROUTES;
+		type = DOCUMENT_ROUTES;
 	else if (has_key(root, "servers") || has_key(root, "services") ||
 		 has_key(root, "markets"))
-		kind = DOCUMENT_TABLE;
+		type = DOCUMENT_TABLE;
 	else if (has_key(root, "store_address") || has_key(root, "peer_ports"))
-		kind = DOCUMENT_GATEWAY_SETTINGS;
+		type = DOCUMENT_GATEWAY_SETTINGS;
 	json_object_put(root);
-	return kind;
+	return type;
 }
 
 static int check_gateway_settings(const char *text, size_t len,
@@ -158,9 +161,9 @@
 int command_check(int argc, char **argv)
 {
 	static const struct argp argp = {
-		options, parse, "FILE\n--describe",
+		options, parse_option, "FILE\n--describe",
 		"Check a settings file, a table or routes without running "
-		"anything."};
+		"an instance."};
 	static int (*const checks[])(const char *text, size_t len,
 				     struct error *err) = {
 		[DOCUMENT_TABLE] = check_table,
@@ -182,7 +185,7 @@
 	}
 	if (command_read_file(args.path, &text, &len))
 		return EXIT_STATUS_FAILED;
-	ret = checks[kind_of(text, len)](text, len, &err);
+	ret = checks[detect_type(text, len)](text, len, &err);
 	free(text);
 	if (!ret)
 		return EXIT_STATUS_OK;
--- a/describe.c
+++ b/describe.c
@@ -4,7 +4,7 @@
 
 static const char *const type_names[] = {
 	[OPTION_STRING] = "text",     [OPTION_INT] = "whole number",
-	[OPTION_RATIO] = "number",    [OPTION_ENUM] = "name",
+	[OPTION_DOUBLE] = "number",   [OPTION_ENUM] = "name",
 	[OPTION_ADDRESS] = "IP:PORT",
 };
 
@@ -24,7 +24,7 @@
 			option->max);
 		break;
 	case OPTION_INT:
-	case OPTION_RATIO:
+	case OPTION_DOUBLE:
 		fprintf(out, "%.15g to %.15g", option->min, option->max);
 		break;
 	case OPTION_ENUM:
@@ -47,7 +47,7 @@
 			option->def_text ? option->def_text : "");
 		break;
 	case OPTION_INT:
-	case OPTION_RATIO:
+	case OPTION_DOUBLE:
 		fprintf(out, "%.15g", option->def);
 		break;
 	case OPTION_ENUM:
@@ -82,7 +82,7 @@
 		print_option(&options[i], out);
 }
 
-void describe_table(FILE *out)
+void describe_table_markdown(FILE *out)
 {
 	print_sheet("Sheet markets", "column", market_columns, n_market_columns,
 		    out);
@@ -118,15 +118,17 @@
 void describe_table_man(FILE *out)
 {
 	fputs("garnetreach-table(5)\n\n# NAME\n\n"
-	      "garnetreach-table - what operators change\n\n"
+	      "garnetreach-table - table of services, servers and "
+	      "tunables\n\n"
 	      "# DESCRIPTION\n\n"
 	      "JSON with comments: an object of the sheets _markets_, "
 	      "_services_, _servers_ and _tunables_, each an object of "
 	      "_columns_ (a list of names) and _rows_ (a list of lists of "
-	      "cells). Columns may stand in any order; those left out have "
+	      "cells). Columns may be in any order; omitted ones have "
 	      "their default. The sheet _tunables_ has the columns _name_ and "
-	      "_value_, and may be left out. A table is taken whole or not at "
-	      "all; *garnetreach check* names the cell that is wrong.\n\n",
+	      "_value_, and may be omitted. A table is applied as a whole or "
+	      "not at all; *garnetreach check* reports the invalid "
+	      "cell.\n\n",
 	      out);
 	print_man_sheet("MARKETS", market_columns, n_market_columns, out);
 	print_man_sheet("SERVICES", service_columns, n_service_columns, out);
--- a/option.c
+++ b/option.c
@@ -10,7 +10,7 @@
 #include "address.h"
 #include "mem.h"
 
-static void *field(const struct option_spec *option, void *base)
+static void *field_ptr(const struct option_spec *option, void *base)
 {
 	return (char *)base + option->offset;
 }
@@ -26,8 +26,8 @@
 	return ERR_KEY_UNKNOWN;
 }
 
-static int fail(struct error *err, int code, const char *subject,
-		struct json_object *value, const char *expected)
+static int set_value_error(struct error *err, int code, const char *subject,
+			   struct json_object *value, const char *expected)
 {
 	return error_set(err, code, subject,
 			 value ? json_object_to_json_string_ext(
@@ -40,19 +40,20 @@
 		       struct json_object *value, void *base,
 		       const char *subject, struct error *err)
 {
-	char **slot = field(option, base);
+	char **slot = field_ptr(option, base);
 	size_t len;
 
 	if (!json_object_is_type(value, json_type_string))
-		return fail(err, ERR_TYPE, subject, value, "a string");
+		return set_value_error(err, ERR_TYPE, subject, value,
+				       "a string");
 	len = (size_t)json_object_get_string_len(value);
 	if ((double)len < option->min || (double)len > option->max)
-		return fail(err, ERR_RANGE, subject, value,
-			    "a string of another length");
-	/* Names end up in URLs, logs and C strings. */
+		return set_value_error(err, ERR_RANGE, subject, value,
+				       "a string with a valid length");
+	/* Values are used in URLs, logs and C strings, so NUL is invalid. */
 	if (strlen(json_object_get_string(value)) != len)
-		return fail(err, ERR_RANGE, subject, value,
-			    "a string without NUL");
+		return set_value_error(err, ERR_RANGE, subject, value,
+				       "a string without NUL");
 	free(*slot);
 	*slot = mem_dup(json_object_get_string(value));
 	return 0;
@@ -62,21 +63,22 @@
 		       struct json_object *value, void *base,
 		       const char *subject, struct error *err)
 {
-	bool whole = option->type == OPTION_INT;
+	bool is_int = option->type == OPTION_INT;
 	double number;
 
 	if (!json_object_is_type(value, json_type_int) &&
-	    (whole || !json_object_is_type(value, json_type_double)))
-		return fail(err, ERR_TYPE, subject, value,
-			    whole ? "a whole number" : "a number");
+	    (is_int || !json_object_is_type(value, json_type_double)))
+		return set_value_error(err, ERR_TYPE, subject, value,
+				       is_int ? "an integer" : "a number");
 	number = json_object_get_double(value);
 	if (!isfinite(number) || number < option->min || number > option->max)
-		return fail(err, ERR_RANGE, subject, value,
-			    "a number within its bounds");
-	if (whole)
-		*(int64_t *)field(option, base) = json_object_get_int64(value);
+		return set_value_error(err, ERR_RANGE, subject, value,
+				       "a number within the bounds");
+	if (is_int)
+		*(int64_t *)field_ptr(option, base) =
+			json_object_get_int64(value);
 	else
-		*(double *)field(option, base) = number;
+		*(double *)field_ptr(option, base) = number;
 	return 0;
 }
 
@@ -88,15 +90,17 @@
 	int i;
 
 	if (!json_object_is_type(value, json_type_string))
-		return fail(err, ERR_TYPE, subject, value, "one of the names");
+		return set_value_error(err, ERR_TYPE, subject, value,
+				       "one of the names");
 	text = json_object_get_string(value);
 	for (i = 0; option->names[i]; i++) {
 		if (strcmp(option->names[i], text))
 			continue;
-		*(int *)field(option, base) = i;
+		*(int *)field_ptr(option, base) = i;
 		return 0;
 	}
-	return fail(err, ERR_RANGE, subject, value, "one of the names");
+	return set_value_error(err, ERR_RANGE, subject, value,
+			       "one of the names");
 }
 
 static int read_address(const struct option_spec *option,
@@ -104,10 +108,12 @@
 			const char *subject, struct error *err)
 {
 	if (!json_object_is_type(value, json_type_string))
-		return fail(err, ERR_TYPE, subject, value, "\"IP:PORT\"");
+		return set_value_error(err, ERR_TYPE, subject, value,
+				       "\"IP:PORT\"");
 	if (address_parse(str_from(json_object_get_string(value)),
-			  field(option, base)))
-		return fail(err, ERR_ADDRESS, subject, value, "\"IP:PORT\"");
+			  field_ptr(option, base)))
+		return set_value_error(err, ERR_ADDRESS, subject, value,
+				       "\"IP:PORT\"");
 	return 0;
 }
 
@@ -118,7 +124,7 @@
 	case OPTION_STRING:
 		return read_string(option, value, base, subject, err);
 	case OPTION_INT:
-	case OPTION_RATIO:
+	case OPTION_DOUBLE:
 		return read_number(option, value, base, subject, err);
 	case OPTION_ENUM:
 		return read_enum(option, value, base, subject, err);
@@ -140,7 +146,7 @@
 
 	if (!json_object_is_type(list, json_type_array))
 		return error_set(err, ERR_TYPE, subject, NULL,
-				 "a list of \"IP:PORT\"");
+				 "an array of \"IP:PORT\"");
 	len = json_object_array_length(list);
 	if (!len || len > (size_t)max)
 		return error_set(err, ERR_RANGE, subject, NULL,
@@ -175,7 +181,7 @@
 
 static void set_default(const struct option_spec *option, void *base)
 {
-	void *slot = field(option, base);
+	void *slot = field_ptr(option, base);
 
 	switch (option->type) {
 	case OPTION_STRING:
@@ -185,7 +191,7 @@
 	case OPTION_INT:
 		*(int64_t *)slot = (int64_t)option->def;
 		break;
-	case OPTION_RATIO:
+	case OPTION_DOUBLE:
 		*(double *)slot = option->def;
 		break;
 	case OPTION_ENUM:
@@ -212,12 +218,12 @@
 	for (i = 0; i < n; i++) {
 		if (options[i].type != OPTION_STRING)
 			continue;
-		free(*(char **)field(&options[i], base));
-		*(char **)field(&options[i], base) = NULL;
+		free(*(char **)field_ptr(&options[i], base));
+		*(char **)field_ptr(&options[i], base) = NULL;
 	}
 }
 
-static int line_of(const char *text, size_t offset)
+static int line_number(const char *text, size_t offset)
 {
 	int line = 1;
 	size_t i;
@@ -227,17 +233,18 @@
 	return line;
 }
 
-static int fail_at(struct error *err, int code, const char *text, size_t offset,
-		   const char *value, const char *expected)
+static int set_document_error(struct error *err, int code, const char *text,
+			      size_t offset, const char *value,
+			      const char *expected)
 {
 	error_set(err, code, "document", value, expected);
 	if (err)
-		err->line = line_of(text, offset);
+		err->line = line_number(text, offset);
 	return code;
 }
 
-/* Only white space and comments may follow the root object. */
-static bool only_blanks(const char *text, size_t len)
+/* White space and comments may follow the root object, nothing else may. */
+static bool is_blank_or_comments(const char *text, size_t len)
 {
 	size_t i = 0;
 
@@ -281,7 +288,7 @@
 		return error_set(err, ERR_TOO_LARGE, "document", NULL,
 				 "less than 2 GiB");
 	}
-	/* What is read here goes out again in JSON and protocol buffers. */
+	/* Values are sent on in JSON and protocol buffers, which need UTF-8. */
 	json_tokener_set_flags(tok, JSON_TOKENER_VALIDATE_UTF8);
 	root = json_tokener_parse_ex(tok, text, (int)len);
 	status = json_tokener_get_error(tok);
@@ -289,18 +296,20 @@
 	json_tokener_free(tok);
 	if (status != json_tokener_success) {
 		json_object_put(root);
-		return fail_at(err, ERR_SYNTAX, text, end,
-			       json_tokener_error_desc(status), "JSON");
+		return set_document_error(err, ERR_SYNTAX, text, end,
+					  json_tokener_error_desc(status),
+					  "JSON");
 	}
-	if (!only_blanks(text + end, len - end)) {
+	if (!is_blank_or_comments(text + end, len - end)) {
 		json_object_put(root);
-		return fail_at(err, ERR_SYNTAX, text, end,
-			       "text after the root object", "the end");
+		return set_document_error(err, ERR_SYNTAX, text, end,
+					  "text after the root object",
+					  "end of document");
 	}
 	if (!json_object_is_type(root, json_type_object)) {
 		json_object_put(root);
-		return fail_at(err, ERR_TYPE, text, 0, "no object",
-			       "an object");
+		return set_document_error(err, ERR_TYPE, text, 0,
+					  "not an object", "an object");
 	}
 	*out = root;
 	return 0;
--- a/option.h
+++ b/option.h
@@ -1,6 +1,7 @@
 /*
- * Described values: one list of names, types, units, bounds and defaults reads
- * the settings, the sheets of the table, and prints their documentation.
+ * Options: descriptions of values with their names, types, units, bounds and
+ * defaults. They are used to read the settings and the sheets of the table, and
+ * to generate their documentation.
  */
 #ifndef OPTION_H
 #define OPTION_H
@@ -17,24 +18,24 @@
 enum option_type {
 	OPTION_STRING,	/* char *, owned */
 	OPTION_INT,	/* int64_t */
-	OPTION_RATIO,	/* double */
+	OPTION_DOUBLE,	/* double */
 	OPTION_ENUM,	/* int, index into names */
 	OPTION_ADDRESS, /* struct address */
 };
 
 /**
- * struct option_spec - one described value
+ * struct option_spec - description of one value
  * @name: key or column
- * @type: what it is, and what stands at @offset
- * @offset: in the struct that is filled
- * @required: without a default
- * @min: lower bound of a number; least length of a string
- * @max: upper bound of a number; greatest length of a string
+ * @type: type of the value and of the field at @offset
+ * @offset: of the field in the struct that is filled
+ * @required: must be given; has no default
+ * @min: lower bound of a number; minimum length of a string, bytes
+ * @max: upper bound of a number; maximum length of a string, bytes
  * @def: default number, or index of an enum
  * @def_text: default string, or NULL
- * @names: of an enum, ended by NULL
+ * @names: allowed names of an enum, terminated by NULL
  * @unit: "ms", "requests", ... or NULL
- * @help: one line on its effect
+ * @help: one-line description of its effect
  */
 struct option_spec {
 	const char *name;
@@ -51,7 +52,10 @@
 };
 
 /**
- * option_find() - the option of that name
+ * option_find() - find an option by name
+ * @options: descriptions
+ * @n: number of @options
+ * @name: key or column
  *
  * Return: its index, or ERR_KEY_UNKNOWN.
  */
@@ -59,10 +63,10 @@
 
 /**
  * option_read() - check a JSON value and store it
- * @option: what it must be
+ * @option: description of the value
  * @value: JSON
  * @base: the struct that is filled
- * @subject: where it stands, for @err
+ * @subject: location of the value, for @err
  * @err: filled on failure
  *
  * Return: 0, or ERR_TYPE, ERR_RANGE or ERR_ADDRESS.
@@ -71,10 +75,13 @@
 		void *base, const char *subject, struct error *err);
 
 /**
- * option_read_addresses() - read a list of "IP:PORT"
- * @out: room for @max
- * @n: set to how many there are
- * @subject: the list's key, for @err
+ * option_read_addresses() - read an array of "IP:PORT"
+ * @list: JSON
+ * @out: array of @max elements
+ * @max: maximum number of addresses
+ * @n: set to the number of addresses on success
+ * @subject: key of the array, for @err
+ * @err: filled on failure
  *
  * Return: 0, or ERR_TYPE, ERR_RANGE (none, or more than @max) or ERR_ADDRESS.
  */
@@ -83,7 +90,11 @@
 			  struct error *err);
 
 /**
- * option_check_required() - every required key has a value
+ * option_check_required() - check that every required key has a value
+ * @options: descriptions
+ * @n: number of @options
+ * @root: JSON object with the keys
+ * @err: filled on failure
  *
  * Return: 0, or ERR_KEY_MISSING.
  */
@@ -92,23 +103,31 @@
 
 /**
  * option_set_defaults() - store every default
+ * @options: descriptions
+ * @n: number of @options
+ * @base: the struct that is filled; previous strings are not freed
  *
- * Strings without a default become NULL, addresses port 0.
+ * Strings without a default become NULL; addresses are zeroed.
  */
 void option_set_defaults(const struct option_spec *options, int n, void *base);
 
 /**
- * option_finish() - free the strings of a struct
+ * option_finish() - free the strings of a struct and set them to NULL
+ * @options: descriptions
+ * @n: number of @options
+ * @base: the struct
  */
 void option_finish(const struct option_spec *options, int n, void *base);
 
 /**
  * option_parse_document() - parse JSON with comments
  * @text: the document
+ * @len: of @text, bytes
  * @out: the root object on success; release with json_object_put()
  * @err: filled with the line on failure
  *
- * Return: 0, ERR_SYNTAX, or ERR_TYPE if the root is no object.
+ * Return: 0, ERR_SYNTAX, ERR_TOO_LARGE (2 GiB or more), or ERR_TYPE if the root
+ * is not an object.
  */
 int option_parse_document(const char *text, size_t len,
 			  struct json_object **out, struct error *err);
