--- a/log.c
+++ b/log.c
@@ -14,10 +14,13 @@
 
 #define LINE_SIZE 4096
 
-/* A pipe takes a write of at most this many bytes whole once it polls ready. */
-#define WRITE_SIZE 4096
-/* Lines of about a second at 600 a second. */
-#define BUNDLE_SIZE (256 * 1024)
+/*
+ * A pipe accepts a write of up to this many bytes (PIPE_BUF) in full once
+ * poll() reports it writable.
+ */
+#define WRITE_MAX_SIZE 4096
+/* Holds about one second of lines at 600 lines per second. */
+#define BUFFER_SIZE (256 * 1024)
 #define WRITE_PERIOD_US 100000
 
 struct line {
@@ -25,24 +28,24 @@
 	size_t len;
 };
 
-/* Lines that are still to be written. */
+/* Lines that log_start() has deferred until the next write. */
 static struct {
 	int fd;
 	struct event *timer;
-	char data[BUNDLE_SIZE];
+	char data[BUFFER_SIZE];
 	size_t len;
 	uint64_t dropped;
-} bundle = {.fd = -1};
+} buffer = {.fd = -1};
 
 static const char *const level_names[] = {"debug", "info", "warn", "error"};
 
-static enum log_level least_level = LOG_LEVEL_INFO;
-static const char *own_instance;
+static enum log_level min_level = LOG_LEVEL_INFO;
+static const char *instance_name;
 
 void log_init(enum log_level level, const char *instance)
 {
-	least_level = level;
-	own_instance = instance;
+	min_level = level;
+	instance_name = instance;
 }
 
 int log_level_parse(const char *name, enum log_level *out)
@@ -58,7 +61,7 @@
 	return ERR_RANGE;
 }
 
-/* The last byte is kept for the newline: a long line is cut, never split. */
+/* Reserves the last byte for the newline: long lines are truncated. */
 static void put_char(struct line *line, char c)
 {
 	if (line->len < LINE_SIZE - 1)
@@ -138,34 +141,35 @@
 	put_raw(line, text);
 }
 
-/* A write ends with a line: writes of several processes may share a pipe. */
-static size_t whole_lines(void)
+/*
+ * Bytes to write next. Writes end at a line end if possible, because several
+ * processes may share a pipe.
+ */
+static size_t writable_len(void)
 {
 	const char *end;
 
-	if (bundle.len <= WRITE_SIZE)
-		return bundle.len;
-	end = memrchr(bundle.data, '\n', WRITE_SIZE);
-	return end ? (size_t)(end - bundle.data) + 1 : WRITE_SIZE;
+	if (buffer.len <= WRITE_MAX_SIZE)
+		return buffer.len;
+	end = memrchr(buffer.data, '\n', WRITE_MAX_SIZE);
+	return end ? (size_t)(end - buffer.data) + 1 : WRITE_MAX_SIZE;
 }
 
-/*
- * What fits into the pipe goes out; a reader that is slow or gone must not
- * stop the event loop.
- */
-static void write_bundle(void)
+/* Never blocks: a slow or dead reader must not stall the event loop. */
+static void flush_buffer(void)
 {
-	struct pollfd room = {.fd = bundle.fd, .events = POLLOUT};
-	size_t n = whole_lines();
-	ssize_t done;
+	struct pollfd pollfd_out = {.fd = buffer.fd, .events = POLLOUT};
+	size_t n = writable_len();
+	ssize_t written;
 
-	if (!n || poll(&room, 1, 0) <= 0 || !(room.revents & POLLOUT))
+	if (!n || poll(&pollfd_out, 1, 0) <= 0 ||
+	    !(pollfd_out.revents & POLLOUT))
 		return;
-	done = write(bundle.fd, bundle.data, n);
-	if (done <= 0)
+	written = write(buffer.fd, buffer.data, n);
+	if (written <= 0)
 		return;
-	bundle.len -= (size_t)done;
-	memmove(bundle.data, bundle.data + done, bundle.len);
+	buffer.len -= (size_t)written;
+	memmove(buffer.data, buffer.data + written, buffer.len);
 }
 
 static void on_write_timer(evutil_socket_t fd, short what, void *arg)
@@ -173,47 +177,47 @@
 	(void)fd;
 	(void)what;
 	(void)arg;
-	write_bundle();
+	flush_buffer();
 }
 
-static void add_to_bundle(const struct line *line)
+static void buffer_line(const struct line *line)
 {
-	if (bundle.len + line->len > BUNDLE_SIZE)
-		write_bundle();
-	if (bundle.len + line->len > BUNDLE_SIZE) {
-		bundle.dropped++;
+	if (buffer.len + line->len > BUFFER_SIZE)
+		flush_buffer();
+	if (buffer.len + line->len > BUFFER_SIZE) {
+		buffer.dropped++;
 		return;
 	}
-	memcpy(bundle.data + bundle.len, line->data, line->len);
-	bundle.len += line->len;
+	memcpy(buffer.data + buffer.len, line->data, line->len);
+	buffer.len += line->len;
 }
 
 void log_start(struct event_base *base, int fd)
 {
 	static const struct timeval period = {0, WRITE_PERIOD_US};
 
-	bundle.fd = fd;
-	bundle.timer = event_new(base, -1, EV_PERSIST, on_write_timer, NULL);
-	event_add(bundle.timer, &period);
+	buffer.fd = fd;
+	buffer.timer = event_new(base, -1, EV_PERSIST, on_write_timer, NULL);
+	event_add(buffer.timer, &period);
 }
 
 void log_stop(void)
 {
 	size_t before;
 
-	if (bundle.fd < 0)
+	if (buffer.fd < 0)
 		return;
 	do {
-		before = bundle.len;
-		write_bundle();
-	} while (bundle.len && bundle.len < before);
-	event_free(bundle.timer);
-	bundle.fd = -1;
+		before = buffer.len;
+		flush_buffer();
+	} while (buffer.len && buffer.len < before);
+	event_free(buffer.timer);
+	buffer.fd = -1;
 }
 
 uint64_t log_dropped(void)
 {
-	return bundle.dropped;
+	return buffer.dropped;
 }
 
 void log_write(enum log_level level, const char *module, const char *event,
@@ -221,14 +225,14 @@
 {
 	struct line line = {.len = 0};
 
-	if (level < least_level)
+	if (level < min_level)
 		return;
 	put_time(&line);
 	put_key(&line, "level");
 	put_quoted(&line, str_from(level_names[level]));
-	if (own_instance) {
+	if (instance_name) {
 		put_key(&line, "instance");
-		put_quoted(&line, str_from(own_instance));
+		put_quoted(&line, str_from(instance_name));
 	}
 	put_key(&line, "module");
 	put_quoted(&line, str_from(module));
@@ -238,11 +242,11 @@
 		put_field(&line, fields);
 	put_char(&line, '}');
 	line.data[line.len++] = '\n';
-	if (bundle.fd >= 0) {
-		add_to_bundle(&line);
+	if (buffer.fd >= 0) {
+		buffer_line(&line);
 		return;
 	}
-	/* One write a line, so that lines of several processes do not mix. */
+	/* One write() per line keeps lines of several processes intact. */
 	if (write(STDERR_FILENO, line.data, line.len) < 0)
 		return;
 }
--- a/log.h
+++ b/log.h
@@ -1,6 +1,7 @@
 /*
- * JSON lines, on standard error or, once log_start() was called, buffered on a
- * descriptor that is never waited for. A line is one event:
+ * Structured log in JSON lines, one event per line. Lines go to standard error
+ * or, after log_start(), are buffered and written to a file descriptor without
+ * blocking:
  *
  *	LOG_INFO("table_in_force", LOG_U64("revision", rev));
  */
@@ -30,6 +31,10 @@
  * struct log_field - one typed member of a line
  * @key: constant name
  * @kind: which of the values is set
+ * @s: value of LOG_KIND_STR; borrowed
+ * @i: value of LOG_KIND_I64
+ * @u: value of LOG_KIND_U64
+ * @f: value of LOG_KIND_F64
  */
 struct log_field {
 	const char *key;
@@ -52,8 +57,8 @@
 #define LOG_END ((struct log_field){.kind = LOG_KIND_END})
 
 /**
- * log_init() - set what is written and who writes it
- * @level: lines below are dropped
+ * log_init() - set the minimum level and the instance name
+ * @level: lines below it are discarded
  * @instance: added to each line; borrowed, may be NULL
  */
 void log_init(enum log_level level, const char *instance);
@@ -61,29 +66,45 @@
 struct event_base;
 
 /**
- * log_start() - write lines to @fd in bundles, from the event loop
+ * log_start() - buffer lines and write them to @fd from the event loop
+ * @base: event loop
+ * @fd: a pipe or another descriptor that can be polled; borrowed
  *
- * A line that finds no room, because nobody reads, is dropped and counted.
+ * If the buffer is full because the reader of @fd is slow or gone, lines are
+ * dropped and counted.
  */
 void log_start(struct event_base *base, int fd);
 
 /**
- * log_stop() - write out what is left; later lines go to standard error
+ * log_stop() - write buffered lines and stop buffering
+ *
+ * Gives up if @fd accepts no more. Later lines go to standard error.
  */
 void log_stop(void);
 
 /**
- * log_dropped() - lines that found no room since the start
+ * log_dropped() - number of lines dropped since the process started
  */
 uint64_t log_dropped(void);
 
 /**
- * log_level_parse() - level by name
+ * log_level_parse() - find a level by name
+ * @name: "debug", "info", "warn" or "error"
+ * @out: set on success
  *
  * Return: 0, or ERR_RANGE.
  */
 int log_level_parse(const char *name, enum log_level *out);
 
+/**
+ * log_write() - write a line; usually called by LOG_INFO() and the like
+ * @level: severity
+ * @module: LOG_MODULE of the source file
+ * @event: name of the event
+ * @fields: terminated by LOG_END
+ *
+ * A line that is too long is truncated.
+ */
 void log_write(enum log_level level, const char *module, const char *event,
 	       const struct log_field *fields);
 
