--- a/cmd_gateway.c
+++ b/cmd_gateway.c
@@ -22,11 +22,11 @@
 
 static const struct argp_option options[] = {
 	{"settings-from", KEY_SETTINGS_FROM, "VARIABLE", 0,
-	 "read the path of the settings from this environment variable", 0},
+	 "read the settings path from this environment variable", 0},
 	{0},
 };
 
-static error_t parse(int key, char *arg, struct argp_state *state)
+static error_t parse_option(int key, char *arg, struct argp_state *state)
 {
 	const char **path = state->input;
 
@@ -72,39 +72,41 @@
 	gateway_leave(arg);
 }
 
-/*
- * The settings may change with a SIGHUP or without one: the file is looked at
- * again once in this time.
- */
-#define RELOAD_PERIOD_S 1
+/* The settings file is checked for changes this often, also without SIGHUP. */
+#define RELOAD_CHECK_PERIOD_S 1
 
 /**
- * struct process - a running instance and what its settings came from
- * @changed: when the file was changed, as of the settings in use
+ * struct gateway_process - a running instance and its settings file
+ * @path: settings file; borrowed
+ * @settings_mtime: mtime of the file at the last check
+ * @settings: settings in use
+ * @gateway: the instance
+ * @pages: its HTTP pages
  */
-struct process {
+struct gateway_process {
 	const char *path;
-	struct timespec changed;
+	struct timespec settings_mtime;
 	struct gateway_settings settings;
 	struct gateway gateway;
 	struct gateway_pages pages;
 };
 
-static bool file_changed(struct process *process)
+/* Returns whether the file changed since the last call. */
+static bool settings_file_changed(struct gateway_process *process)
 {
 	struct stat info;
 
 	if (stat(process->path, &info))
 		return false;
-	if (info.st_mtim.tv_sec == process->changed.tv_sec &&
-	    info.st_mtim.tv_nsec == process->changed.tv_nsec)
+	if (info.st_mtim.tv_sec == process->settings_mtime.tv_sec &&
+	    info.st_mtim.tv_nsec == process->settings_mtime.tv_nsec)
 		return false;
-	process->changed = info.st_mtim;
+	process->settings_mtime = info.st_mtim;
 	return true;
 }
 
-/* What is wrong is not taken, and the instance goes on as before. */
-static void reload(struct process *process)
+/* Invalid settings are logged and ignored; the current ones stay in use. */
+static void reload_settings(struct gateway_process *process)
 {
 	struct gateway_settings settings;
 	struct error err = {.code = ERR_NONE};
@@ -124,33 +126,33 @@
 
 static void on_hup(evutil_socket_t fd, short what, void *arg)
 {
-	struct process *process = arg;
+	struct gateway_process *process = arg;
 
 	(void)fd;
 	(void)what;
-	file_changed(process);
-	reload(process);
+	settings_file_changed(process);
+	reload_settings(process);
 }
 
-static void on_look(evutil_socket_t fd, short what, void *arg)
+static void on_reload_timer(evutil_socket_t fd, short what, void *arg)
 {
-	struct process *process = arg;
+	struct gateway_process *process = arg;
 
 	(void)fd;
 	(void)what;
-	if (file_changed(process))
-		reload(process);
+	if (settings_file_changed(process))
+		reload_settings(process);
 }
 
-static int run(struct event_base *base, struct process *process)
+static int run(struct event_base *base, struct gateway_process *process)
 {
-	static const struct timeval period = {RELOAD_PERIOD_S, 0};
+	static const struct timeval period = {RELOAD_CHECK_PERIOD_S, 0};
 	struct gateway *gateway = &process->gateway;
 	struct event *events[] = {
 		evsignal_new(base, SIGTERM, on_term, gateway),
 		evsignal_new(base, SIGINT, on_term, gateway),
 		evsignal_new(base, SIGHUP, on_hup, process),
-		event_new(base, -1, EV_PERSIST, on_look, process),
+		event_new(base, -1, EV_PERSIST, on_reload_timer, process),
 	};
 	size_t n = sizeof(events) / sizeof(*events);
 	size_t i;
@@ -181,18 +183,18 @@
 int command_gateway(int argc, char **argv)
 {
 	static const struct argp argp = {
-		options, parse, "[SETTINGS]",
+		options, parse_option, "[SETTINGS]",
 		"Run a gateway instance with the settings of "
 		"garnetreach-gateway(5) until SIGTERM or SIGINT stops it "
 		"gracefully."};
-	static struct process process;
+	static struct gateway_process process;
 	struct error err = {.code = ERR_NONE};
 	struct event_base *base;
 	int ret;
 
 	if (argp_parse(&argp, argc, argv, 0, NULL, &process.path))
 		return EXIT_STATUS_USAGE;
-	file_changed(&process);
+	settings_file_changed(&process);
 	ret = read_settings(process.path, &process.settings, &err);
 	if (ret) {
 		fprintf(stderr, "%s: %s: %s (%s)\n", process.path, err.subject,
--- a/cmd_query.c
+++ b/cmd_query.c
@@ -12,7 +12,7 @@
 #include "json_value.h"
 
 #define ADDRESSES_TIMEOUT_MS 2000
-#define EXTRA_WAIT_MS 2000
+#define TIMEOUT_MARGIN_MS 2000 /* waited beyond the deadline */
 #define DEADLINE_DEFAULT_MS 10000
 
 struct arguments {
@@ -27,19 +27,20 @@
 };
 
 static const struct argp_option options[] = {
-	{"service", 's', "NAME", 0, "service to ask (required)", 0},
-	{"where", 'w', "JSON", 0, "members records must have, as an object", 0},
+	{"service", 's', "NAME", 0, "service to query (required)", 0},
+	{"where", 'w', "JSON", 0, "object of members that records must match",
+	 0},
 	{"mode", 'm', "MODE", 0, "records (default) or count", 0},
-	{"limit", 'l', "N", 0, "most records, 1 to 1000 (default 20)", 0},
+	{"limit", 'l', "N", 0, "maximum records, 1 to 1000 (default 20)", 0},
 	{"deadline", 'd', "MS", 0, "deadline in ms (default: the service's)",
 	 0},
 	{"data-centre", 'c', "NAME", 0, "data centre of the caller", 0},
-	{"request-id", 'i', "ID", 0, "name for the request", 0},
+	{"request-id", 'i', "ID", 0, "id of the request", 0},
 	{"json", 'j', NULL, 0, "print the answer as JSON", 0},
 	{0},
 };
 
-static error_t parse(int key, char *arg, struct argp_state *state)
+static error_t parse_option(int key, char *arg, struct argp_state *state)
 {
 	struct arguments *args = state->input;
 
@@ -74,7 +75,10 @@
 	}
 }
 
-/* Ask which addresses to use, as every caller should; keep the one given. */
+/*
+ * Asks the instance which address to use, as every caller should. Keeps the
+ * given address if that fails.
+ */
 static void choose_address(const struct arguments *args, struct address *out)
 {
 	struct json_object *root = NULL;
@@ -191,7 +195,7 @@
 		       : EXIT_STATUS_INSUFFICIENT;
 }
 
-static int print_refusal(struct json_object *root)
+static int print_error(struct json_object *root)
 {
 	fprintf(stderr, "%s: %s [%s]", json_value_text(root, "outcome"),
 		json_value_text(root, "text"), json_value_text(root, "error"));
@@ -204,7 +208,8 @@
 	return EXIT_STATUS_FAILED;
 }
 
-static int show(const struct arguments *args, struct http_answer *answer)
+static int print_result(const struct arguments *args,
+			struct http_answer *answer)
 {
 	struct json_object *root = json_tokener_parse(answer->body);
 	int status;
@@ -221,7 +226,7 @@
 	} else if (answer->status == 200) {
 		status = print_answer(root);
 	} else {
-		status = print_refusal(root);
+		status = print_error(root);
 	}
 	json_object_put(root);
 	return status;
@@ -230,9 +235,9 @@
 int command_query(int argc, char **argv)
 {
 	static const struct argp argp = {
-		options, parse, "IP:PORT",
-		"Ask a service through any instance: the one at IP:PORT says "
-		"which address to use."};
+		options, parse_option, "IP:PORT",
+		"Query a service through any instance: the one at IP:PORT "
+		"reports which address to use."};
 	struct arguments args = {0};
 	struct address address;
 	struct json_object *body;
@@ -243,7 +248,8 @@
 	if (argp_parse(&argp, argc, argv, 0, NULL, &args))
 		return EXIT_STATUS_USAGE;
 	if (build_body(&args, &body)) {
-		fprintf(stderr, "garnetreach query: --where is no JSON\n");
+		fprintf(stderr,
+			"garnetreach query: --where is not valid JSON\n");
 		json_object_put(body);
 		return EXIT_STATUS_USAGE;
 	}
@@ -251,13 +257,13 @@
 	timeout_ms = args.deadline_ms ? args.deadline_ms : DEADLINE_DEFAULT_MS;
 	ret = http_client_ask(&address, "/v1/search",
 			      json_object_to_json_string(body),
-			      timeout_ms + EXTRA_WAIT_MS, &answer);
+			      timeout_ms + TIMEOUT_MARGIN_MS, &answer);
 	json_object_put(body);
 	if (ret) {
 		fprintf(stderr, "garnetreach query: %s\n", error_text(ret));
 		return EXIT_STATUS_FAILED;
 	}
-	ret = show(&args, &answer);
+	ret = print_result(&args, &answer);
 	http_answer_finish(&answer);
 	return ret;
 }
--- a/cmd_serve.c
+++ b/cmd_serve.c
@@ -11,7 +11,7 @@
 #include "mem.h"
 #include "serve.h"
 
-#define READ_CHUNK 65536
+#define READ_CHUNK_SIZE 65536 /* bytes */
 
 int command_read_file(const char *path, char **data, size_t *len)
 {
@@ -26,11 +26,11 @@
 	*data = NULL;
 	*len = 0;
 	do {
-		if (*len + READ_CHUNK > cap) {
-			cap = (*len + READ_CHUNK) * 2;
+		if (*len + READ_CHUNK_SIZE > cap) {
+			cap = (*len + READ_CHUNK_SIZE) * 2;
 			*data = mem_realloc(*data, cap);
 		}
-		n = fread(*data + *len, 1, READ_CHUNK, file);
+		n = fread(*data + *len, 1, READ_CHUNK_SIZE, file);
 		*len += n;
 	} while (n);
 	if (ferror(file)) {
@@ -43,7 +43,7 @@
 	return 0;
 }
 
-static error_t parse(int key, char *arg, struct argp_state *state)
+static error_t parse_option(int key, char *arg, struct argp_state *state)
 {
 	const char **path = state->input;
 
@@ -65,7 +65,7 @@
 int command_serve(int argc, char **argv)
 {
 	static const struct argp argp = {
-		NULL, parse, "SETTINGS",
+		NULL, parse_option, "SETTINGS",
 		"Run an instance with the settings of garnetreach-settings(5) "
 		"until SIGTERM or SIGINT stops it gracefully."};
 	const char *path = NULL;
--- a/cmd_status.c
+++ b/cmd_status.c
@@ -16,7 +16,7 @@
 	{0},
 };
 
-static error_t parse(int key, char *arg, struct argp_state *state)
+static error_t parse_option(int key, char *arg, struct argp_state *state)
 {
 	return command_target_parse(state->input, key, arg, state);
 }
@@ -106,8 +106,8 @@
 
 int command_status(int argc, char **argv)
 {
-	static const struct argp argp = {options, parse, "IP:PORT",
-					 "Show what an instance knows of "
+	static const struct argp argp = {options, parse_option, "IP:PORT",
+					 "Show an instance's view of "
 					 "itself, the fleet and the servers."};
 	struct command_target target = {0};
 	struct http_answer answer;
--- a/command.h
+++ b/command.h
@@ -7,11 +7,11 @@
 enum exit_status {
 	EXIT_STATUS_OK = 0,
 	EXIT_STATUS_FAILED = 1,	      /* refused, incomplete or unreachable */
-	EXIT_STATUS_USAGE = 2,	      /* the command line is wrong */
-	EXIT_STATUS_INVALID = 3,      /* a file does not pass its check */
-	EXIT_STATUS_INSUFFICIENT = 4, /* answered below the least coverage */
+	EXIT_STATUS_USAGE = 2,	      /* invalid command line */
+	EXIT_STATUS_INVALID = 3,      /* a file is invalid */
+	EXIT_STATUS_INSUFFICIENT = 4, /* coverage below the minimum */
 	EXIT_STATUS_NO_TRACE = 5,     /* no instance knows the request */
-	EXIT_STATUS_EVICTED = 6,      /* its record made room for later ones */
+	EXIT_STATUS_EVICTED = 6,      /* record evicted by later ones */
 	EXIT_STATUS_PARTIAL = 7,      /* some instances did not answer */
 };
 
@@ -26,9 +26,13 @@
 
 /**
  * command_read_file() - read a whole file
- * @data: set on success, to be freed
+ * @path: the file
+ * @data: set on success; owned by the caller
+ * @len: set on success, bytes
  *
- * Return: 0, or ERR_IO with the reason printed.
+ * Prints the reason to standard error on failure.
+ *
+ * Return: 0, or ERR_IO.
  */
 int command_read_file(const char *path, char **data, size_t *len);
 
--- a/command_target.h
+++ b/command_target.h
@@ -1,6 +1,6 @@
 /*
- * The arguments of the subcommands that ask an instance: its address, and
- * whether the answer is printed as JSON.
+ * Arguments of the subcommands that query an instance: its address, and whether
+ * to print the answer as JSON.
  */
 #ifndef COMMAND_TARGET_H
 #define COMMAND_TARGET_H
@@ -10,6 +10,12 @@
 
 #include "address.h"
 
+/**
+ * struct command_target - the parsed arguments
+ * @address: of the instance
+ * @has_address: @address is set
+ * @json: print the answer as JSON
+ */
 struct command_target {
 	struct address address;
 	bool has_address;
@@ -17,11 +23,14 @@
 };
 
 /**
- * command_target_parse() - take the option 'j' or the argument IP:PORT
- * @key: as argp gives it, also ARGP_KEY_END
+ * command_target_parse() - parse the option 'j' or the argument IP:PORT
+ * @target: filled
+ * @key: as passed by argp, including ARGP_KEY_END
+ * @arg: as passed by argp
+ * @state: as passed by argp
  *
- * Ends the process with the usage if the address is malformed, missing or
- * there twice.
+ * Prints the usage and exits if the address is malformed, missing or given
+ * twice.
  *
  * Return: 0; ARGP_ERR_UNKNOWN for other keys.
  */
