--- a/operator_pages.c
+++ b/operator_pages.c
@@ -14,10 +14,10 @@
 #include "request.h"
 #include "trace_json.h"
 
-/* Records of one request id in an answer: a caller may send it many times. */
+/* Maximum records per answer: a caller may reuse a request id many times. */
 #define TRACES_MAX 16
 
-static void send_json(evhtp_request_t *http, int status)
+static void send_json_reply(evhtp_request_t *http, int status)
 {
 	evhtp_headers_add_header(http->headers_out,
 				 evhtp_header_new("Content-Type",
@@ -25,9 +25,9 @@
 	evhtp_send_reply(http, (evhtp_res)status);
 }
 
-/* Takes over @root. */
-static void send_object(evhtp_request_t *http, struct json_object *root,
-			int status)
+/* Takes ownership of @root. */
+static void send_json_object(evhtp_request_t *http, struct json_object *root,
+			     int status)
 {
 	const char *text = json_object_to_json_string_ext(
 		root, JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE);
@@ -35,7 +35,7 @@
 	evbuffer_add(http->buffer_out, text, strlen(text));
 	evbuffer_add(http->buffer_out, "\n", 1);
 	json_object_put(root);
-	send_json(http, status);
+	send_json_reply(http, status);
 }
 
 static bool is_get(evhtp_request_t *http)
@@ -44,11 +44,11 @@
 		return true;
 	answer_error(http->buffer_out, STR(""), ERR_BAD_REQUEST, false, 0,
 		     NULL);
-	send_json(http, EVHTP_RES_METHNALLOWED);
+	send_json_reply(http, EVHTP_RES_METHNALLOWED);
 	return false;
 }
 
-static int status_of(int code)
+static int http_status(int code)
 {
 	if (!code)
 		return EVHTP_RES_OK;
@@ -72,8 +72,8 @@
 	json_object_object_add(root, "traces", list);
 }
 
-/* Percent-encoded in the URL. NULL, or to be freed. */
-static char *find_id(evhtp_request_t *http)
+/* Decodes the parameter "request_id". Returns NULL or a text to be freed. */
+static char *request_id_param(evhtp_request_t *http)
 {
 	const char *text = NULL;
 	char *id;
@@ -81,7 +81,7 @@
 	if (http->uri->query)
 		text = evhtp_kv_find(http->uri->query, "request_id");
 	id = text ? evhttp_uridecode(text, 0, NULL) : NULL;
-	/* It is shown again in JSON, which may be UTF-8 only. */
+	/* The id is repeated in the JSON answer, which must be UTF-8. */
 	if (!id || request_id_is_valid(str_from(id)))
 		return id;
 	free(id);
@@ -94,8 +94,8 @@
 	const struct trace_book *book = &board->traces;
 	struct json_object *root;
 	const struct trace *trace;
-	char *id = find_id(http);
-	int64_t kept;
+	char *id = request_id_param(http);
+	int64_t retention;
 	int code = ERR_BAD_REQUEST;
 
 	if (!is_get(http)) {
@@ -104,7 +104,7 @@
 	}
 	if (id)
 		code = trace_book_find(book, str_from(id), NULL, &trace);
-	kept = clock_now(board->clock) - trace_book_kept_since(book);
+	retention = clock_now(board->clock) - trace_book_kept_since(book);
 	root = json_object_new_object();
 	json_value_add_text(root, "instance", board->settings->instance);
 	json_value_add_text(root, "data_centre", board->settings->data_centre);
@@ -112,17 +112,18 @@
 	json_value_add_text(root, "error", error_name(code));
 	json_value_add_text(root, "text", error_text(code));
 	json_object_object_add(root, "kept_ms",
-			       json_object_new_int64(kept / USEC_PER_MSEC));
+			       json_object_new_int64(retention /
+						     USEC_PER_MSEC));
 	if (!code)
 		add_traces(root, book, str_from(id));
 	free(id);
-	send_object(http, root, status_of(code));
+	send_json_object(http, root, http_status(code));
 }
 
 static void on_burn(evhtp_request_t *http, void *arg)
 {
 	if (is_get(http))
-		send_object(http, burn_json(arg), EVHTP_RES_OK);
+		send_json_object(http, burn_json(arg), EVHTP_RES_OK);
 }
 
 void operator_pages_add(struct evhtp *http, struct blackboard *board)
--- a/operator_pages.h
+++ b/operator_pages.h
@@ -1,4 +1,4 @@
-/* HTTP pages that explain what the instance did: GET /v1/explain, /v1/burn. */
+/* HTTP endpoints for operators: GET /v1/explain and GET /v1/burn. */
 #ifndef OPERATOR_PAGES_H
 #define OPERATOR_PAGES_H
 
@@ -7,7 +7,9 @@
 struct evhtp;
 
 /**
- * operator_pages_add() - answer these pages on a server for callers
+ * operator_pages_add() - register the endpoints on the callers' HTTP server
+ * @http: the server
+ * @board: borrowed; must outlive @http
  */
 void operator_pages_add(struct evhtp *http, struct blackboard *board);
 
--- a/serve.c
+++ b/serve.c
@@ -36,7 +36,8 @@
 	struct lifecycle_control lifecycle;
 };
 
-static uint64_t draw_incarnation(void)
+/* Random and non-zero. */
+static uint64_t random_incarnation(void)
 {
 	uint64_t n = 0;
 
@@ -45,7 +46,7 @@
 	return n;
 }
 
-static void on_beat(void *arg, int64_t lag)
+static void on_loop_tick(void *arg, int64_t lag)
 {
 	struct instance *instance = arg;
 
@@ -53,8 +54,8 @@
 	entry_net_beat(&instance->entry, lag);
 }
 
-static void on_heard(void *arg, const char *peer,
-		     const struct member_beacon *beacon)
+static void on_beacon(void *arg, const char *peer,
+		      const struct member_beacon *beacon)
 {
 	struct instance *instance = arg;
 
@@ -75,7 +76,7 @@
 		       caller_search_done);
 	poison_net_init(&instance->poison, board, &instance->peers);
 	run_net_init(&instance->runs, board, &instance->peers);
-	loop_lag_init(&instance->loop, board, on_beat, instance);
+	loop_lag_init(&instance->loop, board, on_loop_tick, instance);
 	lifecycle_init(&instance->lifecycle, board, &instance->home.home);
 	ret = caller_init(&instance->caller, board, &instance->entry,
 			  &instance->runs);
@@ -83,7 +84,7 @@
 		return ret;
 	table_control_init(&instance->table, board, &instance->peers);
 	return member_net_init(&instance->members, board, &instance->peers,
-			       on_heard, instance);
+			       on_beacon, instance);
 }
 
 static void stop(struct instance *instance)
@@ -109,7 +110,7 @@
 	signal(SIGPIPE, SIG_IGN);
 	clock_init(&instance.clock);
 	blackboard_init(&instance.board, &instance.clock, settings, base,
-			draw_incarnation());
+			random_incarnation());
 	ret = start(&instance);
 	if (ret) {
 		LOG_ERROR("start_failed", LOG_TEXT("error", error_name(ret)));
--- a/serve.h
+++ b/serve.h
@@ -1,11 +1,12 @@
-/* The instance: puts the controllers together and runs the event loop. */
+/* Runs an instance: sets up its controllers and the event loop. */
 #ifndef SERVE_H
 #define SERVE_H
 
 #include "settings.h"
 
 /**
- * serve() - run until stopped by SIGTERM or SIGINT
+ * serve() - run an instance until stopped by SIGTERM or SIGINT
+ * @settings: borrowed
  *
  * Return: 0 after a graceful stop, or ERR_ADDRESS if an address is in use.
  */
