--- a/burn_json.c
+++ b/burn_json.c
@@ -180,7 +180,7 @@
 static bool is_in_table(const struct blackboard *board, const char *service)
 {
 	return board->table &&
-	       table_service(board->table, str_from(service)) >= 0;
+	       table_find_service(board->table, str_from(service)) >= 0;
 }
 
 static struct json_object *services_json(struct blackboard *board)
--- a/policy.c
+++ b/policy.c
@@ -89,9 +89,9 @@
 			 const struct observe_result *result)
 {
 	observe_done(&policy->observe, server, instance, was_late, result);
-	replica_review(&policy->observe, server,
-		       observe_outcome_of(result->code, result->sent),
-		       result->elapsed_us);
+	replica_update_ejection(&policy->observe, server,
+				observe_outcome_of(result->code, result->sent),
+				result->elapsed_us);
 }
 
 void policy_hedge_cancelled(struct policy *policy,
--- a/replica.c
+++ b/replica.c
@@ -409,8 +409,9 @@
 	       is_slow(observe, server, server->mean_us);
 }
 
-void replica_review(struct observe *observe, struct observe_server *server,
-		    enum observe_outcome outcome, int64_t elapsed_us)
+void replica_update_ejection(struct observe *observe,
+			     struct observe_server *server,
+			     enum observe_outcome outcome, int64_t elapsed_us)
 {
 	int64_t now = clock_now(observe->clock);
 
--- a/tests/test_load_share.c
+++ b/tests/test_load_share.c
@@ -231,7 +231,7 @@
 		out);
 }
 
-/* Same sequence as gateway_load_arrive() and dispatch_load_limit. */
+/* Same sequence as gateway_load_check_return() and dispatch_load_limit. */
 static void send_request(struct simulation *simulation, struct caller *caller)
 {
 	struct entry *entry = &simulation->entries[caller->entry];
