--- a/replica.c
+++ b/replica.c
@@ -70,12 +70,12 @@
 
 	/* The slow start begins when the server stops reporting cold. */
 	if (replica->is_cold) {
-		server->warm_since = now;
+		server->slow_start_at = now;
 		return SLOW_START_FLOOR;
 	}
-	if (now - server->warm_since >= length)
+	if (now - server->slow_start_at >= length)
 		return 1;
-	factor = (double)(now - server->warm_since) / (double)length;
+	factor = (double)(now - server->slow_start_at) / (double)length;
 	return factor > SLOW_START_FLOOR ? factor : SLOW_START_FLOOR;
 }
 
@@ -359,7 +359,7 @@
 	server->failures_in_row = 0;
 	server->mean_us = (float)elapsed_us;
 	server->sampled_at = now;
-	server->warm_since = now - length * 3 / 4;
+	server->slow_start_at = now - length * 3 / 4;
 	LOG_INFO("server_readmitted", LOG_TEXT("server", server->name));
 }
 
