--- a/observe.c
+++ b/observe.c
@@ -7,24 +7,30 @@
 #include "error.h"
 #include "mem.h"
 
-/* Smoothing of latency: the weight of a new sample. */
+/* Exponential smoothing of latency: the weight of a new sample. */
 #define MEAN_GAIN 0.125f
 #define DEVIATION_GAIN 0.25f
-/* A single straggler says little of its server: samples are cut there. */
+/*
+ * Samples are clipped at this many deviations above the mean, as a single
+ * outlier says little about its server.
+ */
 #define DEVIATIONS_MAX 4.0f
-/* Samples for which a server's own quantile counts as much as the service's. */
-#define LEAN_SAMPLES 16.0
-/* Counts fade so much quicker: a server that is well again is used again. */
-#define COUNTS_FADE 4
-/* Those of a whole service: it is soon clear that all of it is gone. */
-#define SERVICE_FADE 16
-/* What a home said of its load says nothing any more after this. */
+/* Weight of the service's quantile, in samples of the server. */
+#define PRIOR_SAMPLES 16.0
+/*
+ * Counts decay faster than latencies by this factor, so that a server that
+ * recovered is soon used again.
+ */
+#define COUNTS_DECAY 4
+/* The same for counts of a service, to detect an outage of all of it soon. */
+#define SERVICE_DECAY 16
+/* A home's report of its load is ignored after this time. */
 #define LOAD_AGE_MAX_US 1000000
 #define BACK_OFF_DEFAULT_US MSEC(50)
 #define BACK_OFF_DOUBLINGS_MAX 6
 
 _Static_assert(sizeof(struct observe_server) <= OBSERVE_SERVER_BYTES,
-	       "a server's observations outgrew their bound");
+	       "struct observe_server exceeds OBSERVE_SERVER_BYTES");
 
 static int64_t half_life(const struct observe *observe)
 {
@@ -54,7 +60,7 @@
 	free(group);
 }
 
-static void forget_server(struct observe *observe,
+static void remove_server(struct observe *observe,
 			  struct observe_server *server)
 {
 	leave_group(observe, server);
@@ -73,7 +79,7 @@
 	struct observe_service *next_service;
 
 	HASH_ITER (hh, observe->servers, server, next) {
-		forget_server(observe, server);
+		remove_server(observe, server);
 	}
 	HASH_ITER (hh, observe->services, service, next_service) {
 		HASH_DEL(observe->services, service);
@@ -111,8 +117,8 @@
 	return find_service(observe, str_hash(name));
 }
 
-static struct observe_service *put_service(struct observe *observe,
-					   const struct service *row)
+static struct observe_service *get_or_add_service(struct observe *observe,
+						  const struct service *row)
 {
 	uint64_t hash = str_hash(str_from(row->name));
 	struct observe_service *service = find_service(observe, hash);
@@ -132,7 +138,8 @@
 	return service;
 }
 
-static struct observe_group *put_group(struct observe *observe, uint64_t hash)
+static struct observe_group *get_or_add_group(struct observe *observe,
+					      uint64_t hash)
 {
 	struct observe_group *group;
 
@@ -148,7 +155,7 @@
 static void join_group(struct observe *observe, struct observe_server *server,
 		       uint64_t hash)
 {
-	struct observe_group *group = put_group(observe, hash);
+	struct observe_group *group = get_or_add_group(observe, hash);
 
 	MEM_GROW(group->servers, group->n, group->cap);
 	group->servers[group->n++] = server;
@@ -165,19 +172,21 @@
 	str_copy(server->name, sizeof(server->name), str_from(row->name));
 	server->service = service;
 	server->health = 1;
-	server->warm_since = clock_now(observe->clock);
-	server->counted_at = server->warm_since;
+	server->slow_start_at = clock_now(observe->clock);
+	server->decayed_at = server->slow_start_at;
 	service->n_servers++;
 	HASH_ADD(hh, observe->servers, hash, sizeof(server->hash), server);
 	return server;
 }
 
-static void put_server(struct observe *observe, const struct table *table,
-		       const struct backend_server *row)
+static void add_or_update_server(struct observe *observe,
+				 const struct table *table,
+				 const struct backend_server *row)
 {
 	const struct service *service_row =
 		&table->services[row->service_index];
-	struct observe_service *service = put_service(observe, service_row);
+	struct observe_service *service =
+		get_or_add_service(observe, service_row);
 	struct observe_server *server = find_server(observe, row->hash);
 	uint64_t group = str_hash_mix(service->hash,
 				      str_hash(str_from(row->replica_set)));
@@ -197,17 +206,17 @@
 		join_group(observe, server, group);
 	server->table_weight = row->weight;
 	server->table_slots = row->slots;
-	server->listed = true;
+	server->in_table = true;
 }
 
-static void forget_unlisted(struct observe *observe)
+static void remove_unlisted(struct observe *observe)
 {
 	struct observe_server *server;
 	struct observe_server *next;
 
 	HASH_ITER (hh, observe->servers, server, next) {
-		if (!server->listed && !server->in_flight)
-			forget_server(observe, server);
+		if (!server->in_table && !server->in_flight)
+			remove_server(observe, server);
 	}
 }
 
@@ -219,18 +228,18 @@
 
 	observe->tunables = table->tunables;
 	HASH_ITER (hh, observe->servers, server, next) {
-		server->listed = false;
+		server->in_table = false;
 	}
 	for (i = 0; i < table->n_servers; i++)
-		put_server(observe, table, &table->servers[i]);
-	forget_unlisted(observe);
+		add_or_update_server(observe, table, &table->servers[i]);
+	remove_unlisted(observe);
 }
 
-/* The least used slot goes to a new home. */
+/* A new home replaces the one with the fewest requests, then oldest report. */
 struct observe_home *observe_home(struct observe_server *server,
 				  uint64_t instance)
 {
-	struct observe_home *least = &server->homes[0];
+	struct observe_home *lowest = &server->homes[0];
 	int i;
 
 	for (i = 0; i < OBSERVE_HOMES_MAX; i++) {
@@ -238,17 +247,18 @@
 
 		if (home->hash == instance)
 			return home;
-		if (home->in_flight < least->in_flight ||
-		    (home->in_flight == least->in_flight &&
-		     home->load_at < least->load_at))
-			least = home;
+		if (home->in_flight < lowest->in_flight ||
+		    (home->in_flight == lowest->in_flight &&
+		     home->load_at < lowest->load_at))
+			lowest = home;
 	}
-	memset(least, 0, sizeof(*least));
-	least->hash = instance;
-	return least;
+	memset(lowest, 0, sizeof(*lowest));
+	lowest->hash = instance;
+	return lowest;
 }
 
-static float fading(const struct observe *observe, int64_t since, double times)
+static float decay_factor(const struct observe *observe, int64_t since,
+			  double times)
 {
 	int64_t age = clock_now(observe->clock) - since;
 
@@ -259,40 +269,41 @@
 			  struct observe_service *service,
 			  enum observe_outcome outcome)
 {
-	float factor = fading(observe, service->counted_at, SERVICE_FADE);
+	float factor =
+		decay_factor(observe, service->decayed_at, SERVICE_DECAY);
 
 	service->accepts *= factor;
 	service->rejects *= factor;
-	service->counted_at = clock_now(observe->clock);
+	service->decayed_at = clock_now(observe->clock);
 	if (outcome == OBSERVE_ANSWERED)
 		service->accepts += 1;
 	if (outcome == OBSERVE_REFUSED || outcome == OBSERVE_FAILED)
 		service->rejects += 1;
 }
 
-static void fade_counts(const struct observe *observe,
-			struct observe_server *server)
+static void decay_counts(const struct observe *observe,
+			 struct observe_server *server)
 {
 	int64_t now = clock_now(observe->clock);
-	float factor = fading(observe, server->counted_at, COUNTS_FADE);
+	float factor = decay_factor(observe, server->decayed_at, COUNTS_DECAY);
 
 	server->requests *= factor;
 	server->accepts *= factor;
 	server->refusals *= factor;
 	server->failures *= factor;
-	server->counted_at = now;
+	server->decayed_at = now;
 }
 
 void observe_sent(struct observe *observe, struct observe_server *server,
 		  uint64_t instance)
 {
-	fade_counts(observe, server);
+	decay_counts(observe, server);
 	server->requests += 1;
 	server->in_flight++;
 	observe_home(server, instance)->in_flight++;
 }
 
-void observe_late(struct observe_server *server)
+void observe_mark_late(struct observe_server *server)
 {
 	server->late++;
 }
@@ -306,14 +317,14 @@
 	case ERR_DRAINING:
 		return OBSERVE_REFUSED;
 	case ERR_NO_SLOT:
-		/* Of the server itself: 429. */
+		/* If sent, the server itself refused it with status 429. */
 		return sent ? OBSERVE_REFUSED : OBSERVE_NOT_ASKED;
 	case ERR_WRONG_VERSION:
 	case ERR_NOT_HELD:
 		return OBSERVE_NOT_HELD;
 	case ERR_CANCELLED:
 	case ERR_TOO_LATE:
-		return OBSERVE_NO_WORD;
+		return OBSERVE_ABANDONED;
 	case ERR_SILENT:
 		return OBSERVE_SILENT;
 	case ERR_CONNECT:
@@ -329,11 +340,11 @@
 	}
 }
 
-static void add_mean(const struct observe *observe,
-		     struct observe_server *server, float usec, int64_t now)
+static void update_mean(const struct observe *observe,
+			struct observe_server *server, float usec, int64_t now)
 {
 	float distance;
-	float most;
+	float max;
 
 	if (!server->sampled_at) {
 		server->mean_us = usec;
@@ -341,11 +352,11 @@
 		server->sampled_at = now;
 		return;
 	}
-	/* What faded since the last sample is gone for good. */
+	/* Start from the decayed mean, not from that of the last sample. */
 	server->mean_us = (float)observe_mean(observe, server);
-	most = server->mean_us + DEVIATIONS_MAX * server->deviation_us;
-	if (usec > most)
-		usec = most;
+	max = server->mean_us + DEVIATIONS_MAX * server->deviation_us;
+	if (usec > max)
+		usec = max;
 	distance = fabsf(usec - server->mean_us);
 	server->deviation_us +=
 		DEVIATION_GAIN * (distance - server->deviation_us);
@@ -369,36 +380,36 @@
 	server->silences_in_row = 0;
 	server->answered_at = now;
 	server->back_off_until = 0;
-	add_mean(observe, server,
-		 (float)(result->latency_us ? result->latency_us
-					    : result->elapsed_us),
-		 now);
+	update_mean(observe, server,
+		    (float)(result->latency_us ? result->latency_us
+					       : result->elapsed_us),
+		    now);
 	add_elapsed(observe, server, result->elapsed_us, now);
 }
 
 /*
- * A server that sheds is left alone for as long as it asked, and for twice as
- * long with each shed in a row: instances that all came back at once would
- * keep it shedding. Refusals are no latency samples: a server that refuses at
- * once would look like the quickest and draw all the traffic.
+ * A server that sheds is not called for as long as it asked, doubled with each
+ * further refusal in a row: if all instances came back at once, it would keep
+ * shedding. Refusals are no latency samples: a server that refuses immediately
+ * would look like the fastest and attract all traffic.
  */
 static void on_refused(struct observe *observe, struct observe_server *server,
 		       const struct observe_result *result, int64_t now)
 {
-	int64_t most = MSEC(observe->tunables.back_off_max_ms);
+	int64_t max = MSEC(observe->tunables.back_off_max_ms);
 	int64_t wait = result->retry_after_us ? result->retry_after_us
 					      : BACK_OFF_DEFAULT_US;
 	uint32_t doublings = server->refusals_in_row;
 
 	server->refusals += 1;
-	/* Requests sent together are refused together: that is one refusal. */
+	/* Refusals of requests sent before the back-off count as one. */
 	if (now < server->back_off_until)
 		return;
 	if (doublings > BACK_OFF_DOUBLINGS_MAX)
 		doublings = BACK_OFF_DOUBLINGS_MAX;
 	wait <<= doublings;
 	server->refusals_in_row++;
-	server->back_off_until = now + (wait < most ? wait : most);
+	server->back_off_until = now + (wait < max ? wait : max);
 }
 
 static void on_failed(struct observe_server *server)
@@ -408,8 +419,9 @@
 }
 
 /*
- * A silent connection is given up, not its server: only when more requests in
- * a row than it has connections found silence is the server itself at fault.
+ * A silent connection says nothing about its server at first. Only after more
+ * silent requests in a row than the server has connections does it count as a
+ * failure of the server.
  */
 static void on_silent(struct observe_server *server)
 {
@@ -419,20 +431,20 @@
 		on_failed(server);
 }
 
-/* It took longer than it was waited for: all that is known of it. */
-static void on_no_word(struct observe *observe, struct observe_server *server,
-		       const struct observe_result *result, int64_t now)
+/* The elapsed time is a lower bound of the latency; used if above the mean. */
+static void on_abandoned(struct observe *observe, struct observe_server *server,
+			 const struct observe_result *result, int64_t now)
 {
 	server->requests -= server->requests >= 1 ? 1 : 0;
 	if (result->elapsed_us < observe_mean(observe, server))
 		return;
 	add_elapsed(observe, server, result->elapsed_us, now);
 	if (server->sampled_at)
-		add_mean(observe, server, (float)result->elapsed_us, now);
+		update_mean(observe, server, (float)result->elapsed_us, now);
 }
 
-static void take_result(struct observe *observe, struct observe_server *server,
-			const struct observe_result *result, int64_t now)
+static void count_result(struct observe *observe, struct observe_server *server,
+			 const struct observe_result *result, int64_t now)
 {
 	switch (observe_outcome_of(result->code, result->sent)) {
 	case OBSERVE_ANSWERED:
@@ -453,8 +465,8 @@
 	case OBSERVE_NOT_ASKED:
 		server->requests -= server->requests >= 1 ? 1 : 0;
 		break;
-	case OBSERVE_NO_WORD:
-		on_no_word(observe, server, result, now);
+	case OBSERVE_ABANDONED:
+		on_abandoned(observe, server, result, now);
 		break;
 	}
 }
@@ -476,38 +488,38 @@
 		home->load = result->home_load;
 		home->load_at = now;
 	}
-	fade_counts(observe, server);
+	decay_counts(observe, server);
 	count_service(observe, server->service,
 		      observe_outcome_of(result->code, result->sent));
-	take_result(observe, server, result, now);
+	count_result(observe, server, result, now);
 }
 
-void observe_searched(struct observe *observe, struct observe_service *service,
-		      int64_t elapsed_us)
+void observe_search_done(struct observe *observe,
+			 struct observe_service *service, int64_t elapsed_us)
 {
 	sketch_add(&service->searches, elapsed_us, clock_now(observe->clock),
 		   half_life(observe));
 }
 
-void observe_hint(struct observe_server *server, double health)
+void observe_set_health(struct observe_server *server, double health)
 {
 	server->health = (float)health;
 }
 
-/* Of the group; a server that was not asked for long is thought as quick. */
-static float quickest_mean(const struct observe_server *server)
+/* The lowest mean in the group, assumed for servers without recent samples. */
+static float fastest_mean(const struct observe_server *server)
 {
 	const struct observe_group *group = server->group;
-	float least = server->mean_us;
+	float lowest = server->mean_us;
 	int i;
 
 	for (i = 0; i < group->n; i++) {
 		const struct observe_server *peer = group->servers[i];
 
-		if (peer->sampled_at && (least <= 0 || peer->mean_us < least))
-			least = peer->mean_us;
+		if (peer->sampled_at && (lowest <= 0 || peer->mean_us < lowest))
+			lowest = peer->mean_us;
 	}
-	return least;
+	return lowest;
 }
 
 int64_t observe_mean(const struct observe *observe,
@@ -517,30 +529,30 @@
 	double own;
 
 	if (!server->sampled_at)
-		return (int64_t)quickest_mean(server);
+		return (int64_t)fastest_mean(server);
 	age = (double)(clock_now(observe->clock) - server->sampled_at);
-	/* Young samples need no look at the others. */
+	/* With a recent sample the group has hardly any weight. */
 	if (age * 16 < (double)half_life(observe))
 		return (int64_t)server->mean_us;
 	own = exp2(-age / (double)half_life(observe));
 	return (int64_t)(own * (double)server->mean_us +
-			 (1 - own) * (double)quickest_mean(server));
+			 (1 - own) * (double)fastest_mean(server));
 }
 
 uint32_t observe_load(const struct observe *observe,
 		      const struct observe_server *server)
 {
 	int64_t now = clock_now(observe->clock);
-	uint32_t told = 0;
+	uint32_t reported = 0;
 	int i;
 
 	for (i = 0; i < OBSERVE_HOMES_MAX; i++) {
 		const struct observe_home *home = &server->homes[i];
 
 		if (home->hash && now - home->load_at < LOAD_AGE_MAX_US)
-			told += home->load;
+			reported += home->load;
 	}
-	return told > server->in_flight ? told : server->in_flight;
+	return reported > server->in_flight ? reported : server->in_flight;
 }
 
 int64_t observe_quantile(const struct observe *observe,
@@ -551,14 +563,14 @@
 	double own = (double)sketch_quantile(&server->sketch, q);
 	double all = (double)sketch_quantile(&server->service->sketch, q);
 
-	return (int64_t)((n * own + LEAN_SAMPLES * all) / (n + LEAN_SAMPLES));
+	return (int64_t)((n * own + PRIOR_SAMPLES * all) / (n + PRIOR_SAMPLES));
 }
 
 double observe_accept_ratio(const struct observe *observe,
 			    const struct observe_server *server)
 {
 	(void)observe;
-	/* One imagined answer: nothing known reads as good. */
+	/* Adds one answer, so that the ratio is 1 without any request. */
 	return ((double)server->accepts + 1) /
 	       ((double)(server->accepts + server->refusals +
 			 server->failures) +
--- a/observe.h
+++ b/observe.h
@@ -1,9 +1,9 @@
 /*
- * What this instance has seen of backend servers with its own requests:
- * latency, requests in flight, refusals and failures. It decides nothing.
+ * Statistics about backend servers from this instance's own requests: latency,
+ * requests in flight, refusals and failures. Makes no decisions itself.
  *
- * Everything fades with time. A server costs sizeof(struct observe_server),
- * below OBSERVE_SERVER_BYTES; nothing grows with the traffic.
+ * All statistics decay over time. A server needs the memory of a struct
+ * observe_server, at most OBSERVE_SERVER_BYTES, independently of the traffic.
  */
 #ifndef OBSERVE_H
 #define OBSERVE_H
@@ -22,18 +22,18 @@
 #define OBSERVE_NAME_SIZE 65
 #define OBSERVE_HOMES_MAX 4
 #define OBSERVE_SERVER_BYTES 1024
-/* Above the connections a server usually accepts from all instances. */
+/* More than the connections a server usually accepts from all instances. */
 #define OBSERVE_SILENCES_MAX 100
 
 struct observe;
 struct observe_server;
 
 /**
- * struct observe_home - requests by way of one home of a server
- * @hash: of the home's name; 0: not in use
- * @in_flight: own requests there
- * @load: requests of all instances there, as it last said
- * @load_at: when it said so, microseconds
+ * struct observe_home - requests sent through one home of a server
+ * @hash: hash of the home's name; 0: slot not in use
+ * @in_flight: own requests in flight through it
+ * @load: requests of all instances there, as it last reported
+ * @load_at: time of that report, microseconds
  */
 struct observe_home {
 	uint64_t hash;
@@ -44,28 +44,35 @@
 
 /**
  * struct observe_group - servers that should hold the same shards
- * @servers: of @n
- * @reviewed_at: time of the last search for outliers, microseconds
+ * @servers: owned array of @n servers that the group doesn't own
+ * @n: number of @servers
+ * @cap: allocated size of @servers
+ * @outliers_checked_at: time of the last search for outliers, microseconds
+ * @hash: hash of the names of service and replica set
+ * @hh: in observe.groups
  */
 struct observe_group {
 	struct observe_server **servers;
 	int n;
 	int cap;
-	int64_t reviewed_at;
+	int64_t outliers_checked_at;
 	uint64_t hash;
 	UT_hash_handle hh;
 };
 
 /**
- * struct observe_service - what is known of a service as a whole
- * @sketch: time until an answer, over all its servers
- * @searches: time until full coverage, by whole search
+ * struct observe_service - statistics of a service as a whole
+ * @hash: hash of its name
+ * @sketch: times until an answer, over all its servers
+ * @searches: times until full coverage, per search
  * @hedges: budget of hedges
  * @retries: budget of retries
- * @accepts: requests answered lately, fading
- * @rejects: requests refused or failed lately, fading
- * @n_servers: how many it has
- * @n_ejected: how many of them are ejected
+ * @accepts: decaying number of requests answered
+ * @rejects: decaying number of requests refused or failed
+ * @decayed_at: time of the last decay of @accepts and @rejects, microseconds
+ * @n_servers: number of its servers
+ * @n_ejected: number of its servers that are ejected
+ * @hh: in observe.services
  */
 struct observe_service {
 	uint64_t hash;
@@ -75,42 +82,52 @@
 	struct budget retries;
 	float accepts;
 	float rejects;
-	int64_t counted_at;
+	int64_t decayed_at;
 	int n_servers;
 	int n_ejected;
 	UT_hash_handle hh;
 };
 
 /**
- * struct observe_server - what is known of a backend server
+ * struct observe_server - statistics of a backend server
+ * @hash: hash of its name
+ * @name: its name in the table
+ * @probing: being tried again after an ejection, one request at a time
+ * @in_table: still in the table
+ * @service: the service that it belongs to
+ * @group: servers with the same shards, including this one
+ * @homes: requests by home
  * @in_flight: own requests not yet answered
- * @late: those of them past the delay after which they are hedged
- * @mean_us: smoothed time from the home's sending to the answer
- * @deviation_us: smoothed distance from it
- * @sampled_at: time of the last sample
- * @requests: asked lately, fading; likewise the next three
- * @accepts: of them answered
- * @refusals: of them shed
- * @failures: of them failed
+ * @late: of these, requests past their hedge delay
+ * @mean_us: smoothed time from the home's sending to the answer, microseconds
+ * @deviation_us: smoothed absolute difference from the mean, microseconds
+ * @sampled_at: time of the last latency sample, microseconds; 0: none yet
+ * @requests: decaying number of requests
+ * @accepts: decaying number of requests answered
+ * @refusals: decaying number of requests shed, or for data it doesn't hold
+ * @failures: decaying number of requests failed
+ * @decayed_at: time of the last decay of these four, microseconds
  * @failures_in_row: failures since the last answer
- * @refusals_in_row: sheds since the last answer
+ * @refusals_in_row: refusals since the last answer that lengthened its back-off
  * @silences_in_row: silent connections since the last answer
- * @answered_at: time of the last answer, 0 if none
- * @back_off_until: asked not to be called before
- * @warm_since: start of its slow start
- * @health: 0 to 1 as its health endpoint tells; only ever a hint
- * @ejected_until: when an ejected server is tried again; 0: not ejected
- * @ejections: ejections lately, for the length of the next
- * @probing: tried again, one request at a time
- * @sketch: time until an answer as the entry sees it
- * @table_weight: share of work among its group
- * @listed: still in the table
+ * @ejections: number of recent ejections; sets the length of the next
+ * @answered_at: time of the last answer, microseconds; 0: none
+ * @back_off_until: time before which it asked not to be called, microseconds
+ * @slow_start_at: start of its slow start, microseconds
+ * @ejected_until: when an ejected server is tried again, microseconds; 0: not
+ *		   ejected
+ * @ejected_at: time of the last ejection, microseconds
+ * @health: 0 to 1 as reported by its health endpoint; a hint only
+ * @table_weight: its share of the group's work, from the table
+ * @table_slots: number of slots, from the table
+ * @sketch: times until an answer, measured at the entry instance
+ * @hh: in observe.servers
  */
 struct observe_server {
 	uint64_t hash;
 	char name[OBSERVE_NAME_SIZE];
 	bool probing;
-	bool listed;
+	bool in_table;
 	struct observe_service *service;
 	struct observe_group *group;
 	struct observe_home homes[OBSERVE_HOMES_MAX];
@@ -123,14 +140,14 @@
 	float accepts;
 	float refusals;
 	float failures;
-	int64_t counted_at;
+	int64_t decayed_at;
 	uint32_t failures_in_row;
 	uint32_t refusals_in_row;
 	uint32_t silences_in_row;
 	uint32_t ejections;
 	int64_t answered_at;
 	int64_t back_off_until;
-	int64_t warm_since;
+	int64_t slow_start_at;
 	int64_t ejected_until;
 	int64_t ejected_at;
 	float health;
@@ -141,8 +158,12 @@
 };
 
 /**
- * struct observe - all observations of one instance
- * @tunables: a copy of those in force
+ * struct observe - statistics of one instance
+ * @clock: not owned
+ * @tunables: copy of the table's tunables
+ * @servers: hash map by hash of the name, owned
+ * @services: hash map by hash of the name, owned
+ * @groups: hash map by hash of service and replica set, owned
  */
 struct observe {
 	const struct clock *clock;
@@ -152,25 +173,26 @@
 	struct observe_group *groups;
 };
 
-/* What one answer, or the lack of one, says of a server. */
+/* What the result of one request says about its server. */
 enum observe_outcome {
 	OBSERVE_ANSWERED,
 	OBSERVE_REFUSED,   /* the server shed it */
-	OBSERVE_NOT_HELD,  /* the server has not that data */
-	OBSERVE_FAILED,	   /* no connection, or it broke */
+	OBSERVE_NOT_HELD,  /* the server doesn't hold that data */
+	OBSERVE_FAILED,	   /* no connection, it broke, or a bad answer */
 	OBSERVE_SILENT,	   /* the connection made no progress */
-	OBSERVE_NOT_ASKED, /* the home did not get to ask it */
-	OBSERVE_NO_WORD,   /* cancelled, or too late: slower than so far */
+	OBSERVE_NOT_ASKED, /* the home did not send it to the server */
+	OBSERVE_ABANDONED, /* cancelled or past its deadline: a lower bound */
 };
 
 /**
  * struct observe_result - how a request to a server ended
  * @code: 0 or an error code, as in Peer__ServerResult
- * @sent: the server may have got it
- * @elapsed_us: from the entry's sending
- * @latency_us: from the home's sending; 0 if it was not sent
+ * @sent: the server may have received it
+ * @elapsed_us: time since the entry instance sent it, microseconds
+ * @latency_us: time since the home sent it, microseconds; 0 if it was not sent
  * @home_load: requests in flight and queued at the home
- * @retry_after_us: the server asked not to be called before; 0: none
+ * @retry_after_us: time for which the server asked not to be called,
+ *		    microseconds; 0: none
  */
 struct observe_result {
 	int code;
@@ -185,108 +207,123 @@
 void observe_finish(struct observe *observe);
 
 /**
- * observe_set_table() - take services, servers and tunables from a table
+ * observe_set_table() - update services, servers and tunables from a table
+ * @table: read during the call only
  *
- * Observations of servers that stay are kept. A server that left the table
- * is forgotten with the first table after its last request is over.
+ * Statistics of servers that stay in the table are kept. A server that left
+ * the table is removed by the first call after its last request ended.
  */
 void observe_set_table(struct observe *observe, const struct table *table);
 
 /**
- * observe_server() - observations of a server by name
+ * observe_server() - statistics of a server by name
  *
- * Return: NULL if it was never in a table.
+ * Return: owned by @observe; NULL if it is unknown.
  */
 struct observe_server *observe_server(const struct observe *observe,
 				      struct str name);
 
 /**
- * observe_service() - observations of a service by name, or NULL
+ * observe_service() - statistics of a service by name, or NULL
  */
 struct observe_service *observe_service(const struct observe *observe,
 					struct str name);
 
 /**
- * observe_home() - the slot of a home, taken if it is new
+ * observe_home() - get a home's slot, replacing the least used one if it is new
  * @instance: hash of the home's name, not 0
  */
 struct observe_home *observe_home(struct observe_server *server,
 				  uint64_t instance);
 
 /**
- * observe_sent() - a request goes out
+ * observe_sent() - record that a request is sent
  * @instance: hash of the home's name
  */
 void observe_sent(struct observe *observe, struct observe_server *server,
 		  uint64_t instance);
 
 /**
- * observe_late() - a request in flight passed its hedge delay
+ * observe_mark_late() - record that a request in flight passed its hedge delay
  *
- * To be called once a request; observe_done() is then told of it.
+ * To be called at most once per request; pass @was_late to observe_done() then.
  */
-void observe_late(struct observe_server *server);
+void observe_mark_late(struct observe_server *server);
 
 /**
- * observe_done() - a request is over
- * @was_late: whether observe_late() was called for it
+ * observe_done() - record the result of a request
+ * @instance: hash of the home's name
+ * @was_late: whether observe_mark_late() was called for it
+ * @result: how it ended
  */
 void observe_done(struct observe *observe, struct observe_server *server,
 		  uint64_t instance, bool was_late,
 		  const struct observe_result *result);
 
 /**
- * observe_searched() - a whole search is over
- * @elapsed_us: until full coverage, or until it was given up
+ * observe_search_done() - record the duration of a whole search
+ * @elapsed_us: time until full coverage or until it was given up, microseconds
  */
-void observe_searched(struct observe *observe, struct observe_service *service,
-		      int64_t elapsed_us);
+void observe_search_done(struct observe *observe,
+			 struct observe_service *service, int64_t elapsed_us);
 
 /**
- * observe_hint() - what the health endpoint of a server says
+ * observe_set_health() - record what a server's health endpoint reports
  * @health: 0 to 1
  */
-void observe_hint(struct observe_server *server, double health);
+void observe_set_health(struct observe_server *server, double health);
 
+/**
+ * observe_outcome_of() - classify the result of a request
+ * @code: 0 or an error code, as in struct observe_result
+ * @sent: the server may have received it
+ */
 enum observe_outcome observe_outcome_of(int code, bool sent);
 
 /**
- * observe_mean() - expected time of one request alone
+ * observe_mean() - expected time of a single request
  *
- * Falls back to that of the quickest of the group as the last sample ages, so
- * that a server that was slow once is tried again.
+ * As the last sample ages, approaches the mean of the group's fastest server,
+ * so that a server that was slow once is tried again.
  *
- * Return: microseconds; 0 if nothing is known.
+ * Return: microseconds; 0 without any sample.
  */
 int64_t observe_mean(const struct observe *observe,
 		     const struct observe_server *server);
 
 /**
- * observe_load() - requests at a server, of all instances as far as known
+ * observe_load() - requests at a server from all instances
+ *
+ * Return: the sum of the recent reports of its homes, or the number of own
+ * requests in flight if that is larger.
  */
 uint32_t observe_load(const struct observe *observe,
 		      const struct observe_server *server);
 
 /**
- * observe_quantile() - of the time until an answer of a server
+ * observe_quantile() - quantile of the time until a server's answer
+ * @q: 0 to 1
  *
- * With few samples it leans on those of the service.
+ * With few samples, the quantile of the whole service dominates.
  *
- * Return: microseconds; 0 if nothing is known.
+ * Return: microseconds; 0 without any sample.
  */
 int64_t observe_quantile(const struct observe *observe,
 			 const struct observe_server *server, double q);
 
 /**
- * observe_accept_ratio() - part of requests that were answered lately
+ * observe_accept_ratio() - part of recent requests that a server answered
+ *
+ * Return: above 0 to 1; 1 without any request.
  */
 double observe_accept_ratio(const struct observe *observe,
 			    const struct observe_server *server);
 
 /**
- * observe_service_accept_ratio() - part of requests that a service answered
+ * observe_service_accept_ratio() - part of recent requests that a service
+ * answered
  *
- * Return: above 0 to 1; 1 if nothing is known.
+ * Return: above 0 to 1; 1 without any request.
  */
 double observe_service_accept_ratio(const struct observe_service *service);
 
--- a/policy.c
+++ b/policy.c
@@ -109,7 +109,7 @@
 	struct observe_service *stats = find_stats(policy, service);
 
 	if (stats)
-		observe_searched(&policy->observe, stats, elapsed_us);
+		observe_search_done(&policy->observe, stats, elapsed_us);
 }
 
 /*
--- a/replica.c
+++ b/replica.c
@@ -68,12 +68,12 @@
 
 	/* It starts to warm up when it no longer says it is cold. */
 	if (replica->is_cold) {
-		server->warm_since = now;
+		server->slow_start_at = now;
 		return SLOW_START_FLOOR;
 	}
-	if (now - server->warm_since >= length)
+	if (now - server->slow_start_at >= length)
 		return 1;
-	part = (double)(now - server->warm_since) / (double)length;
+	part = (double)(now - server->slow_start_at) / (double)length;
 	return part > SLOW_START_FLOOR ? part : SLOW_START_FLOOR;
 }
 
@@ -350,7 +350,7 @@
 	server->failures_in_row = 0;
 	server->mean_us = (float)elapsed_us;
 	server->sampled_at = now;
-	server->warm_since = now - length * 3 / 4;
+	server->slow_start_at = now - length * 3 / 4;
 	LOG_INFO("server_readmitted", LOG_TEXT("server", server->name));
 }
 
--- a/tests/fake_fleet.c
+++ b/tests/fake_fleet.c
@@ -442,7 +442,7 @@
 	if (!job->alive)
 		return;
 	if (!job->late)
-		observe_late(fleet->servers[job->server].seen);
+		observe_mark_late(fleet->servers[job->server].seen);
 	job->late = true;
 	if (state->newest != index)
 		return;
