--- a/cmd_losses.c
+++ b/cmd_losses.c
@@ -29,7 +29,7 @@
 	ssize_t len;
 
 	while ((len = getline(&line, &size, in)) > 0)
-		losses_take(losses, (struct str){line, (size_t)len});
+		losses_add_line(losses, (struct str){line, (size_t)len});
 	free(line);
 }
 
@@ -85,9 +85,9 @@
 {
 	static const struct argp argp = {
 		options, parse, "LOG...",
-		"Say what callers of gateways lost, by second, route and "
-		"cause, "
-		"from the logs of all instances; - reads standard input."};
+		"Count failed and degraded gateway requests by second, route "
+		"and cause, from the logs of all instances; - reads standard "
+		"input."};
 	struct arguments args = {0};
 
 	losses_init(&args.losses);
--- a/losses.h
+++ b/losses.h
@@ -1,7 +1,7 @@
 /*
- * What callers of gateways lost, read from the instances' logs: by second and
- * by route, each request under one cause. Says where to look, not how much a
- * loss weighs.
+ * Counts failed and degraded gateway requests from the logs of instances, by
+ * second and by route, each request under one cause. Shows where to look; does
+ * not weigh one cause against another.
  */
 #ifndef LOSSES_H
 #define LOSSES_H
@@ -16,47 +16,58 @@
 
 struct json_object;
 
-/* X(cause, name, what it says) */
+/* X(cause, name, description) */
 #define LOSS_CAUSE_LIST(X)                                                     \
-	X(LOSS_NONE, "served", "whole and within the goal")                    \
-	X(LOSS_LATE, "late", "whole or enough, after the goal")                \
-	X(LOSS_PARTS, "parts", "within the goal, without some shards")         \
-	X(LOSS_NO_SERVER, "no_server", "no live server of too many shards")    \
-	X(LOSS_FULL, "full", "no slot, connection or retry left in time")      \
-	X(LOSS_OVERLOAD, "overload", "refused: more than servers can bear")    \
-	X(LOSS_EARLY, "early", "refused again before the time it was told")    \
-	X(LOSS_BROKEN, "broken", "a server broke off or answered wrong")       \
-	X(LOSS_TIMEOUT, "timeout", "servers were waited for until the end")    \
-	X(LOSS_LEFT, "left", "the caller left before the answer")              \
+	X(LOSS_NONE, "served", "complete and within the goal")                 \
+	X(LOSS_LATE, "late", "complete or sufficient, after the goal")         \
+	X(LOSS_PARTIAL, "parts", "within the goal, without some shards")       \
+	X(LOSS_NO_SERVER, "no_server",                                         \
+	  "too many shards without a live server")                             \
+	X(LOSS_NO_CAPACITY, "full",                                            \
+	  "no slot, connection or retry left in time")                         \
+	X(LOSS_OVERLOAD, "overload", "refused: servers are overloaded")        \
+	X(LOSS_EARLY_RETRY, "early",                                           \
+	  "refused: sent again before the time given")                         \
+	X(LOSS_SERVER_FAILED, "broken",                                        \
+	  "a server failed or sent a bad answer")                              \
+	X(LOSS_TIMEOUT, "timeout", "servers did not answer by the deadline")   \
+	X(LOSS_CLIENT_CLOSED, "left",                                          \
+	  "the caller disconnected before the answer")                         \
 	X(LOSS_NO_ROUTES, "no_routes", "routes or servers were not known")     \
-	X(LOSS_REQUEST, "request", "the request's own fault")
+	X(LOSS_BAD_REQUEST, "request", "the request itself was at fault")
 
 #define LOSS_CAUSE_ENUM(cause, name, text) cause,
 enum loss_cause {
-	LOSS_CAUSE_LIST(LOSS_CAUSE_ENUM) LOSS_CAUSES
+	LOSS_CAUSE_LIST(LOSS_CAUSE_ENUM) LOSS_N_CAUSES
 };
 #undef LOSS_CAUSE_ENUM
 
-/* Of a route or a second, as text. */
+/* Size of a route or a second as text. */
 #define LOSSES_KEY_SIZE 128
 
 /**
  * struct losses_row - requests of one route, or that ended in one second
- * @parts: shards asked for by requests that were answered in time
- * @parts_in: of these, in the answers
+ * @key: the route, or the second as in "2026-05-05T13:16:38"
+ * @causes: number of requests by enum loss_cause
+ * @parts: shards asked for by requests that were answered within the goal
+ * @parts_in: of these, shards in the answers
+ * @hh: in losses.by_second or losses.by_route
  */
 struct losses_row {
 	char key[LOSSES_KEY_SIZE];
-	uint64_t causes[LOSS_CAUSES];
+	uint64_t causes[LOSS_N_CAUSES];
 	uint64_t parts;
 	uint64_t parts_in;
 	UT_hash_handle hh;
 };
 
 /**
- * struct losses - of all lines that were taken
- * @lines: that were read; @unreadable of them are no JSON object
- * @by_second: a row for each second in which any instance wrote a line
+ * struct losses - totals of all lines added
+ * @by_second: a row for each second in which any instance logged a line; owned
+ * @by_route: a row for each route; owned
+ * @total: all requests
+ * @lines: number of lines
+ * @unreadable: of these, lines without a JSON object
  */
 struct losses {
 	struct losses_row *by_second;
@@ -70,22 +81,24 @@
 void losses_finish(struct losses *losses);
 
 /**
- * losses_take() - a line of a log
+ * losses_add_line() - count a line of a log
  *
- * What stands before the first brace is passed over, so that lines which a
- * collector put a prefix to can be read as they are.
+ * Text before the first brace is skipped, such as the prefix of a log
+ * collector.
  */
-void losses_take(struct losses *losses, struct str line);
+void losses_add_line(struct losses *losses, struct str line);
 
 const char *loss_cause_name(enum loss_cause cause);
 
 /**
- * losses_text() - tables for terminals
+ * losses_text() - print tables for terminals
  */
 void losses_text(struct losses *losses, FILE *out);
 
 /**
- * losses_json() - for programs; to be released by json_object_put()
+ * losses_json() - the totals as JSON
+ *
+ * Return: to be released by json_object_put().
  */
 struct json_object *losses_json(struct losses *losses);
 
--- a/tests/test_losses.c
+++ b/tests/test_losses.c
@@ -11,21 +11,21 @@
 #define AT(second) "{\"time\":\"2026-05-05T13:16:" second ".552783Z\","
 #define REQUEST "\"event\":\"request\",\"route\":\"r\",\"goal_ms\":100,"
 
-static void take(struct losses *losses, const char *line)
+static void add_line(struct losses *losses, const char *line)
 {
-	losses_take(losses, str_from(line));
+	losses_add_line(losses, str_from(line));
 }
 
 /* The cause that one line is counted under. */
 static enum loss_cause cause_of(const char *line)
 {
 	struct losses losses;
-	int found = LOSS_CAUSES;
+	int found = LOSS_N_CAUSES;
 	int i;
 
 	losses_init(&losses);
-	take(&losses, line);
-	for (i = 0; i < LOSS_CAUSES; i++) {
+	add_line(&losses, line);
+	for (i = 0; i < LOSS_N_CAUSES; i++) {
 		if (losses.total.causes[i])
 			found = i;
 	}
@@ -41,7 +41,7 @@
 	CU_ASSERT(cause_of(AT("38") REQUEST
 			   "\"status\":200,\"took_us\":90000,\"parts\":20,"
 			   "\"parts_in\":18,\"error\":\"none\"}") ==
-		  LOSS_PARTS);
+		  LOSS_PARTIAL);
 	CU_ASSERT(cause_of(AT("38") REQUEST
 			   "\"status\":200,\"took_us\":110000,\"parts\":20,"
 			   "\"parts_in\":18,\"error\":\"none\"}") == LOSS_LATE);
@@ -54,7 +54,7 @@
 		  LOSS_NO_SERVER);
 	CU_ASSERT(cause_of(AT("38") REQUEST
 			   "\"status\":502,\"error\":\"budget\"}") ==
-		  LOSS_FULL);
+		  LOSS_NO_CAPACITY);
 	CU_ASSERT(cause_of(AT("38") REQUEST
 			   "\"status\":503,\"error\":\"overload\"}") ==
 		  LOSS_OVERLOAD);
@@ -63,16 +63,16 @@
 		  LOSS_OVERLOAD);
 	CU_ASSERT(cause_of(AT("38") "\"event\":\"request_refused\","
 				    "\"status\":503,\"why\":\"early\"}") ==
-		  LOSS_EARLY);
+		  LOSS_EARLY_RETRY);
 	CU_ASSERT(cause_of(AT("38") REQUEST
 			   "\"status\":502,\"error\":\"lost\"}") ==
-		  LOSS_BROKEN);
+		  LOSS_SERVER_FAILED);
 	CU_ASSERT(cause_of(AT("38") REQUEST
 			   "\"status\":504,\"error\":\"too_late\"}") ==
 		  LOSS_TIMEOUT);
 	CU_ASSERT(cause_of(AT("38") REQUEST
 			   "\"status\":0,\"error\":\"cancelled\"}") ==
-		  LOSS_LEFT);
+		  LOSS_CLIENT_CLOSED);
 }
 
 static void test_refusals(void)
@@ -82,27 +82,28 @@
 		  LOSS_NO_ROUTES);
 	CU_ASSERT(cause_of(AT("38") "\"event\":\"request_refused\","
 				    "\"status\":404,\"why\":\"no_route\"}") ==
-		  LOSS_REQUEST);
+		  LOSS_BAD_REQUEST);
 }
 
 /*
- * An engineer reads the lines of two instances, behind a collector's prefix,
- * with one line cut in the middle. Each request counts once, under its second
- * and its route, and the cut line is told.
+ * Lines of two instances, one with the prefix of a log collector and one
+ * truncated: each request counts once under its second and its route, and the
+ * truncated line counts as unreadable.
  */
-static void test_tables(void)
+static void test_totals(void)
 {
 	struct losses losses;
 	struct json_object *root;
 	struct json_object *row;
 
 	losses_init(&losses);
-	take(&losses, AT("38") "\"event\":\"store_lost\"}");
-	take(&losses, "  2.6 front-1 " AT("39") REQUEST
-	     "\"status\":200,\"took_us\":9,\"parts\":4,\"parts_in\":3,"
-	     "\"error\":\"none\"}\n");
-	take(&losses, AT("39") REQUEST "\"status\":502,\"error\":\"lost\"}");
-	take(&losses, AT("40") REQUEST "\"status\":502,\"err");
+	add_line(&losses, AT("38") "\"event\":\"store_lost\"}");
+	add_line(&losses, "  2.6 front-1 " AT("39") REQUEST
+		 "\"status\":200,\"took_us\":9,\"parts\":4,\"parts_in\":3,"
+		 "\"error\":\"none\"}\n");
+	add_line(&losses,
+		 AT("39") REQUEST "\"status\":502,\"error\":\"lost\"}");
+	add_line(&losses, AT("40") REQUEST "\"status\":502,\"err");
 	root = losses_json(&losses);
 	CU_ASSERT(json_value_int(root, "lines") == 4);
 	CU_ASSERT(json_value_int(root, "unreadable") == 1);
@@ -121,10 +122,10 @@
 }
 
 static const struct unit_test tests[] = {
-	{"answers", test_answers},
-	{"failures", test_failures},
-	{"refusals", test_refusals},
-	{"tables", test_tables},
+	{"causes of answered requests", test_answers},
+	{"causes of failed requests", test_failures},
+	{"causes of refused requests", test_refusals},
+	{"totals by second and route", test_totals},
 };
 
 UNIT_MAIN("losses", tests)
