--- a/counters.h
+++ b/counters.h
@@ -1,4 +1,4 @@
-/* Every metric of an instance. */
+/* All metrics of an instance: counters, gauges and histograms. */
 #ifndef COUNTERS_H
 #define COUNTERS_H
 
@@ -7,7 +7,7 @@
 /* X(member, kind, name, help) */
 #define COUNTER_LIST(X)                                                        \
 	X(searches, METRIC_COUNTER, "garnetreach_searches_total",              \
-	  "searches taken from callers")                                       \
+	  "searches received from callers")                                    \
 	X(searches_done, METRIC_COUNTER, "garnetreach_searches_done_total",    \
 	  "searches answered with records or counts")                          \
 	X(searches_refused, METRIC_COUNTER,                                    \
@@ -16,59 +16,59 @@
 	  "garnetreach_searches_partial_total",                                \
 	  "searches answered with less than full coverage")                    \
 	X(search_time, METRIC_HISTOGRAM, "garnetreach_search_seconds",         \
-	  "time from a search taken to its answer")                            \
+	  "time from receiving a search to answering it")                      \
 	X(searches_open, METRIC_GAUGE, "garnetreach_searches_open",            \
-	  "searches taken and not yet answered")                               \
+	  "searches received and not yet answered")                            \
 	X(parts_sent, METRIC_COUNTER, "garnetreach_parts_sent_total",          \
-	  "requests for one backend server sent to homes")                     \
+	  "requests to backend servers sent to their homes")                   \
 	X(parts_retried, METRIC_COUNTER, "garnetreach_parts_retried_total",    \
-	  "of these, sent again after a failure")                              \
+	  "requests to backend servers sent again after a failure")            \
 	X(parts_hedged, METRIC_COUNTER, "garnetreach_parts_hedged_total",      \
-	  "of these, sent beside one that is slow")                            \
+	  "requests to backend servers sent as hedges of slow ones")           \
 	X(restarts, METRIC_COUNTER, "garnetreach_search_restarts_total",       \
-	  "searches started again at another snapshot")                        \
+	  "searches restarted at another snapshot")                            \
 	X(traces, METRIC_GAUGE, "garnetreach_traces",                          \
-	  "records kept of requests that are over")                            \
+	  "traces of finished requests in memory")                             \
 	X(trace_bytes, METRIC_GAUGE, "garnetreach_trace_bytes",                \
-	  "memory of these records")                                           \
+	  "memory of the traces of finished requests")                         \
 	X(traces_evicted, METRIC_COUNTER, "garnetreach_traces_evicted_total",  \
-	  "records that made room for later ones")                             \
+	  "traces evicted to make room for newer ones")                        \
 	X(burn_uncounted, METRIC_COUNTER, "garnetreach_burn_uncounted_total",  \
-	  "requests left out of the burn: too many services")                  \
+	  "requests not counted for burn rates: too many services")            \
 	X(answers_foreign, METRIC_COUNTER,                                     \
 	  "garnetreach_answers_foreign_total",                                 \
 	  "partial answers dropped: other request, version or shard")          \
 	X(home_requests, METRIC_COUNTER, "garnetreach_home_requests_total",    \
-	  "requests for backend servers taken by this home")                   \
+	  "requests to backend servers received by this home")                 \
 	X(home_sent, METRIC_COUNTER, "garnetreach_home_sent_total",            \
-	  "of these, sent to their backend server")                            \
+	  "requests that this home sent to backend servers")                   \
 	X(home_dropped, METRIC_COUNTER, "garnetreach_home_dropped_total",      \
-	  "of these, dropped before they took a slot")                         \
+	  "requests that this home dropped before they had a slot")            \
 	X(home_queued, METRIC_GAUGE, "garnetreach_home_queued",                \
-	  "requests that wait for a slot")                                     \
+	  "requests waiting for a slot")                                       \
 	X(home_in_flight, METRIC_GAUGE, "garnetreach_home_in_flight",          \
-	  "requests running at backend servers")                               \
+	  "requests in flight to backend servers")                             \
 	X(server_time, METRIC_HISTOGRAM, "garnetreach_server_seconds",         \
-	  "time from a request sent to a backend server to its answer")        \
+	  "time from sending a request to a backend server to its answer")     \
 	X(server_connects, METRIC_COUNTER,                                     \
 	  "garnetreach_server_connects_total",                                 \
 	  "connections opened to backend servers")                             \
 	X(server_silences, METRIC_COUNTER,                                     \
 	  "garnetreach_server_silences_total",                                 \
-	  "connections to backend servers given up as silent")                 \
+	  "connections to backend servers closed as silent")                   \
 	X(server_cancels, METRIC_COUNTER, "garnetreach_server_cancels_total",  \
 	  "cancellations sent to backend servers")                             \
 	X(peer_frames_in, METRIC_COUNTER, "garnetreach_peer_frames_in_total",  \
-	  "frames from other instances")                                       \
+	  "frames received from other instances")                              \
 	X(peer_frames_bad, METRIC_COUNTER,                                     \
 	  "garnetreach_peer_frames_bad_total",                                 \
-	  "frames that closed their connection")                               \
+	  "invalid frames that closed their connection")                       \
 	X(peer_links, METRIC_GAUGE, "garnetreach_peer_links",                  \
-	  "open connections to and from instances")                            \
+	  "open connections to and from other instances")                      \
 	X(platform_calls, METRIC_COUNTER, "garnetreach_platform_calls_total",  \
-	  "calls on the platform's service")                                   \
+	  "calls to the platform's service")                                   \
 	X(table_revision, METRIC_GAUGE, "garnetreach_table_revision",          \
-	  "revision of the table in force")                                    \
+	  "revision of the current table")                                     \
 	X(searches_overload, METRIC_COUNTER,                                   \
 	  "garnetreach_searches_overload_total",                               \
 	  "searches refused for load before they started")                     \
@@ -77,28 +77,28 @@
 	X(tickets_refused, METRIC_COUNTER,                                     \
 	  "garnetreach_tickets_refused_total", "tickets not issued for load")  \
 	X(runs, METRIC_COUNTER, "garnetreach_runs_total",                      \
-	  "must-not-repeat requests taken from callers")                       \
+	  "run requests (never sent twice) received from callers")             \
 	X(runs_done, METRIC_COUNTER, "garnetreach_runs_done_total",            \
-	  "of these, answered as done")                                        \
+	  "run requests answered as done")                                     \
 	X(runs_unknown, METRIC_COUNTER, "garnetreach_runs_unknown_total",      \
-	  "of these, with unknown outcome")                                    \
+	  "run requests with unknown outcome")                                 \
 	X(runs_open, METRIC_GAUGE, "garnetreach_runs_open",                    \
-	  "requests under tickets of this or another instance, open here")     \
+	  "run requests in progress here, of tickets of any instance")         \
 	X(loop_lag, METRIC_HISTOGRAM, "garnetreach_loop_lag_seconds",          \
-	  "how late the event loop came to its timer")                         \
+	  "delay of a timer in the event loop")                                \
 	X(table_refused, METRIC_COUNTER, "garnetreach_table_refused_total",    \
-	  "tables refused")                                                    \
+	  "tables rejected")                                                   \
 	X(table_alarms, METRIC_GAUGE, "garnetreach_table_alarms",              \
-	  "alarms about the table that are raised")                            \
+	  "active alarms about the table")                                     \
 	X(table_stale, METRIC_COUNTER, "garnetreach_table_stale_total",        \
-	  "lower revisions that the platform showed")                          \
+	  "tables of the platform with a lower revision")                      \
 	X(table_conflicts, METRIC_COUNTER,                                     \
 	  "garnetreach_table_conflicts_total",                                 \
-	  "other contents met under the revision in force")                    \
+	  "tables with the current revision but other contents")               \
 	X(table_by_delta, METRIC_COUNTER, "garnetreach_table_by_delta_total",  \
-	  "tables made of the one before by row differences")                  \
+	  "tables built from the previous one by a delta")                     \
 	X(table_pulls, METRIC_COUNTER, "garnetreach_table_pulls_total",        \
-	  "tables asked of peers")                                             \
+	  "tables requested from peers")                                       \
 	X(member_datagrams_out, METRIC_COUNTER,                                \
 	  "garnetreach_member_datagrams_out_total", "heartbeats sent")         \
 	X(member_bytes_out, METRIC_COUNTER,                                    \
@@ -107,15 +107,19 @@
 	  "garnetreach_member_datagrams_bad_total", "malformed heartbeats")    \
 	X(table_pull_timeouts, METRIC_COUNTER,                                 \
 	  "garnetreach_table_pull_timeouts_total",                             \
-	  "of these, not answered in time")
+	  "tables requested from peers and not received in time")
 
 #define COUNTER_MEMBER(member, kind, name, help) struct metric member;
+/* The metrics of COUNTER_LIST, registered in that order. */
 struct counters {
 	struct metric_registry registry;
 	COUNTER_LIST(COUNTER_MEMBER)
 };
 #undef COUNTER_MEMBER
 
+/**
+ * counters_init() - initialise all metrics with the value 0
+ */
 void counters_init(struct counters *counters);
 
 #endif
--- a/metric.c
+++ b/metric.c
@@ -36,8 +36,8 @@
 	return bucket < METRIC_BUCKETS ? bucket : METRIC_BUCKETS - 1;
 }
 
-/* The largest value that falls into a bucket. */
-static int64_t bucket_top(int bucket)
+/* The largest value that falls into a bucket, microseconds. */
+static int64_t bucket_max(int bucket)
 {
 	int exponent = bucket / METRIC_BUCKET_STEPS + 1;
 	int step = bucket % METRIC_BUCKET_STEPS;
@@ -69,9 +69,9 @@
 	for (i = 0; i < METRIC_BUCKETS; i++) {
 		seen += histogram->buckets[i];
 		if (seen > rank)
-			return bucket_top(i);
+			return bucket_max(i);
 	}
-	return bucket_top(METRIC_BUCKETS - 1);
+	return bucket_max(METRIC_BUCKETS - 1);
 }
 
 static void expose_histogram(const struct metric *metric, struct evbuffer *out)
@@ -85,7 +85,7 @@
 		if (!h->buckets[i])
 			continue;
 		evbuffer_add_printf(out, "%s_bucket{le=\"%.6f\"} %" PRIu64 "\n",
-				    metric->name, (double)bucket_top(i) / 1e6,
+				    metric->name, (double)bucket_max(i) / 1e6,
 				    seen);
 	}
 	evbuffer_add_printf(out,
--- a/metric.h
+++ b/metric.h
@@ -1,4 +1,4 @@
-/* Counters, gauges and latency histograms, with the usual text exposition. */
+/* Counters, gauges and latency histograms in the Prometheus text format. */
 #ifndef METRIC_H
 #define METRIC_H
 
@@ -13,12 +13,18 @@
 };
 
 /*
- * Histogram buckets are powers of two with four steps each, from 1 us to
- * about 67 s: a quantile is off by at most a fifth.
+ * Each power of two is split into four histogram buckets, from 1 us to about
+ * 67 s: the true value is at most a fifth below the quantile returned.
  */
 #define METRIC_BUCKET_STEPS 4
 #define METRIC_BUCKETS (26 * METRIC_BUCKET_STEPS + 1)
 
+/**
+ * struct metric_histogram - latencies by bucket
+ * @buckets: number of values in each
+ * @count: number of values
+ * @sum: sum of the values, microseconds
+ */
 struct metric_histogram {
 	uint64_t buckets[METRIC_BUCKETS];
 	uint64_t count;
@@ -26,11 +32,12 @@
 };
 
 /**
- * struct metric - one exposed number
- * @name: with the unit as suffix, as in garnetreach_queries_total
- * @help: one line
- * @value: of a counter or gauge
- * @histogram: of a histogram, microseconds
+ * struct metric - one exported metric
+ * @kind: counter, gauge or histogram
+ * @name: with the unit as suffix, as in garnetreach_queries_total; not owned
+ * @help: help text of one line; not owned
+ * @value: value of a counter or gauge
+ * @histogram: values of a histogram, microseconds
  * @next: in the registry
  */
 struct metric {
@@ -42,6 +49,11 @@
 	struct metric *next;
 };
 
+/**
+ * struct metric_registry - metrics in the order they are exported
+ * @first: first metric, or NULL
+ * @last: where to link the next metric
+ */
 struct metric_registry {
 	struct metric *first;
 	struct metric **last;
@@ -50,8 +62,10 @@
 void metric_registry_init(struct metric_registry *registry);
 
 /**
- * metric_init() - set up a metric and list it
+ * metric_init() - initialise a metric and add it to a registry
  * @metric: owned by the caller, outlives the registry
+ * @name: outlives the metric
+ * @help: outlives the metric
  */
 void metric_init(struct metric *metric, struct metric_registry *registry,
 		 enum metric_kind kind, const char *name, const char *help);
@@ -71,16 +85,26 @@
 	metric->value = value;
 }
 
+/**
+ * metric_histogram_add() - add a value
+ * @usec: microseconds; a negative value counts as 0
+ */
 void metric_histogram_add(struct metric_histogram *histogram, int64_t usec);
 
 /**
- * metric_histogram_quantile() - an upper bound of a quantile
+ * metric_histogram_quantile() - upper bound of a quantile
  * @q: 0 to 1
  *
  * Return: microseconds; 0 for an empty histogram.
  */
 int64_t metric_histogram_quantile(const struct metric_histogram *histogram,
 				  double q);
+
+/**
+ * metric_expose() - append all metrics in the text format
+ *
+ * Histogram buckets without values are left out.
+ */
 void metric_expose(const struct metric_registry *registry,
 		   struct evbuffer *out);
 
