--- a/burn.c
+++ b/burn.c
@@ -6,8 +6,9 @@
 
 #include "mem.h"
 
-#define SHORT_WIDTH ((int64_t)30 * USEC_PER_SEC)
-#define LONG_WIDTH ((int64_t)1800 * USEC_PER_SEC)
+/* Buckets of 30 s cover one hour, buckets of 30 min three days. */
+#define SHORT_BUCKET_USEC ((int64_t)30 * USEC_PER_SEC)
+#define LONG_BUCKET_USEC ((int64_t)1800 * USEC_PER_SEC)
 
 const char *const burn_window_names[] = {"5m", "1h", "6h", "3d"};
 const int64_t burn_window_seconds[] = {300, 3600, 21600, 259200};
@@ -76,8 +77,11 @@
 	return found;
 }
 
-/* Services that left the table make room only when it is needed. */
-static bool drop_idle(struct burn *burn)
+/*
+ * Removes one service that had no request within the longest window, such as
+ * one that left the table. Only called when the limit on services is reached.
+ */
+static bool remove_idle_service(struct burn *burn)
 {
 	int64_t idle_at = clock_now(burn->clock) -
 			  burn_window_seconds[BURN_3D] * USEC_PER_SEC;
@@ -93,7 +97,8 @@
 	return false;
 }
 
-static struct burn_service *put_service(struct burn *burn, struct str name)
+static struct burn_service *get_or_add_service(struct burn *burn,
+					       struct str name)
 {
 	struct burn_service *service = burn_find(burn, name);
 	int64_t now = clock_now(burn->clock);
@@ -101,12 +106,14 @@
 	if (service || name.len >= BURN_NAME_SIZE)
 		return service;
 	if (HASH_COUNT(burn->services) >= burn->services_max &&
-	    !drop_idle(burn))
+	    !remove_idle_service(burn))
 		return NULL;
 	service = mem_zalloc(sizeof(*service));
 	str_copy(service->name, sizeof(service->name), name);
-	init_ring(&service->short_ring, BURN_SHORT_BUCKETS, SHORT_WIDTH, now);
-	init_ring(&service->long_ring, BURN_LONG_BUCKETS, LONG_WIDTH, now);
+	init_ring(&service->short_ring, BURN_SHORT_BUCKETS, SHORT_BUCKET_USEC,
+		  now);
+	init_ring(&service->long_ring, BURN_LONG_BUCKETS, LONG_BUCKET_USEC,
+		  now);
 	HASH_ADD_KEYPTR(hh, burn->services, service->name, name.len, service);
 	return service;
 }
@@ -117,10 +124,10 @@
 }
 
 /*
- * A process that wakes late finds old counts in the ring's places: each place
- * that time has passed over is emptied before it is counted into or read.
+ * Clears every bucket that was skipped since the last call. Otherwise counts
+ * from before a pause of the process would appear in the current windows.
  */
-static void roll(struct burn_ring *ring, int64_t now)
+static void advance_ring(struct burn_ring *ring, int64_t now)
 {
 	int64_t number = now / ring->width;
 
@@ -133,8 +140,8 @@
 	}
 }
 
-static bool is_late(const struct burn_target *target,
-		    const struct burn_event *event)
+static bool is_event_late(const struct burn_target *target,
+			  const struct burn_event *event)
 {
 	return event->answered && event->latency > MSEC(target->latency_ms);
 }
@@ -142,19 +149,20 @@
 bool burn_is_bad(const struct burn_target *target,
 		 const struct burn_event *event)
 {
-	return !event->answered || !event->complete || is_late(target, event);
+	return !event->answered || !event->complete ||
+	       is_event_late(target, event);
 }
 
-static void count(struct burn_ring *ring, int64_t now,
-		  const struct burn_target *target,
-		  const struct burn_event *event)
+static void count_event(struct burn_ring *ring, int64_t now,
+			const struct burn_target *target,
+			const struct burn_event *event)
 {
 	struct burn_bucket *bucket;
 
-	roll(ring, now);
+	advance_ring(ring, now);
 	bucket = bucket_at(ring, ring->newest);
 	bucket->total++;
-	bucket->late += is_late(target, event);
+	bucket->late += is_event_late(target, event);
 	bucket->partial += event->answered && !event->complete;
 	bucket->refused += !event->answered;
 }
@@ -163,7 +171,7 @@
 				 const struct burn_target *target,
 				 const struct burn_event *event)
 {
-	struct burn_service *found = put_service(burn, service);
+	struct burn_service *found = get_or_add_service(burn, service);
 	int64_t now = clock_now(burn->clock);
 
 	if (!found) {
@@ -172,20 +180,20 @@
 	}
 	found->target = *target;
 	found->last_at = now;
-	count(&found->short_ring, now, target, event);
-	count(&found->long_ring, now, target, event);
+	count_event(&found->short_ring, now, target, event);
+	count_event(&found->long_ring, now, target, event);
 	return found;
 }
 
-static int64_t causes_period(const struct burn *burn)
+static int64_t current_period(const struct burn *burn)
 {
-	return clock_now(burn->clock) / USEC_PER_SEC / BURN_CAUSES_SEC;
+	return clock_now(burn->clock) / USEC_PER_SEC / BURN_CAUSES_PERIOD_S;
 }
 
-void burn_blame(struct burn *burn, struct burn_service *service,
-		enum burn_cause cause, struct str key, int code)
+void burn_add_cause(struct burn *burn, struct burn_service *service,
+		    enum burn_cause cause, struct str key, int code)
 {
-	int64_t period = causes_period(burn);
+	int64_t period = current_period(burn);
 	struct burn_causes **causes = &service->causes[period % 2];
 
 	if (!*causes)
@@ -201,8 +209,8 @@
 	return (int)(burn_window_seconds[window] * USEC_PER_SEC / ring->width);
 }
 
-static void sum_ring(const struct burn_ring *ring, int n,
-		     struct burn_counts *counts)
+static void add_up_ring(const struct burn_ring *ring, int n,
+			struct burn_counts *counts)
 {
 	int64_t number;
 
@@ -217,8 +225,10 @@
 	}
 }
 
-enum burn_state burn_sum(struct burn *burn, struct burn_service *service,
-			 enum burn_window window, struct burn_counts *counts)
+enum burn_state burn_count_window(struct burn *burn,
+				  struct burn_service *service,
+				  enum burn_window window,
+				  struct burn_counts *counts)
 {
 	struct burn_ring *ring;
 
@@ -226,8 +236,8 @@
 	if (!service)
 		return BURN_EMPTY;
 	ring = window <= BURN_1H ? &service->short_ring : &service->long_ring;
-	roll(ring, clock_now(burn->clock));
-	sum_ring(ring, window_buckets(ring, window), counts);
+	advance_ring(ring, clock_now(burn->clock));
+	add_up_ring(ring, window_buckets(ring, window), counts);
 	if (!counts->total)
 		return BURN_ROLLED_OVER;
 	return burn_observed(burn, window) <
@@ -244,10 +254,10 @@
 	return age < length ? age : length;
 }
 
-void burn_top(struct burn *burn, const struct burn_service *service,
-	      enum burn_cause cause, struct top_k *out)
+void burn_top_causes(struct burn *burn, const struct burn_service *service,
+		     enum burn_cause cause, struct top_k *out)
 {
-	int64_t period = causes_period(burn);
+	int64_t period = current_period(burn);
 	int i;
 	int j;
 
@@ -268,8 +278,8 @@
 	top_k_sort(out);
 }
 
-uint64_t burn_bad(const struct burn_counts *counts,
-		  enum burn_objective objective)
+uint64_t burn_count_bad(const struct burn_counts *counts,
+			enum burn_objective objective)
 {
 	uint64_t bad =
 		objective == BURN_LATENCY ? counts->late : counts->partial;
@@ -277,8 +287,8 @@
 	return bad + counts->refused;
 }
 
-double burn_ratio(const struct burn_target *target,
-		  enum burn_objective objective)
+double burn_required_ratio(const struct burn_target *target,
+			   enum burn_objective objective)
 {
 	return objective == BURN_LATENCY ? target->latency_ratio
 					 : target->coverage_ratio;
@@ -299,13 +309,11 @@
 bool burn_is_fast(const double *rates, const uint64_t *bad)
 {
 	return rates[BURN_5M] > BURN_FAST_RATE &&
-	       rates[BURN_1H] > BURN_FAST_RATE &&
-	       bad[BURN_1H] >= BURN_LEAST_BAD;
+	       rates[BURN_1H] > BURN_FAST_RATE && bad[BURN_1H] >= BURN_MIN_BAD;
 }
 
 bool burn_is_slow(const double *rates, const uint64_t *bad)
 {
 	return rates[BURN_6H] > BURN_SLOW_RATE &&
-	       rates[BURN_3D] > BURN_SLOW_RATE &&
-	       bad[BURN_3D] >= BURN_LEAST_BAD;
+	       rates[BURN_3D] > BURN_SLOW_RATE && bad[BURN_3D] >= BURN_MIN_BAD;
 }
--- a/burn.h
+++ b/burn.h
@@ -1,13 +1,13 @@
 /*
- * How fast services use up their error budgets: good and bad requests in
- * windows of time, and who made them bad. Targets come from the table. No
- * sockets here, and time comes from the clock.
+ * Error budget accounting of services: counts good and bad requests in sliding
+ * windows, and which backend servers and shards made requests bad. Targets come
+ * from the table. Does no I/O; the time comes from the clock.
  *
- * A request is bad for latency if its answer came after the target or the
- * caller got none; it is bad for coverage if its answer was not complete or
- * the caller got none. The burn rate of a window is the part of requests that
- * were bad over the part that may be: at 1 the budget lasts exactly as long as
- * the window that it is for.
+ * A request is bad for latency if it was answered later than the target or not
+ * at all, and bad for coverage if it was answered incompletely or not at all.
+ * The burn rate of a window is the ratio of bad requests to the bad requests
+ * that the target allows: at a rate of 1, a budget lasts exactly for its
+ * window.
  */
 #ifndef BURN_H
 #define BURN_H
@@ -26,13 +26,16 @@
 #define BURN_N_WINDOWS 4
 #define BURN_SHORT_BUCKETS 120
 #define BURN_LONG_BUCKETS 144
-#define BURN_CAUSES_SEC 3600
+#define BURN_CAUSES_PERIOD_S 3600
 
-/* Both windows of a pair above its rate raise an alarm (SRE workbook, 5). */
+/*
+ * Burn rates that raise an alarm when both windows of a pair exceed them:
+ * multiwindow alerts as in the Site Reliability Workbook, chapter 5.
+ */
 #define BURN_FAST_RATE 14.4
 #define BURN_SLOW_RATE 1.0
-/* Fewer bad requests raise none: on little traffic one would be enough. */
-#define BURN_LEAST_BAD 5
+/* Below this no alarm: with little traffic one bad request would raise it. */
+#define BURN_MIN_BAD 5
 
 enum burn_window {
 	BURN_5M,
@@ -48,11 +51,11 @@
 };
 
 /**
- * enum burn_state - what a window's counts stand for
- * @BURN_FULL: the whole window was observed
- * @BURN_SHORT: the instance is younger than the window
+ * enum burn_state - which part of a window its counts cover
+ * @BURN_FULL: the whole window
+ * @BURN_SHORT: less, as the instance started after the window did
  * @BURN_EMPTY: the service had no request since the instance started
- * @BURN_ROLLED_OVER: it had some, but all before the window
+ * @BURN_ROLLED_OVER: the service had requests, but all before the window
  */
 enum burn_state {
 	BURN_FULL,
@@ -73,10 +76,11 @@
 };
 
 /**
- * struct burn_counts - requests
- * @late: answered after the target
+ * struct burn_counts - numbers of requests in a window
+ * @total: all requests
+ * @late: answered later than the latency target
  * @partial: answered without full coverage
- * @refused: not answered, for whatever reason but the caller's own
+ * @refused: not answered, for any reason that isn't the caller's fault
  */
 struct burn_counts {
 	uint64_t total;
@@ -86,7 +90,11 @@
 };
 
 /**
- * struct burn_target - of the service's row in the table
+ * struct burn_target - service-level objectives from a service's table row
+ * @market: the market that the service belongs to
+ * @latency_ms: target latency, milliseconds
+ * @latency_ratio: part of requests to be answered within @latency_ms, 0 to 1
+ * @coverage_ratio: part of requests to be answered completely, 0 to 1
  */
 struct burn_target {
 	char market[BURN_NAME_SIZE];
@@ -96,8 +104,10 @@
 };
 
 /**
- * struct burn_event - one request that is over
- * @latency: microseconds
+ * struct burn_event - result of one finished request
+ * @answered: the caller got an answer
+ * @complete: the answer had full coverage
+ * @latency: time to the answer, microseconds
  */
 struct burn_event {
 	bool answered;
@@ -105,6 +115,7 @@
 	int64_t latency;
 };
 
+/* Counts of one bucket; fields as in struct burn_counts. */
 struct burn_bucket {
 	uint32_t total;
 	uint32_t late;
@@ -112,7 +123,13 @@
 	uint32_t refused;
 };
 
-/* @newest: number of the bucket in progress, time over width. */
+/**
+ * struct burn_ring - ring buffer of counts by time
+ * @buckets: owned, @n of them
+ * @n: number of buckets
+ * @width: time that a bucket spans, microseconds
+ * @newest: number of the current bucket: the clock's time divided by @width
+ */
 struct burn_ring {
 	struct burn_bucket *buckets;
 	int n;
@@ -120,12 +137,27 @@
 	int64_t newest;
 };
 
-/* Causes of one period; two are kept, so that 1 to 2 periods are known. */
+/**
+ * struct burn_causes - the most frequent causes of bad requests in one period
+ * @period: number of the period: the clock's time over BURN_CAUSES_PERIOD_S
+ * @top: by kind of cause
+ */
 struct burn_causes {
 	int64_t period;
 	struct top_k top[BURN_N_CAUSES];
 };
 
+/**
+ * struct burn_service - counts of one service
+ * @name: key in burn.services
+ * @target: as of the last request
+ * @last_at: time of the last request, microseconds
+ * @short_ring: for the windows up to 1 h
+ * @long_ring: for the longer windows
+ * @causes: of the current and the previous period, so that the last one to two
+ *	    periods are covered; owned, NULL without a cause
+ * @hh: in burn.services
+ */
 struct burn_service {
 	char name[BURN_NAME_SIZE];
 	struct burn_target target;
@@ -137,9 +169,12 @@
 };
 
 /**
- * struct burn - the counts of one instance
- * @services_max: services counted one by one
- * @uncounted: requests of services above this
+ * struct burn - counts of all services on one instance
+ * @clock: not owned
+ * @started_at: start of the instance, microseconds
+ * @services_max: largest number of services to keep counts for
+ * @services: hash map by name, owned
+ * @uncounted: requests not counted because @services_max was reached
  */
 struct burn {
 	const struct clock *clock;
@@ -156,96 +191,125 @@
 extern const char *const burn_alarm_names[];
 
 /**
- * burn_target_fill() - targets of a service's row
+ * burn_target_fill() - read a service's targets from its table row
+ * @target: overwritten
+ * @row: the service's row in the table
  */
 void burn_target_fill(struct burn_target *target, const struct service *row);
 
 void burn_init(struct burn *burn, const struct clock *clock);
 void burn_finish(struct burn *burn);
+
+/**
+ * burn_set_services_max() - set how many services are counted
+ *
+ * Lowering the limit drops no counts.
+ */
 void burn_set_services_max(struct burn *burn, int64_t services_max);
 
 /**
- * burn_record() - count a request that is over
- * @target: as of now
+ * burn_record() - count a finished request
+ * @service: name of its service
+ * @target: the service's current targets; copied
+ * @event: how the request ended
  *
- * Return: its service, for burn_blame(); NULL if services_max is reached.
+ * Return: its service, for burn_add_cause(), owned by @burn; NULL if the limit
+ * on services is reached or the name is too long.
  */
 struct burn_service *burn_record(struct burn *burn, struct str service,
 				 const struct burn_target *target,
 				 const struct burn_event *event);
 
 /**
- * burn_is_bad() - whether a request burned any budget
+ * burn_is_bad() - whether a request is bad for any objective
  */
 bool burn_is_bad(const struct burn_target *target,
 		 const struct burn_event *event);
 
 /**
- * burn_blame() - a server or shard made a request bad
- * @code: why; 0: it was slow
+ * burn_add_cause() - record that a server or shard made a request bad
+ * @cause: whether @key is a server or a shard
+ * @key: name of the server, or range of the shard
+ * @code: error code, or 0 if it was slow
  */
-void burn_blame(struct burn *burn, struct burn_service *service,
-		enum burn_cause cause, struct str key, int code);
+void burn_add_cause(struct burn *burn, struct burn_service *service,
+		    enum burn_cause cause, struct str key, int code);
 
+/**
+ * burn_find() - counts of a service by name, or NULL
+ */
 struct burn_service *burn_find(const struct burn *burn, struct str service);
 
 /**
- * burn_sum() - requests in a window that ends now
- * @service: NULL for one without requests
+ * burn_count_window() - count the requests in a window that ends now
+ * @service: NULL if the service had no request
+ * @counts: overwritten
+ *
+ * A window is a whole number of buckets that includes the current, unfinished
+ * one, so that it may be shorter than its name says by up to a tenth.
  *
- * The window is a whole number of buckets with the one in progress, so that
- * it may be shorter by up to a tenth.
+ * Return: which part of the window @counts covers.
  */
-enum burn_state burn_sum(struct burn *burn, struct burn_service *service,
-			 enum burn_window window, struct burn_counts *counts);
+enum burn_state burn_count_window(struct burn *burn,
+				  struct burn_service *service,
+				  enum burn_window window,
+				  struct burn_counts *counts);
 
 /**
- * burn_observed() - how much of a window the instance has seen, microseconds
+ * burn_observed() - how long the instance ran during a window, microseconds
  */
 int64_t burn_observed(const struct burn *burn, enum burn_window window);
 
 /**
- * burn_top() - who made requests bad in the last one to two hours
+ * burn_top_causes() - most frequent causes of the last one to two hours
+ * @service: NULL gives an empty list
+ * @cause: servers or shards
+ * @out: overwritten; sorted by frequency
  */
-void burn_top(struct burn *burn, const struct burn_service *service,
-	      enum burn_cause cause, struct top_k *out);
+void burn_top_causes(struct burn *burn, const struct burn_service *service,
+		     enum burn_cause cause, struct top_k *out);
 
 /**
- * burn_bad() - requests that were bad for an objective
+ * burn_count_bad() - number of requests that were bad for an objective
  */
-uint64_t burn_bad(const struct burn_counts *counts,
-		  enum burn_objective objective);
+uint64_t burn_count_bad(const struct burn_counts *counts,
+			enum burn_objective objective);
 
 /**
- * burn_ratio() - part of requests that must be good
+ * burn_required_ratio() - part of requests that must be good, 0 to 1
  */
-double burn_ratio(const struct burn_target *target,
-		  enum burn_objective objective);
+double burn_required_ratio(const struct burn_target *target,
+			   enum burn_objective objective);
 
 /**
- * burn_rate() - bad requests over those allowed
- * @allowed: bad requests allowed, of as many as there were
+ * burn_rate() - ratio of bad requests to allowed ones
+ * @bad: number of bad requests
+ * @allowed: number of bad requests that the target allows
  *
- * Return: 0 without any; INFINITY if none is allowed.
+ * Return: 0 if no request was bad; INFINITY if some were and none is allowed.
  */
 double burn_rate(double bad, double allowed);
 
 /**
- * burn_budget_left() - part of the budget of the longest window that is left
+ * burn_budget_left() - remaining part of the error budget
+ * @bad: number of bad requests in the longest window
+ * @allowed: number of bad requests that the target allows there
  *
- * Return: 1 untouched, 0 used up, below 0 overdrawn.
+ * Return: 1 if unused, 0 if used up, negative if exceeded.
  */
 double burn_budget_left(double bad, double allowed);
 
 /**
- * burn_is_fast() - whether the pair of short windows raises an alarm
- * @rates: by window
- * @bad: by window
+ * burn_is_fast() - whether the two short windows raise an alarm
+ * @rates: burn rates by window
+ * @bad: numbers of bad requests by window
  */
 bool burn_is_fast(const double *rates, const uint64_t *bad);
 
 /**
- * burn_is_slow() - likewise the pair of long windows
+ * burn_is_slow() - whether the two long windows raise an alarm
+ * @rates: burn rates by window
+ * @bad: numbers of bad requests by window
  */
 bool burn_is_slow(const double *rates, const uint64_t *bad);
 
--- a/burn_json.c
+++ b/burn_json.c
@@ -29,45 +29,51 @@
 	return list;
 }
 
-/* What a service used of its budgets, by window. */
-struct sums {
+/* Counts and burn rates of a service, by objective and window. */
+struct service_burn {
 	enum burn_state states[BURN_N_WINDOWS];
 	struct burn_counts counts[BURN_N_WINDOWS];
 	double rates[BURN_N_OBJECTIVES][BURN_N_WINDOWS];
 	uint64_t bad[BURN_N_OBJECTIVES][BURN_N_WINDOWS];
 };
 
-static void sum_service(struct burn *burn, struct burn_service *service,
-			struct sums *sums)
+static void compute_service_burn(struct burn *burn,
+				 struct burn_service *service,
+				 struct service_burn *service_burn)
 {
 	int i;
 	int k;
 
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
-		sums->states[i] = burn_sum(burn, service, i, &sums->counts[i]);
+		service_burn->states[i] =
+			burn_count_window(burn, service, i,
+					  &service_burn->counts[i]);
 		for (k = 0; k < BURN_N_OBJECTIVES; k++) {
-			double allowed = (double)sums->counts[i].total *
-					 (1 - burn_ratio(&service->target, k));
-
-			sums->bad[k][i] = burn_bad(&sums->counts[i], k);
-			sums->rates[k][i] =
-				burn_rate((double)sums->bad[k][i], allowed);
+			double allowed =
+				(double)service_burn->counts[i].total *
+				(1 - burn_required_ratio(&service->target, k));
+
+			service_burn->bad[k][i] =
+				burn_count_bad(&service_burn->counts[i], k);
+			service_burn->rates[k][i] =
+				burn_rate((double)service_burn->bad[k][i],
+					  allowed);
 		}
 	}
 }
 
-static struct json_object *counts_json(const struct sums *sums)
+static struct json_object *counts_json(const struct service_burn *service_burn)
 {
 	struct json_object *list = json_object_new_array();
 	int i;
 
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
-		const struct burn_counts *counts = &sums->counts[i];
+		const struct burn_counts *counts = &service_burn->counts[i];
 		struct json_object *item = json_object_new_object();
 
 		json_value_add_text(item, "window", burn_window_names[i]);
 		json_value_add_text(item, "state",
-				    burn_state_names[sums->states[i]]);
+				    burn_state_names[service_burn->states[i]]);
 		json_value_add_int(item, "total", (int64_t)counts->total);
 		json_value_add_int(item, "late", (int64_t)counts->late);
 		json_value_add_int(item, "partial", (int64_t)counts->partial);
@@ -77,7 +83,8 @@
 	return list;
 }
 
-static struct json_object *objective_json(const struct sums *sums, int k)
+static struct json_object *
+objective_json(const struct service_burn *service_burn, int k)
 {
 	struct json_object *object = json_object_new_object();
 	struct json_object *rates = json_object_new_object();
@@ -85,10 +92,10 @@
 
 	for (i = 0; i < BURN_N_WINDOWS; i++)
 		json_value_add_number(rates, burn_window_names[i],
-				      sums->rates[k][i]);
+				      service_burn->rates[k][i]);
 	json_object_object_add(object, "burn", rates);
 	json_value_add_number(object, "budget_left",
-			      1 - sums->rates[k][BURN_3D]);
+			      1 - service_burn->rates[k][BURN_3D]);
 	return object;
 }
 
@@ -120,7 +127,7 @@
 	int i;
 
 	for (i = 0; i < BURN_N_CAUSES; i++) {
-		burn_top(burn, service, i, &top);
+		burn_top_causes(burn, service, i, &top);
 		json_object_object_add(causes, cause_names[i], top_json(&top));
 	}
 	return causes;
@@ -143,10 +150,10 @@
 {
 	struct json_object *root = json_object_new_object();
 	struct json_object *objectives = json_object_new_object();
-	struct sums sums;
+	struct service_burn service_burn;
 	int i;
 
-	sum_service(burn, service, &sums);
+	compute_service_burn(burn, service, &service_burn);
 	json_value_add_text(root, "service", service->name);
 	add_targets(root, &service->target);
 	json_object_object_add(root, "in_table",
@@ -154,16 +161,16 @@
 	json_value_add_int(root, "last_request_ms_ago",
 			   (clock_now(burn->clock) - service->last_at) /
 				   USEC_PER_MSEC);
-	json_object_object_add(root, "windows", counts_json(&sums));
+	json_object_object_add(root, "windows", counts_json(&service_burn));
 	for (i = 0; i < BURN_N_OBJECTIVES; i++)
 		json_object_object_add(objectives, burn_objective_names[i],
-				       objective_json(&sums, i));
+				       objective_json(&service_burn, i));
 	json_object_object_add(root, "objectives", objectives);
 	json_object_object_add(root, "causes", causes_json(burn, service));
 	return root;
 }
 
-/* A service without a request has no windows. */
+/* A service of the table without any request has targets but no windows. */
 static struct json_object *empty_json(const struct service *row)
 {
 	struct json_object *root = json_object_new_object();
@@ -237,19 +244,21 @@
 {
 	struct burn_service *service;
 	struct burn_service *next;
-	struct sums sums;
+	struct service_burn service_burn;
 	int n = 0;
 	int k;
 
 	evbuffer_add(out, "[", 1);
 	HASH_ITER (hh, board->burn.services, service, next) {
-		sum_service(&board->burn, service, &sums);
+		compute_service_burn(&board->burn, service, &service_burn);
 		for (k = 0; k < BURN_N_OBJECTIVES; k++) {
-			if (burn_is_fast(sums.rates[k], sums.bad[k]))
+			if (burn_is_fast(service_burn.rates[k],
+					 service_burn.bad[k]))
 				add_alarm(out, &n,
 					  burn_alarm_names[BURN_ALARM_FAST],
 					  service->name, k);
-			if (burn_is_slow(sums.rates[k], sums.bad[k]))
+			if (burn_is_slow(service_burn.rates[k],
+					 service_burn.bad[k]))
 				add_alarm(out, &n,
 					  burn_alarm_names[BURN_ALARM_SLOW],
 					  service->name, k);
--- a/burn_json.h
+++ b/burn_json.h
@@ -1,4 +1,4 @@
-/* Burn of one instance as JSON, for GET /v1/burn. */
+/* Burn rates of one instance as JSON, for GET /v1/burn. */
 #ifndef BURN_JSON_H
 #define BURN_JSON_H
 
@@ -8,12 +8,16 @@
 struct json_object;
 
 /**
- * burn_json() - counts, rates and causes by service; see docs/PROTOCOL.md
+ * burn_json() - counts, burn rates and causes by service
+ *
+ * The format is described in docs/PROTOCOL.md.
+ *
+ * Return: to be released by json_object_put().
  */
 struct json_object *burn_json(struct blackboard *board);
 
 /**
- * burn_json_add_alarms() - append a list of services that burn too fast
+ * burn_json_add_alarms() - append the burn rate alarms as a JSON array
  */
 void burn_json_add_alarms(struct evbuffer *out, struct blackboard *board);
 
--- a/burn_report.c
+++ b/burn_report.c
@@ -18,7 +18,7 @@
 
 	memset(report, 0, sizeof(*report));
 	for (i = 0; i < BURN_N_WINDOWS; i++)
-		report->least_s[i] = burn_window_seconds[i];
+		report->min_observed_s[i] = burn_window_seconds[i];
 }
 
 static void free_rows(struct burn_row **rows)
@@ -55,7 +55,7 @@
 	return -1;
 }
 
-static struct burn_row *put_row(struct burn_row **rows, const char *name)
+static struct burn_row *get_or_add_row(struct burn_row **rows, const char *name)
 {
 	struct burn_row *row;
 	int i;
@@ -71,8 +71,11 @@
 	return row;
 }
 
-/* While a change spreads, instances differ: the newest table's word counts. */
-static void take_target(struct burn_row *row, struct json_object *item,
+/*
+ * Instances have different tables while a change is rolled out: the targets of
+ * the newest table are used.
+ */
+static void read_target(struct burn_row *row, struct json_object *item,
 			int64_t table_revision)
 {
 	struct json_object *targets;
@@ -90,8 +93,9 @@
 }
 
 /*
- * Order of precedence of what is said of a sum: a short window of one instance
- * makes the sum short; without any request, one that rolled over is told.
+ * State of added counts: a short window of one instance makes the sum short;
+ * without any request in the window, BURN_ROLLED_OVER takes precedence over
+ * BURN_EMPTY.
  */
 static enum burn_state merge_state(enum burn_state a, enum burn_state b)
 {
@@ -113,7 +117,7 @@
 	sum->refused += more->refused;
 }
 
-static void take_window(struct burn_row *row, struct json_object *item)
+static void read_window(struct burn_row *row, struct json_object *item)
 {
 	struct burn_counts counts = {
 		.total = (uint64_t)json_value_int(item, "total"),
@@ -132,8 +136,8 @@
 	row->states[window] = merge_state(row->states[window], state);
 }
 
-/* The code is not told, but its name: the number is found by it. */
-static int code_of(struct json_object *item)
+/* The answer has the error's name only: finds the code with that name. */
+static int read_error_code(struct json_object *item)
 {
 	struct json_object *value;
 	int code;
@@ -148,7 +152,7 @@
 	return 0;
 }
 
-static void take_top(struct top_k *top, struct json_object *list)
+static void read_top(struct top_k *top, struct json_object *list)
 {
 	size_t i;
 
@@ -160,11 +164,11 @@
 		top_k_add(top, str_from(key),
 			  (uint64_t)json_value_int(item, "count"),
 			  (uint64_t)json_value_int(item, "error"),
-			  code_of(item));
+			  read_error_code(item));
 	}
 }
 
-static void take_service(struct burn_report *report, struct json_object *item,
+static void read_service(struct burn_report *report, struct json_object *item,
 			 int64_t table_revision)
 {
 	struct json_object *causes = NULL;
@@ -174,23 +178,23 @@
 	size_t i;
 
 	json_value_copy(item, "service", name, sizeof(name));
-	row = put_row(&report->services, name);
+	row = get_or_add_row(&report->services, name);
 	row->n_services = 1;
 	row->in_table |= json_object_get_boolean(
 		json_object_object_get(item, "in_table"));
-	take_target(row, item, table_revision);
+	read_target(row, item, table_revision);
 	list = json_value_list(item, "windows");
 	for (i = 0; list && i < json_object_array_length(list); i++)
-		take_window(row, json_object_array_get_idx(list, i));
+		read_window(row, json_object_array_get_idx(list, i));
 	json_object_object_get_ex(item, "causes", &causes);
 	for (i = 0; causes && i < BURN_N_CAUSES; i++) {
 		list = json_value_list(causes, cause_names[i]);
 		if (list)
-			take_top(&row->top[i], list);
+			read_top(&row->top[i], list);
 	}
 }
 
-static void take_observed(struct burn_report *report, struct json_object *body)
+static void read_observed(struct burn_report *report, struct json_object *body)
 {
 	struct json_object *list = json_value_list(body, "windows");
 	size_t i;
@@ -201,12 +205,12 @@
 				      BURN_N_WINDOWS);
 		int64_t observed = json_value_int(item, "observed_s");
 
-		if (window >= 0 && observed < report->least_s[window])
-			report->least_s[window] = observed;
+		if (window >= 0 && observed < report->min_observed_s[window])
+			report->min_observed_s[window] = observed;
 	}
 }
 
-static void take_body(struct burn_report *report,
+static void read_body(struct burn_report *report,
 		      struct burn_instance *instance, struct json_object *body)
 {
 	struct json_object *services = json_value_list(body, "services");
@@ -224,9 +228,9 @@
 	instance->observed_s = json_value_int(body, "observed_s");
 	instance->table_revision = json_value_int(body, "table_revision");
 	report->uncounted += (uint64_t)json_value_int(body, "uncounted");
-	take_observed(report, body);
+	read_observed(report, body);
 	for (i = 0; i < json_object_array_length(services); i++)
-		take_service(report, json_object_array_get_idx(services, i),
+		read_service(report, json_object_array_get_idx(services, i),
 			     instance->table_revision);
 }
 
@@ -240,18 +244,19 @@
 	added = &report->instances[report->n_instances++];
 	*added = *instance;
 	if (!added->ret)
-		take_body(report, added, body);
+		read_body(report, added, body);
 }
 
-static void allow(struct burn_row *row)
+static void compute_allowed(struct burn_row *row)
 {
 	int i;
 	int k;
 
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
 		for (k = 0; k < BURN_N_OBJECTIVES; k++)
-			row->allowed[k][i] = (double)row->counts[i].total *
-					     (1 - burn_ratio(&row->target, k));
+			row->allowed[k][i] =
+				(double)row->counts[i].total *
+				(1 - burn_required_ratio(&row->target, k));
 	}
 }
 
@@ -275,7 +280,8 @@
 double burn_row_rate(const struct burn_row *row, enum burn_objective objective,
 		     enum burn_window window)
 {
-	return burn_rate((double)burn_bad(&row->counts[window], objective),
+	return burn_rate((double)burn_count_bad(&row->counts[window],
+						objective),
 			 row->allowed[objective][window]);
 }
 
@@ -294,7 +300,7 @@
 
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
 		rates[i] = burn_row_rate(row, objective, i);
-		bad[i] = burn_bad(&row->counts[i], objective);
+		bad[i] = burn_count_bad(&row->counts[i], objective);
 	}
 	if (burn_is_fast(rates, bad))
 		return burn_alarm_names[BURN_ALARM_FAST];
@@ -340,10 +346,11 @@
 	int k;
 
 	HASH_ITER (hh, report->services, row, next) {
-		allow(row);
+		compute_allowed(row);
 		for (k = 0; k < BURN_N_CAUSES; k++)
 			top_k_sort(&row->top[k]);
-		add_to_market(put_row(&report->markets, row->target.market),
+		add_to_market(get_or_add_row(&report->markets,
+					     row->target.market),
 			      row);
 	}
 	HASH_SORT(report->services, compare);
--- a/cmd_explain.c
+++ b/cmd_explain.c
@@ -27,8 +27,8 @@
 };
 
 static const struct argp_option options[] = {
-	{"json", 'j', NULL, 0, "print the records as JSON", 0},
-	{"timeout", 't', "MS", 0, "longest wait for an instance (2000)", 0},
+	{"json", 'j', NULL, 0, "print the traces as JSON", 0},
+	{"timeout", 't', "MS", 0, "timeout per instance in ms (2000)", 0},
 	{0},
 };
 
@@ -59,7 +59,7 @@
 	}
 }
 
-static double ms_of(struct json_object *object, const char *key)
+static double read_ms(struct json_object *object, const char *key)
 {
 	return (double)json_value_int(object, key) / USEC_PER_MSEC;
 }
@@ -87,12 +87,12 @@
 	if (strcmp(json_value_text(trace, "error"), error_name(0)))
 		printf(" [%s]: %s", json_value_text(trace, "error"),
 		       json_value_text(trace, "text"));
-	printf(", after %.2f", ms_of(trace, "elapsed_us"));
+	printf(", after %.2f", read_ms(trace, "elapsed_us"));
 	if (json_value_int(trace, "deadline_us"))
-		printf(" of %.0f", ms_of(trace, "deadline_us"));
+		printf(" of %.0f", read_ms(trace, "deadline_us"));
 	printf(" ms\n");
 	if (json_value_int(trace, "retry_after_ms"))
-		printf("  the caller was told to come back in %s ms\n",
+		printf("  the caller was told to retry after %s ms\n",
 		       json_value_text(trace, "retry_after_ms"));
 }
 
@@ -146,7 +146,7 @@
 
 	if (!json_object_object_get_ex(trace, "coverage", &coverage) ||
 	    !coverage) {
-		printf("  no shard was asked\n");
+		printf("  no shards were queried\n");
 		return;
 	}
 	printf("  coverage %s of %s records, %s of %s shards, %s\n",
@@ -163,12 +163,12 @@
 		print_reason(json_object_array_get_idx(list, i));
 }
 
-/* When a part was out, on a line as long as the request took. */
+/* Shows when a part was in flight, on a time line of the whole request. */
 static void print_bar(struct json_object *part, double elapsed_ms)
 {
 	double scale = elapsed_ms > 0 ? BAR_WIDTH / elapsed_ms : 0;
-	int from = (int)(ms_of(part, "sent_us") * scale);
-	int to = (int)(ms_of(part, "back_us") * scale);
+	int from = (int)(read_ms(part, "sent_us") * scale);
+	int to = (int)(read_ms(part, "back_us") * scale);
 	int i;
 
 	if (!json_object_object_get(part, "back_us"))
@@ -181,9 +181,9 @@
 
 static void print_part(struct json_object *part, double elapsed_ms)
 {
-	printf("  %9.2f ", ms_of(part, "sent_us"));
+	printf("  %9.2f ", read_ms(part, "sent_us"));
 	if (json_object_object_get(part, "back_us"))
-		printf("%9.2f ", ms_of(part, "back_us"));
+		printf("%9.2f ", read_ms(part, "back_us"));
 	else
 		printf("%9s ", "never");
 	print_bar(part, elapsed_ms);
@@ -192,8 +192,8 @@
 	       json_value_text(part, "home"), json_value_text(part, "shards"),
 	       json_value_text(part, "outcome"));
 	if (json_value_int(part, "server_us"))
-		printf(" (queued %.2f, server %.2f)", ms_of(part, "wait_us"),
-		       ms_of(part, "server_us"));
+		printf(" (queued %.2f, server %.2f)", read_ms(part, "wait_us"),
+		       read_ms(part, "server_us"));
 	if (json_value_int(part, "restarts"))
 		printf(" after restart %s", json_value_text(part, "restarts"));
 	printf("\n");
@@ -209,9 +209,9 @@
 	printf("  %9s %9s\n", "sent ms", "back ms");
 	for (i = 0; i < length_of(list); i++)
 		print_part(json_object_array_get_idx(list, i),
-			   ms_of(trace, "elapsed_us"));
+			   read_ms(trace, "elapsed_us"));
 	if (json_value_int(trace, "parts_left_out"))
-		printf("  quicker parts not kept: %s\n",
+		printf("  faster parts not kept: %s\n",
 		       json_value_text(trace, "parts_left_out"));
 }
 
@@ -233,105 +233,109 @@
 	print_parts(trace);
 }
 
-static void print_known(const struct fleet_response *ask)
+static void print_traces(const struct fleet_response *response)
 {
-	struct json_object *list = json_value_list(ask->body, "traces");
+	struct json_object *list = json_value_list(response->body, "traces");
 	size_t i;
 
 	for (i = 0; i < length_of(list); i++)
 		print_trace(json_object_array_get_idx(list, i),
-			    json_value_text(ask->body, "instance"));
+			    json_value_text(response->body, "instance"));
 }
 
-/* What all instances together say. */
-struct finding {
+/* Numbers of instances by how they responded. */
+struct lookup {
 	int n_asked;
-	int n_known;
+	int n_found;
 	int n_evicted;
-	int n_silent;
+	int n_unreachable;
 };
 
-static bool is_known(const struct fleet_response *ask)
+static bool has_trace(const struct fleet_response *response)
 {
-	return !ask->ret && ask->status == 200;
+	return !response->ret && response->status == 200;
 }
 
-static void look(const struct fleet_list *list, struct finding *finding)
+static void count_responses(const struct fleet_list *list,
+			    struct lookup *lookup)
 {
 	int i;
 
-	memset(finding, 0, sizeof(*finding));
-	finding->n_asked = list->n;
+	memset(lookup, 0, sizeof(*lookup));
+	lookup->n_asked = list->n;
 	for (i = 0; i < list->n; i++) {
-		const struct fleet_response *ask = &list->responses[i];
+		const struct fleet_response *response = &list->responses[i];
 
-		finding->n_known += is_known(ask);
-		finding->n_evicted += !ask->ret && ask->status == HTTP_GONE;
-		finding->n_silent += ask->ret != 0;
+		lookup->n_found += has_trace(response);
+		lookup->n_evicted +=
+			!response->ret && response->status == HTTP_GONE;
+		lookup->n_unreachable += response->ret != 0;
 	}
 }
 
-static int status_of(const struct finding *finding)
+static int exit_status(const struct lookup *lookup)
 {
-	if (finding->n_known)
+	if (lookup->n_found)
 		return EXIT_STATUS_OK;
-	if (finding->n_silent == finding->n_asked)
+	if (lookup->n_unreachable == lookup->n_asked)
 		return EXIT_STATUS_FAILED;
-	if (finding->n_evicted)
+	if (lookup->n_evicted)
 		return EXIT_STATUS_EVICTED;
-	return finding->n_silent ? EXIT_STATUS_PARTIAL : EXIT_STATUS_NO_TRACE;
+	return lookup->n_unreachable ? EXIT_STATUS_PARTIAL
+				     : EXIT_STATUS_NO_TRACE;
 }
 
-static void print_silent(const struct fleet_list *list)
+static void print_unreachable(const struct fleet_list *list)
 {
 	char text[ADDRESS_TEXT_SIZE];
 	int i;
 
 	for (i = 0; i < list->n; i++) {
-		const struct fleet_response *ask = &list->responses[i];
+		const struct fleet_response *response = &list->responses[i];
 
-		if (!ask->ret)
+		if (!response->ret)
 			continue;
-		address_format(&ask->address, text, sizeof(text));
-		fprintf(stderr, "  no answer of %s %s: %s [%s]\n",
-			*ask->instance ? ask->instance : "(unnamed)", text,
-			error_text(ask->ret), error_name(ask->ret));
+		address_format(&response->address, text, sizeof(text));
+		fprintf(stderr, "  no answer from %s %s: %s [%s]\n",
+			*response->instance ? response->instance : "(unnamed)",
+			text, error_text(response->ret),
+			error_name(response->ret));
 	}
 }
 
 static void print_unknown(const struct fleet_list *list, const char *request_id,
-			  const struct finding *finding)
+			  const struct lookup *lookup)
 {
-	int code = finding->n_evicted ? ERR_TRACE_EVICTED : ERR_NO_TRACE;
+	int code = lookup->n_evicted ? ERR_TRACE_EVICTED : ERR_NO_TRACE;
 
 	fprintf(stderr, "garnetreach explain: %s: %s [%s]\n", request_id,
 		error_text(code), error_name(code));
-	if (finding->n_silent)
+	if (lookup->n_unreachable)
 		fprintf(stderr, "PARTIAL: %d of %d instances did not answer\n",
-			finding->n_silent, list->n);
-	print_silent(list);
+			lookup->n_unreachable, list->n);
+	print_unreachable(list);
 }
 
-static struct json_object *all_json(const struct fleet_list *list,
-				    const char *request_id,
-				    const struct finding *finding)
+static struct json_object *result_json(const struct fleet_list *list,
+				       const char *request_id,
+				       const struct lookup *lookup)
 {
 	struct json_object *root = json_object_new_object();
 	struct json_object *answers = json_object_new_array();
 	int code = 0;
 	int i;
 
-	if (!finding->n_known)
-		code = finding->n_evicted ? ERR_TRACE_EVICTED : ERR_NO_TRACE;
+	if (!lookup->n_found)
+		code = lookup->n_evicted ? ERR_TRACE_EVICTED : ERR_NO_TRACE;
 	json_object_object_add(root, "request_id",
 			       json_object_new_string(request_id));
 	json_object_object_add(root, "error",
 			       json_object_new_string(error_name(code)));
 	json_object_object_add(root, "asked", json_object_new_int(list->n));
 	json_object_object_add(root, "silent",
-			       json_object_new_int(finding->n_silent));
+			       json_object_new_int(lookup->n_unreachable));
 	for (i = 0; i < list->n; i++) {
-		if (is_known(&list->responses[i]))
+		if (has_trace(&list->responses[i]))
 			json_object_array_add(answers,
 					      json_object_get(
 						      list->responses[i].body));
@@ -340,29 +344,30 @@
 	return root;
 }
 
-static void show(const struct fleet_list *list, const struct arguments *args,
-		 const struct finding *finding)
+static void print_result(const struct fleet_list *list,
+			 const struct arguments *args,
+			 const struct lookup *lookup)
 {
 	struct json_object *root;
 	int i;
 
 	if (args->target.json) {
-		root = all_json(list, args->request_id, finding);
+		root = result_json(list, args->request_id, lookup);
 		puts(json_object_to_json_string_ext(
 			root, JSON_C_TO_STRING_PLAIN |
 				      JSON_C_TO_STRING_NOSLASHESCAPE));
 		json_object_put(root);
 		return;
 	}
-	if (!finding->n_known)
-		print_unknown(list, args->request_id, finding);
+	if (!lookup->n_found)
+		print_unknown(list, args->request_id, lookup);
 	for (i = 0; i < list->n; i++) {
-		if (is_known(&list->responses[i]))
-			print_known(&list->responses[i]);
+		if (has_trace(&list->responses[i]))
+			print_traces(&list->responses[i]);
 	}
 }
 
-/* First the one that was named; the rest of the fleet only if it must be. */
+/* Asks the given instance first, and the others only if it has no trace. */
 static void ask_fleet(struct fleet_list *list, const struct arguments *args)
 {
 	char *id = evhttp_uriencode(args->request_id, -1, 0);
@@ -372,7 +377,7 @@
 	free(id);
 	fleet_list_init(list, &args->target.address, args->timeout_ms);
 	fleet_list_fetch_one(list, 0, path, args->timeout_ms);
-	if (!is_known(&list->responses[0]))
+	if (!has_trace(&list->responses[0]))
 		fleet_list_fetch(list, 1, path, args->timeout_ms);
 }
 
@@ -381,9 +386,10 @@
 	static const struct argp argp = {
 		options, parse, "IP:PORT REQUEST-ID",
 		"Explain what a request did. Asks the instance at IP:PORT, "
-		"and the others it names if it does not know the request."};
+		"and the other instances that it lists if it has no trace of "
+		"it."};
 	struct arguments args = {.timeout_ms = TIMEOUT_DEFAULT_MS};
-	struct finding finding;
+	struct lookup lookup;
 	struct fleet_list list;
 	int status;
 
@@ -395,9 +401,9 @@
 		return EXIT_STATUS_USAGE;
 	}
 	ask_fleet(&list, &args);
-	look(&list, &finding);
-	show(&list, &args, &finding);
-	status = status_of(&finding);
+	count_responses(&list, &lookup);
+	print_result(&list, &args, &lookup);
+	status = exit_status(&lookup);
 	fleet_list_finish(&list);
 	return status;
 }
--- a/cmd_report.c
+++ b/cmd_report.c
@@ -23,8 +23,9 @@
 
 static const struct argp_option options[] = {
 	{"json", 'j', NULL, 0, "print the report as JSON", 0},
-	{"html", 'H', "FILE", 0, "write it as a page that needs no network", 0},
-	{"timeout", 't', "MS", 0, "longest wait for an instance (2000)", 0},
+	{"html", 'H', "FILE", 0, "write the report as a self-contained page",
+	 0},
+	{"timeout", 't', "MS", 0, "timeout per instance in ms (2000)", 0},
 	{0},
 };
 
@@ -52,18 +53,18 @@
 	int i;
 
 	for (i = 0; i < list->n; i++) {
-		const struct fleet_response *ask = &list->responses[i];
-		struct burn_instance instance = {.ret = ask->ret};
+		const struct fleet_response *response = &list->responses[i];
+		struct burn_instance instance = {.ret = response->ret};
 
-		if (!ask->ret && ask->status != 200)
+		if (!response->ret && response->status != 200)
 			instance.ret = ERR_PROTOCOL;
 		str_copy(instance.name, sizeof(instance.name),
-			 str_from(ask->instance));
+			 str_from(response->instance));
 		str_copy(instance.data_centre, sizeof(instance.data_centre),
-			 str_from(ask->data_centre));
-		address_format(&ask->address, instance.address,
+			 str_from(response->data_centre));
+		address_format(&response->address, instance.address,
 			       sizeof(instance.address));
-		burn_report_add(report, &instance, ask->body);
+		burn_report_add(report, &instance, response->body);
 	}
 	burn_report_sort(report);
 }
@@ -92,7 +93,8 @@
 	return ERR_IO;
 }
 
-static int show(const struct burn_report *report, const struct arguments *args)
+static int print_report(const struct burn_report *report,
+			const struct arguments *args)
 {
 	if (args->target.json)
 		print_json(report);
@@ -111,7 +113,7 @@
 	static const struct argp argp = {
 		options, parse, "IP:PORT",
 		"Report how fast services use up their error budgets. Asks "
-		"all instances that the one at IP:PORT names."};
+		"all instances that the one at IP:PORT lists."};
 	struct arguments args = {.timeout_ms = TIMEOUT_DEFAULT_MS};
 	struct burn_report report;
 	struct fleet_list list;
@@ -122,14 +124,14 @@
 	ret = fleet_list_init(&list, &args.target.address, args.timeout_ms);
 	if (ret)
 		fprintf(stderr,
-			"garnetreach report: the other instances are not "
-			"known: %s\n",
+			"garnetreach report: cannot list the other "
+			"instances: %s\n",
 			error_text(ret));
 	if (!ret)
 		fleet_list_fetch(&list, 0, "/v1/burn", args.timeout_ms);
 	burn_report_init(&report);
 	add_answers(&report, &list);
-	ret = show(&report, &args);
+	ret = print_report(&report, &args);
 	burn_report_finish(&report);
 	fleet_list_finish(&list);
 	return ret;
--- a/report_html.c
+++ b/report_html.c
@@ -6,9 +6,9 @@
 
 #include "error.h"
 
-/* Bars are logarithmic, from a rate of 0.1 to one of 100, in pixels. */
-#define RATE_LEAST 0.1
-#define RATE_MOST 100.0
+/* Bars have a logarithmic scale of burn rates. Sizes are in pixels. */
+#define BAR_RATE_MIN 0.1
+#define BAR_RATE_MAX 100.0
 #define BAR_WIDTH 300
 #define BAR_HEIGHT 12
 #define LABEL_WIDTH 34
@@ -49,12 +49,12 @@
 
 static double bar_length(double rate)
 {
-	if (rate <= RATE_LEAST)
+	if (rate <= BAR_RATE_MIN)
 		return 0;
-	if (rate >= RATE_MOST)
+	if (rate >= BAR_RATE_MAX)
 		return BAR_WIDTH;
-	return BAR_WIDTH * log10(rate / RATE_LEAST) /
-	       log10(RATE_MOST / RATE_LEAST);
+	return BAR_WIDTH * log10(rate / BAR_RATE_MIN) /
+	       log10(BAR_RATE_MAX / BAR_RATE_MIN);
 }
 
 static const char *bar_colour(double rate)
@@ -79,9 +79,9 @@
 {
 	double rate = burn_row_rate(row, objective, window);
 	int y = window * (BAR_HEIGHT + 2);
-	char text[REPORT_RATE_SIZE];
+	char text[REPORT_FIELD_SIZE];
 
-	report_rate(row, objective, window, text);
+	report_burn_rate(row, objective, window, text);
 	fprintf(out, "<text x=\"0\" y=\"%d\">%s</text>", y + BAR_HEIGHT - 2,
 		burn_window_names[window]);
 	fprintf(out,
@@ -132,9 +132,9 @@
 			  enum burn_objective objective, FILE *out)
 {
 	const char *alarm = burn_row_alarm(row, objective);
-	char left[REPORT_RATE_SIZE];
+	char left[REPORT_FIELD_SIZE];
 
-	report_left(row, objective, left);
+	report_budget_left(row, objective, left);
 	fprintf(out, "<td>%s<br/><span class=\"note\">%s</span></td><td>",
 		burn_objective_names[objective], target);
 	put_chart(row, objective, out);
@@ -175,7 +175,7 @@
 
 static void put_service(const struct burn_row *row, FILE *out)
 {
-	char target[REPORT_RATE_SIZE];
+	char target[REPORT_FIELD_SIZE];
 	int k;
 
 	for (k = 0; k < BURN_N_OBJECTIVES; k++) {
@@ -183,8 +183,8 @@
 		if (!k) {
 			put_text(row->name, out);
 			if (!row->in_table)
-				fputs("<div class=\"note\">not in the table "
-				      "any more</div>",
+				fputs("<div class=\"note\">no longer in the "
+				      "table</div>",
 				      out);
 		} else {
 			put_top("servers", &row->top[BURN_SERVER], out);
@@ -214,7 +214,7 @@
 			n_empty);
 }
 
-static void put_missing(const struct burn_report *report, FILE *out)
+static void put_instances(const struct burn_report *report, FILE *out)
 {
 	int i;
 
@@ -238,27 +238,29 @@
 	fputs("</ul></div>\n", out);
 }
 
-static void put_windows(const struct burn_report *report, FILE *out)
+static void put_notes(const struct burn_report *report, FILE *out)
 {
-	char seen[REPORT_RATE_SIZE];
+	char seen[REPORT_FIELD_SIZE];
 	int i;
 
-	fputs("<p class=\"note\">A rate of 1 uses up the budget in the window "
-	      "it is for; lines mark 1 and 14.4. \"-\": no request yet; "
-	      "\"rolled\": all requests were before the window. Budget left is "
-	      "of the last 3 days.",
+	fputs("<p class=\"note\">A burn rate of 1 uses up the budget exactly "
+	      "within the window; lines mark 1 and 14.4. \"-\": no request "
+	      "yet; \"rolled\": all requests were before the window. Budget "
+	      "left is for the last 3 days.",
 	      out);
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
-		if (report->least_s[i] == burn_window_seconds[i])
+		if (report->min_observed_s[i] == burn_window_seconds[i])
 			continue;
-		report_duration(report->least_s[i], seen);
+		report_duration(report->min_observed_s[i], seen);
 		fprintf(out,
-			" * The window %s is short: the youngest instance has "
-			"seen %s.",
+			" * The window %s is short: an instance started only "
+			"%s ago.",
 			burn_window_names[i], seen);
 	}
 	if (report->uncounted)
-		fprintf(out, " %" PRIu64 " requests are in no service's count.",
+		fprintf(out,
+			" %" PRIu64
+			" requests are not counted for any service.",
 			report->uncounted);
 	fputs("</p>\n", out);
 }
@@ -270,9 +272,9 @@
 		"<meta charset=\"utf-8\"/><title>Service-level burn</title>"
 		"<style>%s</style></head><body>\n<h1>Service-level burn</h1>\n",
 		style);
-	put_missing(report, out);
+	put_instances(report, out);
 	if (report->n_answered) {
-		put_windows(report, out);
+		put_notes(report, out);
 		put_markets(report, out);
 		put_services(report, out);
 	}
--- a/report_text.c
+++ b/report_text.c
@@ -8,46 +8,46 @@
 
 #define TOP_SHOWN 3
 
-void report_rate(const struct burn_row *row, enum burn_objective objective,
-		 enum burn_window window, char *out)
+void report_burn_rate(const struct burn_row *row, enum burn_objective objective,
+		      enum burn_window window, char *out)
 {
 	double rate = burn_row_rate(row, objective, window);
 	const char *mark = row->states[window] == BURN_SHORT ? "*" : "";
 
 	if (row->states[window] == BURN_EMPTY)
-		snprintf(out, REPORT_RATE_SIZE, "-");
+		snprintf(out, REPORT_FIELD_SIZE, "-");
 	else if (row->states[window] == BURN_ROLLED_OVER)
-		snprintf(out, REPORT_RATE_SIZE, "rolled");
+		snprintf(out, REPORT_FIELD_SIZE, "rolled");
 	else if (isinf(rate))
-		snprintf(out, REPORT_RATE_SIZE, "no budget%s", mark);
+		snprintf(out, REPORT_FIELD_SIZE, "no budget%s", mark);
 	else
-		snprintf(out, REPORT_RATE_SIZE, "%.2f%s", rate, mark);
+		snprintf(out, REPORT_FIELD_SIZE, "%.2f%s", rate, mark);
 }
 
-void report_left(const struct burn_row *row, enum burn_objective objective,
-		 char *out)
+void report_budget_left(const struct burn_row *row,
+			enum burn_objective objective, char *out)
 {
 	double left = burn_row_budget_left(row, objective);
 	const char *mark = row->states[BURN_3D] == BURN_SHORT ? "*" : "";
 
 	if (burn_row_is_empty(row))
-		snprintf(out, REPORT_RATE_SIZE, "-");
+		snprintf(out, REPORT_FIELD_SIZE, "-");
 	else if (isinf(left))
-		snprintf(out, REPORT_RATE_SIZE, "none%s", mark);
+		snprintf(out, REPORT_FIELD_SIZE, "none%s", mark);
 	else
-		snprintf(out, REPORT_RATE_SIZE, "%.0f%%%s", left * 100, mark);
+		snprintf(out, REPORT_FIELD_SIZE, "%.0f%%%s", left * 100, mark);
 }
 
 void report_target(const struct burn_row *row, enum burn_objective objective,
 		   char *out)
 {
-	double percent = burn_ratio(&row->target, objective) * 100;
+	double percent = burn_required_ratio(&row->target, objective) * 100;
 
 	if (objective == BURN_LATENCY)
-		snprintf(out, REPORT_RATE_SIZE, "%g%% in %" PRId64 "ms",
+		snprintf(out, REPORT_FIELD_SIZE, "%g%% in %" PRId64 "ms",
 			 percent, row->target.latency_ms);
 	else
-		snprintf(out, REPORT_RATE_SIZE, "%g%% whole", percent);
+		snprintf(out, REPORT_FIELD_SIZE, "%g%% complete", percent);
 }
 
 void report_duration(int64_t seconds, char *out)
@@ -60,7 +60,7 @@
 
 	while (i < 3 && seconds < 2 * units[i].seconds)
 		i++;
-	snprintf(out, REPORT_RATE_SIZE, "%" PRId64 "%c",
+	snprintf(out, REPORT_FIELD_SIZE, "%" PRId64 "%c",
 		 seconds / units[i].seconds, units[i].unit);
 }
 
@@ -69,7 +69,7 @@
 	return entry->code ? error_name(entry->code) : "slow";
 }
 
-static void print_missing(const struct burn_report *report, FILE *out)
+static void print_instances(const struct burn_report *report, FILE *out)
 {
 	int i;
 
@@ -89,24 +89,26 @@
 	}
 }
 
-static void print_windows(const struct burn_report *report, FILE *out)
+static void print_notes(const struct burn_report *report, FILE *out)
 {
-	char seen[REPORT_RATE_SIZE];
+	char seen[REPORT_FIELD_SIZE];
 	int n = 0;
 	int i;
 
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
-		if (report->least_s[i] == burn_window_seconds[i])
+		if (report->min_observed_s[i] == burn_window_seconds[i])
 			continue;
-		report_duration(report->least_s[i], seen);
+		report_duration(report->min_observed_s[i], seen);
 		fprintf(out, "%s%s (%s)",
 			n++ ? ", " : "* short windows: ", burn_window_names[i],
 			seen);
 	}
 	if (n)
-		fprintf(out, "; the youngest instance has seen only this\n");
+		fprintf(out, "; an instance started only that long ago\n");
 	if (report->uncounted)
-		fprintf(out, "%" PRIu64 " requests are in no service's count\n",
+		fprintf(out,
+			"%" PRIu64
+			" requests are not counted for any service\n",
 			report->uncounted);
 }
 
@@ -125,16 +127,16 @@
 			    FILE *out)
 {
 	const char *alarm = burn_row_alarm(row, objective);
-	char text[REPORT_RATE_SIZE];
+	char text[REPORT_FIELD_SIZE];
 	int i;
 
 	fprintf(out, "%-20s %-9s %-16s", name, burn_objective_names[objective],
 		target);
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
-		report_rate(row, objective, i, text);
+		report_burn_rate(row, objective, i, text);
 		fprintf(out, " %9s", text);
 	}
-	report_left(row, objective, text);
+	report_budget_left(row, objective, text);
 	fprintf(out, " %8s  %s\n", text, alarm ? alarm : "");
 }
 
@@ -157,7 +159,7 @@
 static void print_services(const struct burn_report *report, FILE *out)
 {
 	const struct burn_row *row;
-	char target[REPORT_RATE_SIZE];
+	char target[REPORT_FIELD_SIZE];
 	int n_empty = 0;
 	int k;
 
@@ -173,7 +175,7 @@
 					out);
 		}
 		if (!row->in_table)
-			fprintf(out, "    not in the table any more\n");
+			fprintf(out, "    no longer in the table\n");
 		print_top("servers", &row->top[BURN_SERVER], out);
 		print_top("shards", &row->top[BURN_SHARD], out);
 	}
@@ -184,7 +186,7 @@
 static void print_markets(const struct burn_report *report, FILE *out)
 {
 	const struct burn_row *row;
-	char n[REPORT_RATE_SIZE];
+	char n[REPORT_FIELD_SIZE];
 	int k;
 
 	print_heading("MARKET", "SERVICES", out);
@@ -198,13 +200,14 @@
 
 void report_text(const struct burn_report *report, FILE *out)
 {
-	print_missing(report, out);
+	print_instances(report, out);
 	if (!report->n_answered)
 		return;
-	print_windows(report, out);
+	print_notes(report, out);
 	print_markets(report, out);
 	print_services(report, out);
-	fprintf(out, "\nA rate of 1 uses up the budget in the window it is "
-		     "for; '-': no request yet;\n'rolled': all requests were "
-		     "before the window. LEFT is of the last 3 days.\n");
+	fprintf(out, "\nA burn rate of 1 uses up the budget exactly within "
+		     "the window; '-': no request yet;\n'rolled': all "
+		     "requests were before the window. LEFT is for the last 3 "
+		     "days.\n");
 }
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -38,7 +38,8 @@
 {
 	struct burn_counts counts;
 
-	burn_sum(&burn, burn_find(&burn, STR("desk")), window, &counts);
+	burn_count_window(&burn, burn_find(&burn, STR("desk")), window,
+			  &counts);
 	return counts.total;
 }
 
@@ -46,14 +47,15 @@
 {
 	struct burn_counts counts;
 
-	return burn_sum(&burn, burn_find(&burn, str_from(service)), window,
-			&counts);
+	return burn_count_window(&burn, burn_find(&burn, str_from(service)),
+				 window, &counts);
 }
 
 /*
- * By hand: 1000 requests, 900 good, 40 late, 30 partial, 30 refused. Bad for
- * latency are 40 + 30 = 70 of 1000, and 1 - 0.99 = 10 may be: 7 times. Bad for
- * coverage are 30 + 30 = 60, and 1 - 0.95 = 50 may be: 1.2 times.
+ * Expected values, calculated by hand for 1000 requests: 900 good, 40 late, 30
+ * partial, 30 refused. Latency: 40 + 30 = 70 are bad, 1000 * (1 - 0.99) = 10
+ * allowed, rate 7. Coverage: 30 + 30 = 60 are bad, 1000 * (1 - 0.95) = 50
+ * allowed, rate 1.2.
  */
 static void test_arithmetic(void)
 {
@@ -65,17 +67,18 @@
 	add("desk", &late, 40);
 	add("desk", &partial, 30);
 	add("desk", &refused, 30);
-	burn_sum(&burn, burn_find(&burn, STR("desk")), BURN_5M, &counts);
+	burn_count_window(&burn, burn_find(&burn, STR("desk")), BURN_5M,
+			  &counts);
 	CU_ASSERT_EQUAL(counts.total, 1000);
 	CU_ASSERT_EQUAL(counts.late, 40);
 	CU_ASSERT_EQUAL(counts.partial, 30);
 	CU_ASSERT_EQUAL(counts.refused, 30);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_LATENCY), 70);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_COVERAGE), 60);
-	allowed = 1000 * (1 - burn_ratio(&target, BURN_LATENCY));
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_LATENCY), 70);
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_COVERAGE), 60);
+	allowed = 1000 * (1 - burn_required_ratio(&target, BURN_LATENCY));
 	NEAR(burn_rate(70, allowed), 7);
 	NEAR(burn_budget_left(70, allowed), -6);
-	allowed = 1000 * (1 - burn_ratio(&target, BURN_COVERAGE));
+	allowed = 1000 * (1 - burn_required_ratio(&target, BURN_COVERAGE));
 	NEAR(burn_rate(60, allowed), 1.2);
 	NEAR(burn_budget_left(60, allowed), -0.2);
 	NEAR(burn_rate(0, 0), 0);
@@ -106,11 +109,10 @@
 }
 
 /*
- * A process is paused for hours and wakes. The ring still holds what it held
- * before; if the places were not emptied, the report would show the burn of
- * last night as that of now.
+ * A process resumes after a pause of hours. Without clearing the skipped
+ * buckets, the report would show counts from before the pause as current.
  */
-static void test_wakes_late(void)
+static void test_resume_after_pause(void)
 {
 	set_up();
 	add("desk", &refused, 50);
@@ -125,8 +127,8 @@
 	burn_finish(&burn);
 }
 
-/* Every step of a long run: what the windows say is what was counted. */
-static void test_against_a_list(void)
+/* Compares the windows with plain sums over 600 minutes, at each minute. */
+static void test_windows_match_sums(void)
 {
 	static int per_minute[600];
 	int sum;
@@ -176,53 +178,53 @@
 	const uint64_t many[] = {10, 10, 10, 10};
 	const uint64_t few[] = {4, 4, 4, 4};
 	const double fast[] = {15, 15, 2, 0.5};
-	const double over[] = {15, 14, 2, 0.5};
+	const double below_1h[] = {15, 14, 2, 0.5};
 	const double slow[] = {0, 0, 1.1, 1.1};
-	const double mended[] = {0, 0, 0.9, 1.1};
+	const double recovered[] = {0, 0, 0.9, 1.1};
 
 	CU_ASSERT_TRUE(burn_is_fast(fast, many));
-	CU_ASSERT_FALSE(burn_is_fast(over, many));
+	CU_ASSERT_FALSE(burn_is_fast(below_1h, many));
 	CU_ASSERT_FALSE(burn_is_fast(fast, few));
 	CU_ASSERT_FALSE(burn_is_slow(fast, many));
 	CU_ASSERT_TRUE(burn_is_slow(slow, many));
-	CU_ASSERT_FALSE(burn_is_slow(mended, many));
+	CU_ASSERT_FALSE(burn_is_slow(recovered, many));
 	CU_ASSERT_FALSE(burn_is_slow(slow, few));
 }
 
-static void test_blame(void)
+static void test_causes(void)
 {
 	struct burn_service *service;
 	struct top_k top;
 
 	set_up();
 	service = add("desk", &late, 1);
-	burn_blame(&burn, service, BURN_SERVER, STR("s1"), 0);
-	burn_blame(&burn, service, BURN_SERVER, STR("s2"), -25);
-	burn_blame(&burn, service, BURN_SERVER, STR("s2"), -21);
-	burn_blame(&burn, service, BURN_SHARD, STR("0-9"), 0);
-	burn_top(&burn, service, BURN_SERVER, &top);
+	burn_add_cause(&burn, service, BURN_SERVER, STR("s1"), 0);
+	burn_add_cause(&burn, service, BURN_SERVER, STR("s2"), -25);
+	burn_add_cause(&burn, service, BURN_SERVER, STR("s2"), -21);
+	burn_add_cause(&burn, service, BURN_SHARD, STR("0-9"), 0);
+	burn_top_causes(&burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 2);
 	CU_ASSERT_STRING_EQUAL(top.entries[0].key, "s2");
 	CU_ASSERT_EQUAL(top.entries[0].count, 2);
 	CU_ASSERT_EQUAL(top.entries[0].code, -21);
 	clock_advance(&clock_, HOUR);
-	burn_blame(&burn, service, BURN_SERVER, STR("s1"), 0);
-	burn_blame(&burn, service, BURN_SERVER, STR("s1"), 0);
-	burn_top(&burn, service, BURN_SERVER, &top);
+	burn_add_cause(&burn, service, BURN_SERVER, STR("s1"), 0);
+	burn_add_cause(&burn, service, BURN_SERVER, STR("s1"), 0);
+	burn_top_causes(&burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 2);
 	CU_ASSERT_STRING_EQUAL(top.entries[0].key, "s1");
 	CU_ASSERT_EQUAL(top.entries[0].count, 3);
 	clock_advance(&clock_, HOUR);
-	burn_top(&burn, service, BURN_SERVER, &top);
+	burn_top_causes(&burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 1);
 	CU_ASSERT_EQUAL(top.entries[0].count, 2);
 	clock_advance(&clock_, HOUR);
-	burn_top(&burn, service, BURN_SERVER, &top);
+	burn_top_causes(&burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL(top.n, 0);
 	burn_finish(&burn);
 }
 
-/* A frequent key stays, whatever number of rare ones pass by. */
+/* A frequent key is kept, however many rare keys are added. */
 static void test_top_k(void)
 {
 	struct top_k top = {0};
@@ -258,15 +260,15 @@
 }
 
 static const struct unit_test tests[] = {
-	{"rates and budgets by hand", test_arithmetic},
+	{"burn rates and budgets", test_arithmetic},
 	{"windows roll over", test_windows},
-	{"a process that wakes late", test_wakes_late},
-	{"windows against a list", test_against_a_list},
+	{"resuming after a long pause", test_resume_after_pause},
+	{"windows match plain sums", test_windows_match_sums},
 	{"states of a window", test_states},
 	{"alarms", test_alarms},
-	{"who is to blame", test_blame},
-	{"frequent keys", test_top_k},
-	{"services are bounded", test_services_max},
+	{"causes of bad requests", test_causes},
+	{"the most frequent keys are kept", test_top_k},
+	{"number of services is limited", test_services_max},
 };
 
 UNIT_MAIN("burn", tests)
--- a/tests/test_burn_report.c
+++ b/tests/test_burn_report.c
@@ -12,8 +12,8 @@
 #define NEAR(a, b) CU_ASSERT_DOUBLE_EQUAL(a, b, 1e-9)
 
 /*
- * What an instance says of one service. The counts of its 5-minute window,
- * and twice as many in the longer ones.
+ * Answer of an instance with one service: the given counts in the 5-minute
+ * window and twice as many in the longer ones.
  */
 static struct json_object *make_body(const char *service, const char *market,
 				     const char *state, int total, int late,
@@ -56,7 +56,7 @@
 	json_object_put(body);
 }
 
-static const struct burn_row *row_of(struct burn_row *rows, const char *name)
+static const struct burn_row *find_row(struct burn_row *rows, const char *name)
 {
 	struct burn_row *row;
 
@@ -66,9 +66,10 @@
 }
 
 /*
- * By hand: two instances with 100 and 300 requests, 10 and 30 late, 4 and 0
- * refused. Bad for latency are 44 of 400, and 400 * (1 - 0.9) = 40 may be:
- * 1.1 times. Bad for coverage are 4, and 80 may be: 0.05 times.
+ * Expected values, calculated by hand for two instances with 100 and 300
+ * requests, 10 and 30 late, 4 and 0 refused. Latency: 44 of 400 are bad,
+ * 400 * (1 - 0.9) = 40 allowed, rate 1.1. Coverage: 4 are bad, 80 allowed,
+ * rate 0.05.
  */
 static void test_instances_add_up(void)
 {
@@ -79,7 +80,7 @@
 	add(&report, make_body("desk", "be", "full", 100, 10, 0, 4));
 	add(&report, make_body("desk", "be", "full", 300, 30, 0, 0));
 	burn_report_sort(&report);
-	row = row_of(report.services, "desk");
+	row = find_row(report.services, "desk");
 	CU_ASSERT_EQUAL(row->counts[BURN_5M].total, 400);
 	CU_ASSERT_EQUAL(row->counts[BURN_3D].total, 800);
 	NEAR(burn_row_rate(row, BURN_LATENCY, BURN_5M), 1.1);
@@ -94,14 +95,14 @@
 	CU_ASSERT_EQUAL(row->top[BURN_SERVER].entries[0].error, 2);
 	CU_ASSERT_EQUAL(row->top[BURN_SERVER].entries[0].code, ERR_SHED);
 	CU_ASSERT_FALSE(burn_report_is_partial(&report));
-	CU_ASSERT_EQUAL(report.least_s[BURN_6H], 4000);
-	CU_ASSERT_EQUAL(report.least_s[BURN_5M], 300);
+	CU_ASSERT_EQUAL(report.min_observed_s[BURN_6H], 4000);
+	CU_ASSERT_EQUAL(report.min_observed_s[BURN_5M], 300);
 	burn_report_finish(&report);
 }
 
 /*
- * By hand: a market of two services, 100 requests with 30 late and 300 with
- * none. Allowed are 10 + 30, so the market burns 30 / 40 = 0.75 times.
+ * Expected values, calculated by hand for a market of two services: 30 of 100
+ * requests late and 0 of 300. 10 + 30 are allowed: a rate of 30 / 40 = 0.75.
  */
 static void test_market(void)
 {
@@ -113,7 +114,7 @@
 	add(&report, make_body("portal", "be", "short", 300, 0, 0, 0));
 	add(&report, make_body("kitchen", "cr", "full", 10, 0, 0, 0));
 	burn_report_sort(&report);
-	row = row_of(report.markets, "be");
+	row = find_row(report.markets, "be");
 	CU_ASSERT_EQUAL(row->n_services, 2);
 	NEAR(burn_row_rate(row, BURN_LATENCY, BURN_1H), 0.75);
 	CU_ASSERT_EQUAL(row->states[BURN_1H], BURN_SHORT);
@@ -123,8 +124,8 @@
 }
 
 /*
- * An instance is down. Its requests can't be counted, so that a service may
- * look healthy that is not: the report must say whose are missing.
+ * The requests of an instance that is down are not counted, so that a failing
+ * service may look healthy: the report must name the missing instances.
  */
 static void test_partial(void)
 {
@@ -144,7 +145,7 @@
 	burn_report_finish(&report);
 }
 
-static enum burn_state state_of(const char *a, const char *b)
+static enum burn_state merged_state(const char *a, const char *b)
 {
 	struct burn_report report;
 	enum burn_state state;
@@ -153,33 +154,34 @@
 	add(&report, make_body("desk", "be", a, 0, 0, 0, 0));
 	add(&report, make_body("desk", "be", b, 0, 0, 0, 0));
 	burn_report_sort(&report);
-	state = row_of(report.services, "desk")->states[BURN_1H];
+	state = find_row(report.services, "desk")->states[BURN_1H];
 	burn_report_finish(&report);
 	return state;
 }
 
 static void test_states(void)
 {
-	CU_ASSERT_EQUAL(state_of("empty", "empty"), BURN_EMPTY);
-	CU_ASSERT_EQUAL(state_of("empty", "rolled_over"), BURN_ROLLED_OVER);
-	CU_ASSERT_EQUAL(state_of("rolled_over", "full"), BURN_FULL);
-	CU_ASSERT_EQUAL(state_of("full", "short"), BURN_SHORT);
+	CU_ASSERT_EQUAL(merged_state("empty", "empty"), BURN_EMPTY);
+	CU_ASSERT_EQUAL(merged_state("empty", "rolled_over"), BURN_ROLLED_OVER);
+	CU_ASSERT_EQUAL(merged_state("rolled_over", "full"), BURN_FULL);
+	CU_ASSERT_EQUAL(merged_state("full", "short"), BURN_SHORT);
 }
 
-static char *print(const struct burn_report *report,
-		   void (*form)(const struct burn_report *report, FILE *out))
+static char *format_report(const struct burn_report *report,
+			   void (*format)(const struct burn_report *report,
+					  FILE *out))
 {
 	char *text = NULL;
 	size_t len = 0;
 	FILE *out = open_memstream(&text, &len);
 
-	form(report, out);
+	format(report, out);
 	fclose(out);
 	return text;
 }
 
-/* Each form must say which windows have nothing to show, and why. */
-static void test_forms_tell_states(void)
+/* Each format must show which windows have no full counts, and why. */
+static void test_formats_show_states(void)
 {
 	struct burn_instance lost = {.name = "<i2>", .ret = ERR_CONNECT};
 	struct burn_report report;
@@ -192,7 +194,7 @@
 	add(&report, make_body("idle", "be", "empty", 0, 0, 0, 0));
 	burn_report_add(&report, &lost, NULL);
 	burn_report_sort(&report);
-	text = print(&report, report_text);
+	text = format_report(&report, report_text);
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, "3 of 4 instances answered"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, "PARTIAL"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, " rolled "));
@@ -200,7 +202,7 @@
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, "6h (66m)"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, "services without any request: 1"));
 	free(text);
-	text = print(&report, report_html);
+	text = format_report(&report, report_html);
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, "PARTIAL"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, "&lt;i2&gt;"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, ">rolled<"));
@@ -221,7 +223,7 @@
 	burn_report_finish(&report);
 }
 
-/* A target of 1 allows no bad request: the rate has no number. */
+/* A target of 1 allows no bad request: the rate is infinite. */
 static void test_no_budget(void)
 {
 	struct burn_report report;
@@ -239,7 +241,7 @@
 	burn_report_init(&report);
 	add(&report, body);
 	burn_report_sort(&report);
-	text = print(&report, report_text);
+	text = format_report(&report, report_text);
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, "no budget"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, "none"));
 	free(text);
@@ -258,13 +260,13 @@
 }
 
 static const struct unit_test tests[] = {
-	{"instances add up, by hand", test_instances_add_up},
-	{"services add up to markets, by hand", test_market},
-	{"an instance is missing", test_partial},
-	{"states of a sum", test_states},
-	{"each form tells the states", test_forms_tell_states},
-	{"no budget", test_no_budget},
-	{"no instance at all", test_empty},
+	{"totals over instances", test_instances_add_up},
+	{"totals over services of a market", test_market},
+	{"an instance did not answer", test_partial},
+	{"states of added counts", test_states},
+	{"each format shows the states", test_formats_show_states},
+	{"a target without a budget", test_no_budget},
+	{"no instances", test_empty},
 };
 
 UNIT_MAIN("burn_report", tests)
--- a/trace_json.c
+++ b/trace_json.c
@@ -7,7 +7,7 @@
 #include "json_value.h"
 
 static const char *const kind_names[] = {"search", "run"};
-static const char *const why_names[] = {"first", "hedge", "retry"};
+static const char *const attempt_names[] = {"first", "hedge", "retry"};
 
 static struct json_object *work_json(const struct trace_summary *summary)
 {
@@ -83,12 +83,12 @@
 
 	json_value_add_text(item, "server", trace_name_text(part->server));
 	json_value_add_text(item, "home", trace_name_text(part->home));
-	json_value_add_text(item, "why", why_names[part->why]);
+	json_value_add_text(item, "why", attempt_names[part->attempt]);
 	json_value_add_int(item, "shards", part->n_shards);
 	json_value_add_int(item, "restarts", part->restarts);
 	json_value_add_int(item, "sent_us", part->sent_us);
 	json_object_object_add(item, "back_us",
-			       part->is_back
+			       part->is_done
 				       ? json_object_new_int64(part->back_us)
 				       : NULL);
 	json_value_add_int(item, "wait_us", part->wait_us);
--- a/trace_json.h
+++ b/trace_json.h
@@ -1,4 +1,4 @@
-/* The record of a request as JSON, for GET /v1/explain. */
+/* Trace of a request as JSON, for GET /v1/explain. */
 #ifndef TRACE_JSON_H
 #define TRACE_JSON_H
 
@@ -7,7 +7,9 @@
 struct json_object;
 
 /**
- * trace_json() - what a request did; see docs/PROTOCOL.md
+ * trace_json() - a trace in the format described in docs/PROTOCOL.md
+ *
+ * Return: to be released by json_object_put().
  */
 struct json_object *trace_json(const struct trace *trace);
 
