--- a/bench/state_cost.c
+++ b/bench/state_cost.c
@@ -383,7 +383,7 @@
 	fill_catalog(&world);
 	fill = cpu_seconds() - start;
 	start = cpu_seconds();
-	if (!catalog_best(&world.board.catalog, STR("s")))
+	if (!catalog_best_placement(&world.board.catalog, STR("s")))
 		exit(1);
 	build = cpu_seconds() - start;
 	printf("{\"measure\":\"catalog\",\"servers\":%d,\"heap_bytes\":%.0f,"
@@ -405,7 +405,7 @@
 
 	world_init(&world, n_servers, n_records);
 	fill_catalog(&world);
-	catalog_best(&world.board.catalog, STR("s"));
+	catalog_best_placement(&world.board.catalog, STR("s"));
 	for (i = 0; i < ROUNDS; i++) {
 		int k;
 
@@ -438,7 +438,7 @@
 
 	world_init(&world, n_servers, 0);
 	fill_catalog(&world);
-	catalog_best(&world.board.catalog, STR("s"));
+	catalog_best_placement(&world.board.catalog, STR("s"));
 	heap = heap_bytes();
 	for (i = 0; i < IN_FLIGHT; i++) {
 		int k;
--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -306,7 +306,7 @@
 	for (i = 0; i < sim->n; i++) {
 		const struct reader *reader = &sim_sync(sim, i)->reader;
 
-		count += reader_watches(reader) ||
+		count += reader_is_watching(reader) ||
 			 reader->watches[READER_TABLE].by_all;
 	}
 	return count;
--- a/blackboard.c
+++ b/blackboard.c
@@ -64,7 +64,7 @@
 	board->watches[topic] = watch;
 }
 
-void blackboard_changed(struct blackboard *board, enum blackboard_topic topic)
+void blackboard_notify(struct blackboard *board, enum blackboard_topic topic)
 {
 	struct blackboard_watch *watch;
 
@@ -78,7 +78,7 @@
 
 	board->table = table;
 	apply_limits(board);
-	blackboard_changed(board, BLACKBOARD_TABLE);
+	blackboard_notify(board, BLACKBOARD_TABLE);
 	if (!old)
 		return;
 	table_finish(old);
--- a/blackboard.h
+++ b/blackboard.h
@@ -31,7 +31,7 @@
 	BLACKBOARD_CATALOG,   /* what servers hold, or who is their home */
 	BLACKBOARD_INSTANCES, /* the platform's list came */
 	BLACKBOARD_SHARES,    /* shares of backend servers changed */
-	BLACKBOARD_USE,	      /* report what is used, see share_in_use() */
+	BLACKBOARD_USAGE, /* report what is used, see share_report_usage() */
 	BLACKBOARD_LIFECYCLE, /* this instance serves, leaves or stops */
 	BLACKBOARD_N_TOPICS,
 };
@@ -114,9 +114,9 @@
 		      void (*changed)(void *arg), void *arg);
 
 /**
- * blackboard_changed() - tell the watchers of a topic
+ * blackboard_notify() - tell the watchers of a topic
  */
-void blackboard_changed(struct blackboard *board, enum blackboard_topic topic);
+void blackboard_notify(struct blackboard *board, enum blackboard_topic topic);
 
 /**
  * blackboard_set_table() - put another table in force
--- a/burn_json.c
+++ b/burn_json.c
@@ -187,7 +187,7 @@
 static bool is_in_table(const struct blackboard *board, const char *service)
 {
 	return board->table &&
-	       table_service(board->table, str_from(service)) >= 0;
+	       table_find_service(board->table, str_from(service)) >= 0;
 }
 
 static struct json_object *services_json(struct blackboard *board)
@@ -235,7 +235,7 @@
 {
 	evbuffer_add_printf(out, "%s{\"alarm\":\"%s\",\"service\":",
 			    (*n)++ ? "," : "", alarm);
-	json_text_add(out, str_from(service));
+	json_text_add_string(out, str_from(service));
 	evbuffer_add_printf(out, ",\"objective\":\"%s\"}",
 			    burn_objective_names[objective]);
 }
--- a/catalog.c
+++ b/catalog.c
@@ -14,13 +14,13 @@
 	catalog->clock = clock;
 }
 
-struct catalog_map *catalog_map_hold(struct catalog_map *map)
+struct catalog_map *catalog_map_ref(struct catalog_map *map)
 {
 	map->refs++;
 	return map;
 }
 
-void catalog_map_release(struct catalog *catalog, struct catalog_map *map)
+void catalog_map_unref(struct catalog *catalog, struct catalog_map *map)
 {
 	if (--map->refs)
 		return;
@@ -29,14 +29,14 @@
 	free(map);
 }
 
-struct catalog_instance *catalog_instance_hold(struct catalog_instance *inst)
+struct catalog_instance *catalog_instance_ref(struct catalog_instance *inst)
 {
 	inst->refs++;
 	return inst;
 }
 
-void catalog_instance_release(struct catalog *catalog,
-			      struct catalog_instance *inst)
+void catalog_instance_unref(struct catalog *catalog,
+			    struct catalog_instance *inst)
 {
 	if (--inst->refs)
 		return;
@@ -51,7 +51,7 @@
 
 	HASH_FIND(hh, catalog->instances, name.data, name.len, inst);
 	if (inst)
-		return catalog_instance_hold(inst);
+		return catalog_instance_ref(inst);
 	inst = mem_zalloc(sizeof(*inst));
 	inst->refs = 1;
 	inst->hash = str_hash(name);
@@ -60,20 +60,20 @@
 	return inst;
 }
 
-struct catalog_server *catalog_server_hold(struct catalog_server *server)
+struct catalog_server *catalog_server_ref(struct catalog_server *server)
 {
 	server->refs++;
 	return server;
 }
 
-static void release_held(struct catalog *catalog, struct catalog_held *held,
-			 int n)
+static void release_held(struct catalog *catalog,
+			 struct catalog_server_version *held, int n)
 {
 	int i;
 
 	for (i = 0; i < n; i++) {
 		if (held[i].map)
-			catalog_map_release(catalog, held[i].map);
+			catalog_map_unref(catalog, held[i].map);
 		free(held[i].here);
 	}
 }
@@ -84,8 +84,8 @@
 	server->n_held = 0;
 }
 
-void catalog_server_release(struct catalog *catalog,
-			    struct catalog_server *server)
+void catalog_server_unref(struct catalog *catalog,
+			  struct catalog_server *server)
 {
 	if (--server->refs)
 		return;
@@ -98,9 +98,9 @@
 static void remove_home(struct catalog *catalog, struct catalog_server *server,
 			struct catalog_home *home)
 {
-	catalog_instance_release(catalog, home->instance);
+	catalog_instance_unref(catalog, home->instance);
 	*home = server->homes[--server->n_homes];
-	catalog_server_release(catalog, server);
+	catalog_server_unref(catalog, server);
 }
 
 static void clear_placements(struct catalog *catalog,
@@ -109,7 +109,7 @@
 	int i;
 
 	for (i = 0; i < service->n_placements; i++) {
-		catalog_map_release(catalog, service->placements[i].map);
+		catalog_map_unref(catalog, service->placements[i].map);
 		free(service->placements[i].first);
 		free(service->placements[i].servers);
 	}
@@ -133,11 +133,11 @@
 	}
 	HASH_ITER (hh, catalog->servers, server, next_server) {
 		while (server->n_homes)
-			catalog_instance_release(
+			catalog_instance_unref(
 				catalog,
 				server->homes[--server->n_homes].instance);
 		server->refs = 1;
-		catalog_server_release(catalog, server);
+		catalog_server_unref(catalog, server);
 	}
 }
 
@@ -216,12 +216,12 @@
 
 	HASH_ITER (hh, catalog->servers, server, next) {
 		if (!server->in_table ||
-		    table_server(table, str_from(server->name)) >= 0)
+		    table_find_server(table, str_from(server->name)) >= 0)
 			continue;
 		mark_dirty(catalog, server->service);
 		server->in_table = false;
 		server->weight = -1;
-		catalog_server_release(catalog, server);
+		catalog_server_unref(catalog, server);
 	}
 }
 
@@ -239,7 +239,7 @@
 			server = add_server(catalog, str_from(row->name),
 					    str_from(row->service));
 		if (!server->in_table)
-			catalog_server_hold(server)->in_table = true;
+			catalog_server_ref(server)->in_table = true;
 		set_row(catalog, server, row);
 	}
 }
@@ -256,7 +256,7 @@
 	return NULL;
 }
 
-void catalog_drop_home(struct catalog *catalog, struct str instance)
+void catalog_remove_instance(struct catalog *catalog, struct str instance)
 {
 	struct catalog_server *server;
 	struct catalog_server *next;
@@ -290,7 +290,8 @@
  * in the new one too. Without the map the service would have no snapshot until
  * the home sent it again.
  */
-static bool has_digest(const struct catalog_held *held, int n, uint64_t digest)
+static bool has_digest(const struct catalog_server_version *held, int n,
+		       uint64_t digest)
 {
 	int i;
 
@@ -304,7 +305,7 @@
 /* A server that held something took up another map: a move has begun. */
 static void note_arrivals(struct catalog *catalog,
 			  const struct catalog_server *server,
-			  const struct catalog_held *old, int n_old)
+			  const struct catalog_server_version *old, int n_old)
 {
 	struct catalog_service *service =
 		put_service(catalog, str_from(server->service));
@@ -321,7 +322,7 @@
 static void take_held(struct catalog *catalog, struct catalog_server *server,
 		      const Peer__ServerState *state)
 {
-	struct catalog_held old[CATALOG_VERSIONS_MAX];
+	struct catalog_server_version old[CATALOG_VERSIONS_MAX];
 	int n_old = server->n_held;
 	size_t i;
 
@@ -329,13 +330,14 @@
 	server->n_held = 0;
 	for (i = 0; i < state->n_held; i++) {
 		const Peer__Held *in = state->held[i];
-		struct catalog_held *held = &server->held[server->n_held++];
+		struct catalog_server_version *held =
+			&server->held[server->n_held++];
 
 		held->version = in->version;
 		held->digest = in->map_digest;
 		held->map = find_map(catalog, in->map_digest);
 		if (held->map)
-			catalog_map_hold(held->map);
+			catalog_map_ref(held->map);
 		held->n_here = (int)in->n_here;
 		held->here = mem_zalloc(in->n_here * sizeof(*held->here));
 		if (in->n_here)
@@ -356,7 +358,7 @@
 	if (!home) {
 		home = &server->homes[server->n_homes++];
 		home->instance = put_instance(catalog, instance);
-		catalog_server_hold(server);
+		catalog_server_ref(server);
 	}
 	home->slots = state->slots;
 	home->in_flight = state->in_flight;
@@ -481,10 +483,10 @@
 
 	HASH_ITER (hh, catalog->servers, server, next) {
 		for (i = 0; i < server->n_held; i++) {
-			struct catalog_held *held = &server->held[i];
+			struct catalog_server_version *held = &server->held[i];
 
 			if (held->digest == map->digest && !held->map)
-				held->map = catalog_map_hold(map);
+				held->map = catalog_map_ref(map);
 		}
 	}
 }
@@ -502,10 +504,10 @@
 		return ERR_PROTOCOL;
 	if (find_map(catalog, message->digest))
 		return 0;
-	map = catalog_map_hold(add_map(catalog, message));
+	map = catalog_map_ref(add_map(catalog, message));
 	link_map(catalog, map);
 	mark_dirty(catalog, map->service);
-	catalog_map_release(catalog, map);
+	catalog_map_unref(catalog, map);
 	return 0;
 }
 
@@ -557,13 +559,13 @@
 					  (size_t)n * sizeof(*placement));
 	placement = &service->placements[service->n_placements++];
 	memset(placement, 0, sizeof(*placement));
-	placement->map = catalog_map_hold(map);
+	placement->map = catalog_map_ref(map);
 	placement->first = mem_zalloc((size_t)(map->n_shards + 2) *
 				      sizeof(*placement->first));
 }
 
 static void visit_held(struct builder *builder, struct catalog_server *server,
-		       const struct catalog_held *held)
+		       const struct catalog_server_version *held)
 {
 	struct catalog_placement *placement;
 	int i;
@@ -654,8 +656,8 @@
 	return service;
 }
 
-const struct catalog_placement *catalog_best(struct catalog *catalog,
-					     struct str service_name)
+const struct catalog_placement *catalog_best_placement(struct catalog *catalog,
+						       struct str service_name)
 {
 	struct catalog_service *service = built_service(catalog, service_name);
 	const struct catalog_placement *best = NULL;
@@ -680,8 +682,8 @@
 	return best;
 }
 
-const struct catalog_placement *catalog_at(struct catalog *catalog,
-					   const struct catalog_map *map)
+const struct catalog_placement *
+catalog_find_placement(struct catalog *catalog, const struct catalog_map *map)
 {
 	struct catalog_service *service =
 		built_service(catalog, str_from(map->service));
--- a/catalog.h
+++ b/catalog.h
@@ -80,7 +80,7 @@
 };
 
 /* One version a server holds; map is NULL until it was fetched. */
-struct catalog_held {
+struct catalog_server_version {
 	uint64_t version;
 	uint64_t digest;
 	struct catalog_map *map;
@@ -93,7 +93,7 @@
 	char service[CATALOG_NAME_SIZE];
 	struct catalog_home homes[CATALOG_HOMES_MAX];
 	int n_homes;
-	struct catalog_held held[CATALOG_VERSIONS_MAX];
+	struct catalog_server_version held[CATALOG_VERSIONS_MAX];
 	int n_held;
 	int64_t weight; /* of the table; -1: leaving */
 	bool in_table;	/* a reference, as each home is one */
@@ -158,9 +158,9 @@
 		      const Peer__ServerState *state);
 
 /**
- * catalog_drop_home() - forget all shares of an instance
+ * catalog_remove_instance() - forget all shares of an instance
  */
-void catalog_drop_home(struct catalog *catalog, struct str instance);
+void catalog_remove_instance(struct catalog *catalog, struct str instance);
 
 /**
  * catalog_map_digest() - the digest of a map, the same on every instance
@@ -188,7 +188,7 @@
 catalog_find_service(const struct catalog *catalog, struct str name);
 
 /**
- * catalog_best() - the placement to answer from
+ * catalog_best_placement() - the placement to answer from
  *
  * The newest version among those of which most records can be reached: a
  * newer version that is still being rolled out does not lower coverage.
@@ -196,26 +196,26 @@
  * Return: valid until the next change of the catalog; NULL if no version of
  * the service is known.
  */
-const struct catalog_placement *catalog_best(struct catalog *catalog,
-					     struct str service);
+const struct catalog_placement *catalog_best_placement(struct catalog *catalog,
+						       struct str service);
 
 /**
- * catalog_at() - the placement of one partition map
+ * catalog_find_placement() - the placement of one partition map
  *
- * Return: as catalog_best(), NULL if no server holds it any more.
+ * Return: as catalog_best_placement(), NULL if no server holds it any more.
  */
-const struct catalog_placement *catalog_at(struct catalog *catalog,
-					   const struct catalog_map *map);
+const struct catalog_placement *
+catalog_find_placement(struct catalog *catalog, const struct catalog_map *map);
 
-struct catalog_map *catalog_map_hold(struct catalog_map *map);
-void catalog_map_release(struct catalog *catalog, struct catalog_map *map);
-struct catalog_server *catalog_server_hold(struct catalog_server *server);
-void catalog_server_release(struct catalog *catalog,
-			    struct catalog_server *server);
+struct catalog_map *catalog_map_ref(struct catalog_map *map);
+void catalog_map_unref(struct catalog *catalog, struct catalog_map *map);
+struct catalog_server *catalog_server_ref(struct catalog_server *server);
+void catalog_server_unref(struct catalog *catalog,
+			  struct catalog_server *server);
 
-struct catalog_instance *catalog_instance_hold(struct catalog_instance *inst);
-void catalog_instance_release(struct catalog *catalog,
-			      struct catalog_instance *inst);
+struct catalog_instance *catalog_instance_ref(struct catalog_instance *inst);
+void catalog_instance_unref(struct catalog *catalog,
+			    struct catalog_instance *inst);
 
 /**
  * catalog_home_usable() - whether new work may go to a home
--- a/cmd_gateway.c
+++ b/cmd_gateway.c
@@ -69,7 +69,7 @@
 {
 	(void)fd;
 	(void)what;
-	gateway_leave(arg);
+	gateway_shut_down(arg);
 }
 
 /*
@@ -118,7 +118,7 @@
 	}
 	gateway_settings_update(&process->settings, &settings);
 	gateway_settings_finish(&settings);
-	gateway_reloaded(&process->gateway);
+	gateway_apply_settings(&process->gateway);
 	LOG_INFO("reloaded", LOG_I64("seeds", process->settings.n_seeds));
 }
 
--- a/cordon.c
+++ b/cordon.c
@@ -14,8 +14,8 @@
 	return NULL;
 }
 
-bool cordons_put(struct cordons *cordons, struct str data_centre,
-		 uint64_t changed_at)
+bool cordon_set_add(struct cordons *cordons, struct str data_centre,
+		    uint64_t changed_at)
 {
 	struct cordon *cordon = find(cordons, data_centre);
 
@@ -39,8 +39,8 @@
 	cordons->n_changes++;
 }
 
-bool cordons_lift(struct cordons *cordons, struct str data_centre,
-		  uint64_t changed_at)
+bool cordon_set_remove(struct cordons *cordons, struct str data_centre,
+		       uint64_t changed_at)
 {
 	struct cordon *cordon = find(cordons, data_centre);
 
@@ -50,12 +50,12 @@
 	return true;
 }
 
-bool cordons_hold(const struct cordons *cordons, struct str data_centre)
+bool cordon_set_contains(const struct cordons *cordons, struct str data_centre)
 {
 	return find(cordons, data_centre);
 }
 
-bool cordons_replace(struct cordons *cordons, const struct cordons *from)
+bool cordon_set_replace(struct cordons *cordons, const struct cordons *from)
 {
 	uint64_t before = cordons->n_changes;
 	int i;
@@ -66,12 +66,12 @@
 		struct cordon *cordon = &cordons->list[i];
 
 		if (cordon->changed_at <= from->at &&
-		    !cordons_hold(from, str_from(cordon->data_centre)))
+		    !cordon_set_contains(from, str_from(cordon->data_centre)))
 			drop(cordons, cordon);
 	}
 	for (i = 0; i < from->n; i++)
-		cordons_put(cordons, str_from(from->list[i].data_centre),
-			    from->list[i].changed_at);
+		cordon_set_add(cordons, str_from(from->list[i].data_centre),
+			       from->list[i].changed_at);
 	cordons->at = from->at;
 	return cordons->n_changes != before;
 }
--- a/cordon.h
+++ b/cordon.h
@@ -37,33 +37,33 @@
 };
 
 /**
- * cordons_put() - a data centre gets no new requests
+ * cordon_set_add() - a data centre gets no new requests
  *
  * Return: whether that is news; false too if there is no room.
  */
-bool cordons_put(struct cordons *cordons, struct str data_centre,
-		 uint64_t changed_at);
+bool cordon_set_add(struct cordons *cordons, struct str data_centre,
+		    uint64_t changed_at);
 
 /**
- * cordons_lift() - it gets requests again
+ * cordon_set_remove() - it gets requests again
  * @changed_at: the store's revision of that; an older one than the cordon's
  *	changes nothing
  *
  * Return: whether that is news.
  */
-bool cordons_lift(struct cordons *cordons, struct str data_centre,
-		  uint64_t changed_at);
+bool cordon_set_remove(struct cordons *cordons, struct str data_centre,
+		       uint64_t changed_at);
 
-bool cordons_hold(const struct cordons *cordons, struct str data_centre);
+bool cordon_set_contains(const struct cordons *cordons, struct str data_centre);
 
 /**
- * cordons_replace() - take a whole set
+ * cordon_set_replace() - take a whole set
  * @from: complete as of its @at; an older one than this changes nothing
  *
  * What was put here at a later revision than @from knows stays.
  *
  * Return: whether the set is another one now.
  */
-bool cordons_replace(struct cordons *cordons, const struct cordons *from);
+bool cordon_set_replace(struct cordons *cordons, const struct cordons *from);
 
 #endif
--- a/cordon_sync.c
+++ b/cordon_sync.c
@@ -46,8 +46,8 @@
 	for (i = 0; i < known->n; i++) {
 		const struct cordon *cordon = &known->list[i];
 
-		sync->kept |= cordons_put(set, str_from(cordon->data_centre),
-					  cordon->changed_at);
+		sync->kept |= cordon_set_add(set, str_from(cordon->data_centre),
+					     cordon->changed_at);
 	}
 }
 
@@ -58,7 +58,7 @@
 
 	if (clock_now(sync->clock) < sync->keep_until)
 		add_missing(sync, &set);
-	if (cordons_replace(&sync->registry->cordons, &set))
+	if (cordon_set_replace(&sync->registry->cordons, &set))
 		apply(sync, why);
 }
 
@@ -68,19 +68,20 @@
 	replace(sync, &sync->listed, "list");
 }
 
-void cordon_sync_item(struct cordon_sync *sync, const struct store_item *item)
+void cordon_sync_apply_item(struct cordon_sync *sync,
+			    const struct store_item *item)
 {
 	struct cordons *cordons = &sync->registry->cordons;
 	struct str name = str_from(item->name);
 	bool news;
 
 	if (item->removed) {
-		news = cordons_lift(cordons, name, item->changed_at);
+		news = cordon_set_remove(cordons, name, item->changed_at);
 	} else {
-		cordons_put(&sync->listed, name, item->changed_at);
-		news = cordons_put(cordons, name, item->changed_at);
+		cordon_set_add(&sync->listed, name, item->changed_at);
+		news = cordon_set_add(cordons, name, item->changed_at);
 	}
-	if (!news && !cordons_hold(cordons, name) && !item->removed)
+	if (!news && !cordon_set_contains(cordons, name) && !item->removed)
 		LOG_ERROR("cordon_refused", LOG_TEXT("data_centre", item->name),
 			  LOG_I64("hold", cordons->n));
 	if (news)
@@ -93,7 +94,8 @@
 		sync->registry->cordons.at = at;
 }
 
-void cordon_sync_take(struct cordon_sync *sync, const struct cordons *from)
+void cordon_sync_apply_peer_set(struct cordon_sync *sync,
+				const struct cordons *from)
 {
 	replace(sync, from, "peer");
 }
@@ -111,7 +113,7 @@
 	sync->kept = false;
 }
 
-bool cordon_sync_wants_list(struct cordon_sync *sync)
+bool cordon_sync_needs_list(struct cordon_sync *sync)
 {
 	bool wants = sync->kept && clock_now(sync->clock) >= sync->keep_until;
 
--- a/cordon_sync.h
+++ b/cordon_sync.h
@@ -40,9 +40,10 @@
 void cordon_sync_end_list(struct cordon_sync *sync, uint64_t at);
 
 /**
- * cordon_sync_item() - an item of a list, or a change
+ * cordon_sync_apply_item() - an item of a list, or a change
  */
-void cordon_sync_item(struct cordon_sync *sync, const struct store_item *item);
+void cordon_sync_apply_item(struct cordon_sync *sync,
+			    const struct store_item *item);
 
 /**
  * cordon_sync_confirm() - all changes up to a revision were taken
@@ -50,9 +51,10 @@
 void cordon_sync_confirm(struct cordon_sync *sync, uint64_t at);
 
 /**
- * cordon_sync_take() - a peer told all that it knows
+ * cordon_sync_apply_peer_set() - a peer told all that it knows
  */
-void cordon_sync_take(struct cordon_sync *sync, const struct cordons *from);
+void cordon_sync_apply_peer_set(struct cordon_sync *sync,
+				const struct cordons *from);
 
 /**
  * cordon_sync_enter_era() - the store gives revisions out again
@@ -61,10 +63,10 @@
 void cordon_sync_enter_era(struct cordon_sync *sync, int64_t until);
 
 /**
- * cordon_sync_wants_list() - what was kept may hold no more
+ * cordon_sync_needs_list() - what was kept may hold no more
  *
  * Return: true once, when a list is to be read again.
  */
-bool cordon_sync_wants_list(struct cordon_sync *sync);
+bool cordon_sync_needs_list(struct cordon_sync *sync);
 
 #endif
--- a/crash_watch.c
+++ b/crash_watch.c
@@ -12,8 +12,8 @@
 				    uint64_t fingerprint)
 {
 	struct crash_watch *watch = mem_zalloc(sizeof(*watch));
-	char life[REGISTRY_LIFE_SIZE];
-	struct str name = registry_life(server, life);
+	char life[REGISTRY_INCARNATION_SIZE];
+	struct str name = registry_incarnation(server, life);
 
 	if (poison_begin(poison, &watch->run, fingerprint, name, name, false)) {
 		free(watch);
@@ -35,8 +35,8 @@
 static void on_server_checked(void *arg, bool listens)
 {
 	struct crash_watch *watch = arg;
-	char life[REGISTRY_LIFE_SIZE];
-	struct str name = registry_life(watch->server, life);
+	char life[REGISTRY_INCARNATION_SIZE];
+	struct str name = registry_incarnation(watch->server, life);
 
 	/* Another watch may have reported this crash already. */
 	if (!listens && watch->run.server) {
--- a/directory.c
+++ b/directory.c
@@ -118,7 +118,8 @@
 static int append_other(const struct directory_candidate *candidates, int n,
 			const struct caller_place *place, int chosen, int *out)
 {
-	int at = chosen < DIRECTORY_MAX ? chosen : DIRECTORY_MAX - 1;
+	int at = chosen < DIRECTORY_ADDRESSES_MAX ? chosen
+						  : DIRECTORY_ADDRESSES_MAX - 1;
 
 	return find_other(candidates, n, place, &out[at]) ? at + 1 : chosen;
 }
@@ -128,7 +129,7 @@
 {
 	const struct caller_place place = {data_centre, region};
 	int chosen = choose(candidates, n, &place, REACH_DATA_CENTRE,
-			    DIRECTORY_MAX, out);
+			    DIRECTORY_ADDRESSES_MAX, out);
 	int reach;
 
 	if (chosen >= OWN_LEAST)
@@ -136,6 +137,6 @@
 	chosen = 0;
 	for (reach = REACH_REGION; reach <= REACH_ALL && !chosen; reach++)
 		chosen = choose(candidates, n, &place, (enum reach)reach,
-				DIRECTORY_MAX, out);
+				DIRECTORY_ADDRESSES_MAX, out);
 	return chosen;
 }
--- a/directory.h
+++ b/directory.h
@@ -11,7 +11,7 @@
 #include "str.h"
 
 /* Callers take at most so many addresses of an answer. */
-#define DIRECTORY_MAX 64
+#define DIRECTORY_ADDRESSES_MAX 64
 
 /**
  * struct directory_candidate - an instance that may take callers
@@ -44,7 +44,7 @@
  * Requests that are bound to regions must not be sent to instances outside of
  * these and the caller's own, unless no instance is left there.
  *
- * @out: room for DIRECTORY_MAX indexes of candidates
+ * @out: room for DIRECTORY_ADDRESSES_MAX indexes of candidates
  *
  * Return: how many were chosen; 0 if none is ready.
  */
--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -44,7 +44,8 @@
 	if (usual <= 0)
 		return 1;
 	if (server->outlook.pace_at)
-		pace = server_outlook_pace(&server->outlook, usual, now);
+		pace = server_estimate_processing_time(&server->outlook, usual,
+						       now);
 	else if (score->latency_at && now - score->latency_at < REPORT_AGE_MAX)
 		pace = score->latency;
 	return fmin(fmax(pace / usual, SLOWNESS_MIN), SLOWNESS_MAX);
@@ -52,7 +53,7 @@
 
 static int level_of(const struct dispatch *dispatch)
 {
-	return server_outlook_level(dispatch->route->priority);
+	return server_estimate_level(dispatch->route->priority);
 }
 
 static bool is_eligible(const struct dispatch *dispatch,
@@ -82,7 +83,7 @@
 	for (i = 0; i < service->n; i++) {
 		if (!is_eligible(dispatch, service->servers[i]))
 			continue;
-		sum += server_outlook_ahead(&service->servers[i]->outlook,
+		sum += server_estimate_wait(&service->servers[i]->outlook,
 					    level, now);
 		n++;
 	}
@@ -249,7 +250,7 @@
 {
 	const struct dispatch *dispatch = send->part->dispatch;
 	struct registry_server *server = send->server;
-	struct server_outlook *outlook = &server->outlook;
+	struct server_estimate *outlook = &server->outlook;
 	int64_t now = clock_now(dispatch->clock);
 	int64_t slots = server->entry.slots > 0 ? server->entry.slots : 1;
 	int64_t added_wait;
@@ -259,11 +260,11 @@
 	    now - outlook->pace_at > REPORT_AGE_MAX)
 		return;
 	added_wait = forecast_server(dispatch, server, now).run_time / slots;
-	for (i = level_of(dispatch); i < OUTLOOK_LEVELS; i++)
-		server_outlook_told(outlook, i,
-				    server_outlook_ahead(outlook, i, now) +
-					    added_wait,
-				    now);
+	for (i = level_of(dispatch); i < ESTIMATE_LEVELS; i++)
+		server_estimate_set_wait(outlook, i,
+					 server_estimate_wait(outlook, i, now) +
+						 added_wait,
+					 now);
 }
 
 void dispatch_forecast_update(const struct dispatch_send *send, int64_t took)
--- a/dispatch_load.c
+++ b/dispatch_load.c
@@ -66,7 +66,7 @@
 	dispatch->cost = 1;
 	if (uses_priorities(dispatch))
 		dispatch->level =
-			server_outlook_level(dispatch->route->priority);
+			server_estimate_level(dispatch->route->priority);
 	if (uses_work_cost(dispatch))
 		dispatch->cost += (int64_t)(work_per_part(dispatch->latency) *
 					    dispatch->n_parts);
--- a/dispatch_send.c
+++ b/dispatch_send.c
@@ -93,13 +93,13 @@
 {
 	const struct dispatch *dispatch = part->dispatch;
 	int64_t now = clock_now(dispatch->clock);
-	const struct registry_choice choice = {
+	const struct registry_criteria choice = {
 		.tried = tried->servers,
 		.n_tried = tried->n,
 		.fresh_only = preferred_only,
 		.regions = &dispatch->route->regions,
 		.relayed = dispatch->route->sharded,
-		.level = server_outlook_level(dispatch->route->priority),
+		.level = server_estimate_level(dispatch->route->priority),
 		.salt = (uint64_t)now + (uint64_t)(part - dispatch->parts),
 	};
 
--- a/entry_net.c
+++ b/entry_net.c
@@ -101,7 +101,7 @@
 
 static void catalog_changed(struct entry_net *net)
 {
-	blackboard_changed(net->board, BLACKBOARD_CATALOG);
+	blackboard_notify(net->board, BLACKBOARD_CATALOG);
 	searches_catalog_changed(&net->searches);
 	arm(net);
 }
@@ -161,8 +161,8 @@
 
 	if (!link->outgoing)
 		return;
-	catalog_drop_home(&net->board->catalog, str_from(link->instance));
-	blackboard_changed(net->board, BLACKBOARD_CATALOG);
+	catalog_remove_instance(&net->board->catalog, str_from(link->instance));
+	blackboard_notify(net->board, BLACKBOARD_CATALOG);
 	searches_home_lost(&net->searches, str_from(link->instance));
 	arm(net);
 }
@@ -193,7 +193,7 @@
 	struct entry_net *net = arg;
 
 	catalog_set_table(&net->board->catalog, net->board->table);
-	blackboard_changed(net->board, BLACKBOARD_CATALOG);
+	blackboard_notify(net->board, BLACKBOARD_CATALOG);
 	set_admission(net);
 }
 
@@ -290,7 +290,8 @@
 					  const char *name)
 {
 	const struct table *table = net->board->table;
-	int row = table ? table_service(table, str_from(name)) : ERR_NO_SERVICE;
+	int row = table ? table_find_service(table, str_from(name))
+			: ERR_NO_SERVICE;
 
 	return row < 0 ? NULL : &table->services[row];
 }
@@ -331,7 +332,7 @@
 		offer(taken, service);
 }
 
-void entry_net_beat(struct entry_net *net, int64_t lag)
+void entry_net_tick(struct entry_net *net, int64_t lag)
 {
 	admission_add_lag(&net->admission, lag);
 	admission_tick(&net->admission);
--- a/entry_net.h
+++ b/entry_net.h
@@ -38,10 +38,10 @@
 		      void *owner);
 
 /**
- * entry_net_beat() - told now and then how late the event loop is
+ * entry_net_tick() - told now and then how late the event loop is
  * @lag: microseconds
  */
-void entry_net_beat(struct entry_net *net, int64_t lag);
+void entry_net_tick(struct entry_net *net, int64_t lag);
 
 /**
  * entry_net_overloaded() - whether new work for a service is refused now
--- a/frame.c
+++ b/frame.c
@@ -32,7 +32,7 @@
 }
 
 #define FRAME_ROOM(symbol, number, name)                                       \
-	_Static_assert((number) < FRAME_TYPES, "room for each type");
+	_Static_assert((number) < FRAME_TYPE_LIMIT, "room for each type");
 FRAME_LIST(FRAME_ROOM)
 #undef FRAME_ROOM
 
--- a/frame.h
+++ b/frame.h
@@ -51,7 +51,7 @@
 #undef FRAME_ENUM
 
 /* Above every number of FRAME_LIST. */
-#define FRAME_TYPES 32
+#define FRAME_TYPE_LIMIT 32
 
 /**
  * frame_type_name() - for metrics: the descriptor's name, as in "view_update"
--- a/gateway.c
+++ b/gateway.c
@@ -64,7 +64,7 @@
 		.window = (int64_t)(settings->retry_window_s * USEC_PER_SEC),
 	};
 	const struct retry_membership membership = {
-		.entries = gateway_fleet_entries(&gateway->fleet),
+		.entries = gateway_fleet_count_entries(&gateway->fleet),
 		.members = gateway->fleet.views.n_members,
 		.is_entry = gateway_fleet_is_entry(&gateway->fleet),
 	};
@@ -73,13 +73,14 @@
 			   clock_now(&gateway->clock));
 	gateway->limits.budget = gateway->retry_share.limit;
 	gateway->upstream.limits.share_local =
-		CONNECTIONS_NEAR / gateway_fleet_near_senders(&gateway->fleet);
+		CONNECTIONS_NEAR /
+		gateway_fleet_count_local_senders(&gateway->fleet);
 	gateway->turns.queues.senders =
-		gateway_fleet_near_senders(&gateway->fleet);
+		gateway_fleet_count_local_senders(&gateway->fleet);
 	gateway->turns.queues.enabled = settings->load_control.turns;
 	gateway->upstream.limits.share_remote =
 		CONNECTIONS_FAR / gateway->retry_share.entries_peak;
-	gateway->registry.shared_pace = settings->load_control.pace;
+	gateway->registry.use_shared_estimates = settings->load_control.pace;
 }
 
 static void on_members_changed(void *arg)
@@ -103,21 +104,21 @@
 					 str_from(from->name));
 
 		service->warmup.cold_for =
-			from->cold_s * USEC_PER_SEC < REGISTRY_COLD_MOST
+			from->cold_s * USEC_PER_SEC < REGISTRY_COLD_MAX
 				? (int64_t)(from->cold_s * USEC_PER_SEC)
-				: REGISTRY_COLD_MOST;
+				: REGISTRY_COLD_MAX;
 		service->warmup.bound =
 			warmup_bound(from->cold_per_s, settings->cold_overrun,
 				     settings->cold_slack);
 	}
 }
 
-void gateway_reloaded(struct gateway *gateway)
+void gateway_apply_settings(struct gateway *gateway)
 {
 	set_limits(gateway);
 	if (gateway->sync.routes)
 		set_warmup_limits(gateway);
-	gateway_fleet_seeds(&gateway->fleet);
+	gateway_fleet_update_seeds(&gateway->fleet);
 }
 
 /* Routes or servers may have changed. */
@@ -144,7 +145,7 @@
 
 	store_sync_answered(&gateway->sync, topic, answer);
 	if (!answer->code)
-		view_share_read(&gateway->fleet.views);
+		view_share_publish(&gateway->fleet.views);
 	on_view_changed(gateway, was_ready);
 }
 
@@ -162,7 +163,7 @@
 
 	inbound_set_limits(&gateway->inbound, &gateway->sync.routes->limits);
 	set_warmup_limits(gateway);
-	gateway_fleet_routes(&gateway->fleet);
+	gateway_fleet_routes_changed(&gateway->fleet);
 }
 
 static void on_server(void *arg, const char *id, uint64_t changed_at,
@@ -170,7 +171,8 @@
 {
 	struct gateway *gateway = arg;
 
-	view_share_changed(&gateway->fleet.views, id, changed_at, removed);
+	view_share_record_change(&gateway->fleet.views, id, changed_at,
+				 removed);
 }
 
 static const struct store_sync_ops sync_ops = {
@@ -209,7 +211,7 @@
 	}
 }
 
-void gateway_leave(struct gateway *gateway)
+void gateway_shut_down(struct gateway *gateway)
 {
 	const struct timeval period = {0, STOP_CHECK};
 
@@ -218,7 +220,7 @@
 	gateway->state = GATEWAY_LEAVING;
 	gateway->leaving_since = clock_now(&gateway->clock);
 	LOG_INFO("leaving", LOG_I64("connections", gateway->inbound.n));
-	inbound_leave(&gateway->inbound);
+	inbound_disable_keep_alive(&gateway->inbound);
 	gateway_fleet_leave(&gateway->fleet);
 	event_add(gateway->stop_timer, &period);
 }
@@ -277,12 +279,12 @@
 	if (!settings->n_seeds)
 		return;
 	evutil_secure_rng_get_bytes(&draw, sizeof(draw));
-	store_schedule_joins(&gateway->sync, (double)draw / UINT16_MAX);
+	store_schedule_delay_start(&gateway->sync, (double)draw / UINT16_MAX);
 }
 
 int gateway_init(struct gateway *gateway, struct event_base *base,
 		 const struct gateway_settings *settings,
-		 const struct gateway_names *names,
+		 const struct gateway_header_names *names,
 		 const struct store_ops *store)
 {
 	int ret;
@@ -342,7 +344,7 @@
 	struct route_stats *stats;
 	struct route_stats *next;
 
-	gateway_request_drop_all(gateway);
+	gateway_request_free_all(gateway);
 	relay_serve_finish(&gateway->relay_serve);
 	relay_ask_finish(&gateway->relay_ask);
 	upstream_finish(&gateway->upstream);
--- a/gateway.h
+++ b/gateway.h
@@ -36,11 +36,12 @@
 struct gateway_request;
 
 /**
- * struct gateway_names - headers that callers and backend servers understand
+ * struct gateway_header_names - headers that callers and backend servers
+ * understand
  * @part_stamps: signatures of the parts that are in an answer
  * @parts_missing: number of parts that are not
  */
-struct gateway_names {
+struct gateway_header_names {
 	struct upstream_header_names upstream;
 	struct str part_stamps;
 	struct str parts_missing;
@@ -69,14 +70,14 @@
  * @retry_share: its share of the fleet-wide budget of second sends
  * @started_at: time of gateway_init(), microseconds
  * @second_sends_timer: fires once per retry budget window
- * @second_sends_at: start of the current window, microseconds
+ * @second_sends_window_start: start of the current window, microseconds
  * @open: requests that are not answered
  */
 struct gateway {
 	struct event_base *base;
 	struct clock clock;
 	const struct gateway_settings *settings;
-	const struct gateway_names *names;
+	const struct gateway_header_names *names;
 	struct registry registry;
 	struct upstream upstream;
 	struct server_queue_net turns;
@@ -94,7 +95,7 @@
 	struct retry_share retry_share;
 	int64_t started_at;
 	struct wake_timer second_sends_timer;
-	int64_t second_sends_at;
+	int64_t second_sends_window_start;
 	struct route_stats *stats;
 	struct gateway_stats counters;
 	struct gateway_request *open;
@@ -110,7 +111,7 @@
  */
 int gateway_init(struct gateway *gateway, struct event_base *base,
 		 const struct gateway_settings *settings,
-		 const struct gateway_names *names,
+		 const struct gateway_header_names *names,
 		 const struct store_ops *store);
 void gateway_finish(struct gateway *gateway);
 
@@ -120,13 +121,13 @@
 bool gateway_ready(const struct gateway *gateway);
 
 /**
- * gateway_reloaded() - the settings were changed
+ * gateway_apply_settings() - the settings were changed
  */
-void gateway_reloaded(struct gateway *gateway);
+void gateway_apply_settings(struct gateway *gateway);
 
 /**
- * gateway_leave() - stop gracefully; ends the event loop when done
+ * gateway_shut_down() - stop gracefully; ends the event loop when done
  */
-void gateway_leave(struct gateway *gateway);
+void gateway_shut_down(struct gateway *gateway);
 
 #endif
--- a/gateway_answer.c
+++ b/gateway_answer.c
@@ -20,11 +20,11 @@
 	if (retry_after_ms)
 		evbuffer_add_printf(fields, "Retry-After: %.3f\r\n",
 				    (double)retry_after_ms / 1000);
-	inbound_answer(conn, status, fields, (struct str){body, (size_t)len});
+	inbound_respond(conn, status, fields, (struct str){body, (size_t)len});
 	evbuffer_free(fields);
 }
 
-void gateway_answer_log(const struct gateway_request *request, int status)
+void gateway_request_log(const struct gateway_request *request, int status)
 {
 	const struct dispatch *dispatch = &request->dispatch;
 	struct gateway *gateway = request->gateway;
@@ -87,7 +87,7 @@
 
 static void answer_parts(struct gateway_request *request)
 {
-	const struct gateway_names *names = request->gateway->names;
+	const struct gateway_header_names *names = request->gateway->names;
 	struct dispatch *dispatch = &request->dispatch;
 	struct evbuffer *fields = evbuffer_new();
 	const char *comma = "";
@@ -107,15 +107,16 @@
 	evbuffer_add_printf(fields, "\r\n" STR_FMT ": %d\r\n",
 			    STR_ARG(names->parts_missing),
 			    dispatch->n_parts - dispatch->n_answered);
-	gateway_answer_log(request, HTTP_STATUS_OK);
+	gateway_request_log(request, HTTP_STATUS_OK);
 	log_missing(request);
-	inbound_answer(request->conn, HTTP_STATUS_OK, fields,
-		       (struct str){dispatch->records.bytes,
-				    (size_t)dispatch->records.n * RECORD_SIZE});
+	inbound_respond(request->conn, HTTP_STATUS_OK, fields,
+			(struct str){dispatch->records.bytes,
+				     (size_t)dispatch->records.n *
+					     RECORD_SIZE});
 	evbuffer_free(fields);
 }
 
-bool gateway_promises_not_run(int status)
+bool gateway_status_implies_not_run(int status)
 {
 	return status == HTTP_STATUS_REQUEST_TIMEOUT ||
 	       status == HTTP_STATUS_MISDIRECTED_REQUEST ||
@@ -127,11 +128,11 @@
 {
 	struct kept_answer *kept = &request->kept;
 
-	if (!kept->fields || gateway_promises_not_run(kept->status))
+	if (!kept->fields || gateway_status_implies_not_run(kept->status))
 		return false;
-	gateway_answer_log(request, kept->status);
-	inbound_answer(request->conn, kept->status, kept->fields,
-		       (struct str){kept->body, kept->body_len});
+	gateway_request_log(request, kept->status);
+	inbound_respond(request->conn, kept->status, kept->fields,
+			(struct str){kept->body, kept->body_len});
 	return true;
 }
 
@@ -172,7 +173,7 @@
 static struct metric *overload_level(const struct gateway_request *request)
 {
 	struct gateway_stats *counters = &request->gateway->counters;
-	struct metric *levels[OUTLOOK_LEVELS] = {
+	struct metric *levels[ESTIMATE_LEVELS] = {
 		&counters->overload_level0,
 		&counters->overload_level1,
 		&counters->overload_level2,
@@ -193,7 +194,7 @@
 	else if (ran)
 		status = HTTP_STATUS_BAD_GATEWAY;
 	else
-		retry_after = gateway_load_offer(request);
+		retry_after = gateway_load_offer_return(request);
 	if (code == ERR_OVERLOAD) {
 		metric_inc(overload_level(request));
 		metric_inc(&request->gateway->counters.overload);
@@ -204,7 +205,7 @@
 		metric_inc(&request->gateway->counters.no_server);
 		log_lost(request, retry_after);
 	}
-	gateway_answer_log(request, status);
+	gateway_request_log(request, status);
 	gateway_answer_error(request->conn, status, retry_after,
 			     error_name(code));
 }
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -91,14 +91,14 @@
 	struct gateway_fleet *fleet = arg;
 
 	member_table_probe_now(&fleet->members.members, link->instance);
-	view_share_met(&fleet->views, link->instance);
+	view_share_member_reachable(&fleet->views, link->instance);
 }
 
 static void on_heard(void *arg, const char *peer,
 		     const struct member_beacon *beacon)
 {
 	struct gateway_fleet *fleet = arg;
-	struct fleet_heard *heard;
+	struct fleet_peer_state *heard;
 	const struct fleet_member *member =
 		fleet_find(&fleet->board.fleet, str_from(peer));
 
@@ -112,7 +112,7 @@
 	heard->routes_version = beacon->table_revision;
 	heard->incarnation = member ? member->incarnation : 0;
 	if (peers_find_any(&fleet->peers, str_from(peer)))
-		view_share_met(&fleet->views, peer);
+		view_share_member_reachable(&fleet->views, peer);
 }
 
 static bool is_seed(const struct gateway_fleet *fleet,
@@ -229,7 +229,7 @@
 	fleet->config.ops->members_changed(fleet->config.arg);
 }
 
-void gateway_fleet_seeds(struct gateway_fleet *fleet)
+void gateway_fleet_update_seeds(struct gateway_fleet *fleet)
 {
 	const struct gateway_settings *settings = fleet->config.from;
 	struct member_entry entries[GATEWAY_SEEDS_MAX] = {0};
@@ -256,12 +256,12 @@
 	struct gateway_fleet *fleet = arg;
 
 	(void)lag;
-	poison_net_beat(&fleet->poison);
+	poison_net_tick(&fleet->poison);
 }
 
 static bool heard_ready(const struct gateway_fleet *fleet, const char *instance)
 {
-	const struct fleet_heard *heard;
+	const struct fleet_peer_state *heard;
 
 	HASH_FIND_STR(fleet->heard, instance, heard);
 	return heard && heard->routes_version;
@@ -274,7 +274,8 @@
 
 	for (link = fleet->peers.links; link; link = link->next) {
 		if (link->up && heard_ready(fleet, link->instance))
-			view_share_met(&fleet->views, link->instance);
+			view_share_member_reachable(&fleet->views,
+						    link->instance);
 	}
 }
 
@@ -285,12 +286,12 @@
 	(void)fd;
 	(void)what;
 	if (fleet->ticks++ % SEEDS_TICKS == 0)
-		gateway_fleet_seeds(fleet);
+		gateway_fleet_update_seeds(fleet);
 	plan_links(fleet);
 	if (!fleet->config.ops->ready(fleet->config.arg))
 		ask_again(fleet);
 	else
-		view_share_review(&fleet->views);
+		view_share_tick(&fleet->views);
 }
 
 static void fill_settings(struct gateway_fleet *fleet)
@@ -357,14 +358,14 @@
 	fleet->seeds_timer =
 		event_new(config->base, -1, EV_PERSIST, on_seeds_timer, fleet);
 	event_add(fleet->seeds_timer, &period);
-	gateway_fleet_seeds(fleet);
+	gateway_fleet_update_seeds(fleet);
 	return 0;
 }
 
 void gateway_fleet_finish(struct gateway_fleet *fleet)
 {
-	struct fleet_heard *heard;
-	struct fleet_heard *next;
+	struct fleet_peer_state *heard;
+	struct fleet_peer_state *next;
 
 	event_free(fleet->seeds_timer);
 	loop_lag_finish(&fleet->loop);
@@ -379,7 +380,7 @@
 	}
 }
 
-void gateway_fleet_routes(struct gateway_fleet *fleet)
+void gateway_fleet_routes_changed(struct gateway_fleet *fleet)
 {
 	struct member_beacon *beacon = &fleet->members.members.beacon;
 	bool first = !beacon->table_revision;
@@ -398,13 +399,13 @@
 {
 	fleet->board.lifecycle = LIFECYCLE_LEAVING;
 	fleet->board.leaving_since = clock_now(fleet->config.clock);
-	blackboard_changed(&fleet->board, BLACKBOARD_LIFECYCLE);
+	blackboard_notify(&fleet->board, BLACKBOARD_LIFECYCLE);
 }
 
 bool gateway_fleet_is_ready(const struct gateway_fleet *fleet,
 			    const struct fleet_member *member)
 {
-	const struct fleet_heard *heard;
+	const struct fleet_peer_state *heard;
 
 	if (!strcmp(member->instance, fleet->settings.instance))
 		return fleet->config.ops->ready(fleet->config.arg);
@@ -413,8 +414,9 @@
 	       heard->routes_version;
 }
 
-int gateway_fleet_candidates(const struct gateway_fleet *fleet, struct str host,
-			     struct directory_candidate **out)
+int gateway_fleet_list_candidates(const struct gateway_fleet *fleet,
+				  struct str host,
+				  struct directory_candidate **out)
 {
 	const struct fleet_member *member = fleet->board.fleet.members;
 	size_t most = HASH_COUNT(fleet->board.fleet.members);
@@ -429,8 +431,8 @@
 		memcpy(candidate->instance, member->instance, FLEET_NAME_SIZE);
 		memcpy(candidate->data_centre, member->data_centre,
 		       FLEET_NAME_SIZE);
-		candidate->region = regions_of(&fleet->config.from->regions,
-					       member->data_centre);
+		candidate->region = regions_find(&fleet->config.from->regions,
+						 member->data_centre);
 		candidate->home = !fleet->config.sync->routes ||
 				  route_set_allows(fleet->config.sync->routes,
 						   host, candidate->region);
@@ -442,7 +444,7 @@
 	return n;
 }
 
-int gateway_fleet_entries(const struct gateway_fleet *fleet)
+int gateway_fleet_count_entries(const struct gateway_fleet *fleet)
 {
 	const struct hub_member *members = fleet->views.members;
 	int n = 0;
@@ -458,10 +460,11 @@
 {
 	const struct view_share *views = &fleet->views;
 
-	return !views->n_members || views->rank < gateway_fleet_entries(fleet);
+	return !views->n_members ||
+	       views->rank < gateway_fleet_count_entries(fleet);
 }
 
-int gateway_fleet_near_senders(const struct gateway_fleet *fleet)
+int gateway_fleet_count_local_senders(const struct gateway_fleet *fleet)
 {
 	const struct view_share *views = &fleet->views;
 	int n = 0;
--- a/gateway_fleet.h
+++ b/gateway_fleet.h
@@ -34,7 +34,7 @@
 
 /**
  * struct gateway_fleet_config - what the fleet's part of an instance works with
- * @from: settings, read again with gateway_fleet_seeds()
+ * @from: settings, read again with gateway_fleet_update_seeds()
  * @arg: handed to @ops
  */
 struct gateway_fleet_config {
@@ -47,7 +47,7 @@
 };
 
 /* An instance that said which routes it has, by its heartbeats. */
-struct fleet_heard {
+struct fleet_peer_state {
 	char instance[FLEET_NAME_SIZE];
 	uint64_t incarnation;
 	uint64_t routes_version;
@@ -73,7 +73,7 @@
 	struct view_share views;
 	struct peer_handler handler;
 	struct blackboard_watch fleet_watch;
-	struct fleet_heard *heard;
+	struct fleet_peer_state *heard;
 	struct event *seeds_timer;
 	unsigned int ticks;
 	int64_t started_at;
@@ -89,9 +89,9 @@
 void gateway_fleet_finish(struct gateway_fleet *fleet);
 
 /**
- * gateway_fleet_routes() - other routes are in force here
+ * gateway_fleet_routes_changed() - other routes are in force here
  */
-void gateway_fleet_routes(struct gateway_fleet *fleet);
+void gateway_fleet_routes_changed(struct gateway_fleet *fleet);
 
 /**
  * gateway_fleet_leave() - this instance is stopping
@@ -99,9 +99,9 @@
 void gateway_fleet_leave(struct gateway_fleet *fleet);
 
 /**
- * gateway_fleet_seeds() - the settings were read again
+ * gateway_fleet_update_seeds() - the settings were read again
  */
-void gateway_fleet_seeds(struct gateway_fleet *fleet);
+void gateway_fleet_update_seeds(struct gateway_fleet *fleet);
 
 /**
  * gateway_fleet_is_ready() - an instance said that it knows routes and servers
@@ -110,21 +110,23 @@
 			    const struct fleet_member *member);
 
 /**
- * gateway_fleet_candidates() - instances that may take callers
+ * gateway_fleet_list_candidates() - instances that may take callers
  * @host: whose requests they would get
  * @out: set to a list that the caller frees
  *
  * Return: how many.
  */
-int gateway_fleet_candidates(const struct gateway_fleet *fleet, struct str host,
-			     struct directory_candidate **out);
+int gateway_fleet_list_candidates(const struct gateway_fleet *fleet,
+				  struct str host,
+				  struct directory_candidate **out);
 
 /**
- * gateway_fleet_entries() - instances that take callers, as far as known here
+ * gateway_fleet_count_entries() - instances that take callers, as far as known
+ * here
  *
  * Return: at least 1.
  */
-int gateway_fleet_entries(const struct gateway_fleet *fleet);
+int gateway_fleet_count_entries(const struct gateway_fleet *fleet);
 
 /**
  * gateway_fleet_is_entry() - this instance is one of those that take callers,
@@ -150,11 +152,11 @@
 				      const struct registry_server *server);
 
 /**
- * gateway_fleet_near_senders() - instances of the own data centre that send to
- * its servers: they take callers, or relay for those that do
+ * gateway_fleet_count_local_senders() - instances of the own data centre that
+ * send to its servers: they take callers, or relay for those that do
  *
  * Return: at least 1.
  */
-int gateway_fleet_near_senders(const struct gateway_fleet *fleet);
+int gateway_fleet_count_local_senders(const struct gateway_fleet *fleet);
 
 #endif
--- a/gateway_forecast.c
+++ b/gateway_forecast.c
@@ -79,7 +79,7 @@
 		 LOG_TEXT("worst", worst));
 }
 
-void gateway_foreseen(void *arg, const struct forecast *forecast)
+void gateway_report_forecast(void *arg, const struct forecast *forecast)
 {
 	const struct gateway_request *request = arg;
 	struct gateway_stats *counters = &request->gateway->counters;
@@ -93,8 +93,8 @@
 	log_left_out(request, forecast);
 }
 
-void gateway_kept_back(void *arg, const struct dispatch_part *part,
-		       const struct forecast_part *expected)
+void gateway_report_resend_left_out(void *arg, const struct dispatch_part *part,
+				    const struct forecast_part *expected)
 {
 	const struct gateway_request *request = arg;
 	const struct dispatch *dispatch = &request->dispatch;
--- a/gateway_load.c
+++ b/gateway_load.c
@@ -20,7 +20,7 @@
 {
 	struct gateway *gateway = arg;
 	const struct view_share *views = &gateway->fleet.views;
-	int n = gateway_fleet_entries(&gateway->fleet);
+	int n = gateway_fleet_count_entries(&gateway->fleet);
 	int i;
 
 	for (i = 0; i < n && i < views->n_members; i++) {
@@ -59,7 +59,7 @@
 	if (!is_on(gateway))
 		return;
 	gateway->load.share.n_others =
-		gateway_fleet_entries(&gateway->fleet) - 1;
+		gateway_fleet_count_entries(&gateway->fleet) - 1;
 	load_share_receive(&gateway->load.share, link->instance,
 			   (const Peer__LoadShare *)frame->message);
 }
@@ -69,7 +69,7 @@
 	struct gateway *gateway = arg;
 
 	load_share_tick(&gateway->load.share);
-	gateway_load_arm(gateway);
+	gateway_load_arm_timer(gateway);
 }
 
 void gateway_load_init(struct gateway *gateway)
@@ -95,7 +95,7 @@
 	return_schedule_finish(&gateway->load.book);
 }
 
-void gateway_load_arm(struct gateway *gateway)
+void gateway_load_arm_timer(struct gateway *gateway)
 {
 	if (is_on(gateway))
 		wake_timer_move(&gateway->load.timer,
@@ -103,8 +103,8 @@
 }
 
 const struct route_service *
-gateway_load_target(const struct route *route,
-		    const struct scheduled_return *entry)
+gateway_load_return_target(const struct route *route,
+			   const struct scheduled_return *entry)
 {
 	int i;
 
@@ -120,7 +120,8 @@
 static bool is_limited(struct gateway *gateway, const struct route *route,
 		       const struct scheduled_return *entry)
 {
-	const struct route_service *target = gateway_load_target(route, entry);
+	const struct route_service *target =
+		gateway_load_return_target(route, entry);
 
 	return target &&
 	       registry_service(&gateway->registry, str_from(target->name))
@@ -151,10 +152,10 @@
 	load_share_add_return(&gateway->load.share, entry);
 }
 
-enum return_state gateway_load_arrive(struct gateway *gateway,
-				      const struct route *route,
-				      uint64_t fingerprint, struct str id,
-				      struct scheduled_return *out)
+enum return_state gateway_load_check_return(struct gateway *gateway,
+					    const struct route *route,
+					    uint64_t fingerprint, struct str id,
+					    struct scheduled_return *out)
 {
 	const struct scheduled_return *entry;
 	enum return_state state;
@@ -172,7 +173,7 @@
 		return RETURN_EARLY;
 	}
 	use_up(gateway, out);
-	if (state == RETURN_EARLY || !gateway_load_target(route, out))
+	if (state == RETURN_EARLY || !gateway_load_return_target(route, out))
 		return RETURN_NONE;
 	metric_inc(&gateway->counters.return_taken);
 	log_arrival(gateway, id, out, state);
@@ -193,7 +194,7 @@
 		 LOG_I64("promised", entry->promised));
 }
 
-int64_t gateway_load_offer(struct gateway_request *request)
+int64_t gateway_load_offer_return(struct gateway_request *request)
 {
 	struct gateway *gateway = request->gateway;
 	const struct dispatch *dispatch = &request->dispatch;
@@ -218,6 +219,6 @@
 				  : &gateway->counters.return_unpromised);
 	log_offer(request, &ask, &entry, wait);
 	load_share_add_return(&gateway->load.share, &entry);
-	gateway_load_arm(gateway);
+	gateway_load_arm_timer(gateway);
 	return (wait + USEC_PER_MSEC - 1) / USEC_PER_MSEC;
 }
--- a/gateway_load.h
+++ b/gateway_load.h
@@ -31,34 +31,34 @@
 void gateway_load_finish(struct gateway *gateway);
 
 /**
- * gateway_load_arm() - requests may have found servers short
+ * gateway_load_arm_timer() - requests may have found servers short
  */
-void gateway_load_arm(struct gateway *gateway);
+void gateway_load_arm_timer(struct gateway *gateway);
 
 /**
- * gateway_load_arrive() - whether a request was refused before and is due
+ * gateway_load_check_return() - whether a request was refused before and is due
  * @id: of the request, for the log
  * @out: set if the request is known
  */
-enum return_state gateway_load_arrive(struct gateway *gateway,
-				      const struct route *route,
-				      uint64_t fingerprint, struct str id,
-				      struct scheduled_return *out);
+enum return_state gateway_load_check_return(struct gateway *gateway,
+					    const struct route *route,
+					    uint64_t fingerprint, struct str id,
+					    struct scheduled_return *out);
 
 /**
- * gateway_load_target() - the target that a request was refused for
+ * gateway_load_return_target() - the target that a request was refused for
  *
  * Return: NULL if the route has it no more.
  */
 const struct route_service *
-gateway_load_target(const struct route *route,
-		    const struct scheduled_return *entry);
+gateway_load_return_target(const struct route *route,
+			   const struct scheduled_return *entry);
 
 /**
- * gateway_load_offer() - when a caller that is refused may come back
+ * gateway_load_offer_return() - when a caller that is refused may come back
  *
  * Return: milliseconds.
  */
-int64_t gateway_load_offer(struct gateway_request *request);
+int64_t gateway_load_offer_return(struct gateway_request *request);
 
 #endif
--- a/gateway_outage.c
+++ b/gateway_outage.c
@@ -13,7 +13,7 @@
 	struct outage_server *check;
 };
 
-void gateway_outage_arm(struct gateway *gateway)
+void gateway_outage_arm_timer(struct gateway *gateway)
 {
 	wake_timer_move(&gateway->outage_timer, outage_due(&gateway->outage));
 }
@@ -25,7 +25,7 @@
 
 	outage_check_done(&gateway->outage, open->check, listens);
 	free(open);
-	gateway_outage_arm(gateway);
+	gateway_outage_arm_timer(gateway);
 }
 
 static void check(void *arg, struct registry_server *server,
@@ -62,7 +62,7 @@
 	struct gateway *gateway = arg;
 
 	outage_tick(&gateway->outage);
-	gateway_outage_arm(gateway);
+	gateway_outage_arm_timer(gateway);
 }
 
 void gateway_outage_init(struct gateway *gateway)
--- a/gateway_outage.h
+++ b/gateway_outage.h
@@ -15,8 +15,8 @@
 void gateway_outage_finish(struct gateway *gateway);
 
 /**
- * gateway_outage_arm() - requests may have found servers lost
+ * gateway_outage_arm_timer() - requests may have found servers lost
  */
-void gateway_outage_arm(struct gateway *gateway);
+void gateway_outage_arm_timer(struct gateway *gateway);
 
 #endif
--- a/gateway_pages.c
+++ b/gateway_pages.c
@@ -48,10 +48,10 @@
 {
 	struct directory_candidate *candidates;
 	char address[ADDRESS_TEXT_SIZE];
-	int chosen[DIRECTORY_MAX];
-	int n = gateway_fleet_candidates(&gateway->fleet,
-					 query_text(query, "name"),
-					 &candidates);
+	int chosen[DIRECTORY_ADDRESSES_MAX];
+	int n = gateway_fleet_list_candidates(&gateway->fleet,
+					      query_text(query, "name"),
+					      &candidates);
 	int i;
 
 	n = directory_choose(candidates, n, query_text(query, "data_centre"),
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -119,14 +119,14 @@
 		struct str value =
 			http_message_span(message, message->fields[i].value);
 
-		if (!http_field_is_hop(message, name) &&
+		if (!http_field_is_hop_by_hop(message, name) &&
 		    !is_ours(request->gateway, name))
 			evbuffer_add_printf(head, STR_FMT ": " STR_FMT "\r\n",
 					    STR_ARG(name), STR_ARG(value));
 	}
 	request->request.body = http_message_body(message);
 	if (request->request.body.len ||
-	    http_message_has(message, STR("content-length")))
+	    http_message_has_field(message, STR("content-length")))
 		evbuffer_add_printf(head, "Content-Length: %zu\r\n",
 				    request->request.body.len);
 	request->request.head = (struct str){(char *)evbuffer_pullup(head, -1),
@@ -166,7 +166,7 @@
 		.goal = MSEC(route->goal_ms),
 		.longest_timeout = MSEC(peak_add(&stats->patience, told, now)),
 		.caller_timeout = told < 0 ? -1 : MSEC(told),
-		.round_trip = inbound_conn_round_trip(conn),
+		.round_trip = inbound_conn_rtt(conn),
 	};
 
 	return answer_due_timeout(&due) -
@@ -191,7 +191,7 @@
 
 	hash = str_hash_mix(hash, str_hash(host_of(message)));
 	hash = str_hash_mix(hash, message->parser.method);
-	return poison_fingerprint(str_from(inbound_conn_peer(conn)),
+	return poison_fingerprint(str_from(inbound_conn_ip(conn)),
 				  http_message_target(message), hash);
 }
 
@@ -219,11 +219,11 @@
 	request->request.is_head = message->parser.method == HTTP_HEAD;
 	request->request.needs_recent_conn = !route->repeatable;
 	build_head(request, message);
-	inbound_conn_set(conn, request);
+	inbound_conn_set_request(conn, request);
 	DL_APPEND(gateway->open, request);
 	if (!route->sharded)
-		target = due ? gateway_load_target(route, due)
-			     : route_deal(route);
+		target = due ? gateway_load_return_target(route, due)
+			     : route_pick_target(route);
 	dispatch_init(&request->dispatch, &gateway->clock, &gateway_send_ops,
 		      &gateway->limits, request, &gateway->registry, route,
 		      target, &stats->latency,
@@ -233,8 +233,8 @@
 	request->dispatch.promised = due;
 	gateway_send_init(request);
 	go_on(request, dispatch_start(&request->dispatch));
-	gateway_outage_arm(gateway);
-	gateway_load_arm(gateway);
+	gateway_outage_arm_timer(gateway);
+	gateway_load_arm_timer(gateway);
 }
 
 static void refuse(struct gateway *gateway, struct inbound_conn *conn,
@@ -289,7 +289,7 @@
 	struct scheduled_return entry;
 	enum return_state state;
 
-	state = gateway_load_arrive(
+	state = gateway_load_check_return(
 		gateway, route, fingerprint,
 		http_message_field(message,
 				   gateway->names->upstream.request_id),
@@ -347,7 +347,7 @@
 		return;
 	metric_inc(&gateway->counters.left);
 	dispatch_cancel(&request->dispatch);
-	gateway_answer_log(request, 0);
+	gateway_request_log(request, 0);
 	free_request(request);
 }
 
@@ -366,7 +366,7 @@
 	.refused = on_refused,
 };
 
-void gateway_request_drop_all(struct gateway *gateway)
+void gateway_request_free_all(struct gateway *gateway)
 {
 	while (gateway->open)
 		free_request(gateway->open);
--- a/gateway_request.h
+++ b/gateway_request.h
@@ -10,8 +10,8 @@
 extern const struct inbound_ops gateway_request_ops;
 
 /**
- * gateway_request_drop_all() - forget all open requests, at the end
+ * gateway_request_free_all() - forget all open requests, at the end
  */
-void gateway_request_drop_all(struct gateway *gateway);
+void gateway_request_free_all(struct gateway *gateway);
 
 #endif
--- a/gateway_request_private.h
+++ b/gateway_request_private.h
@@ -47,10 +47,10 @@
 void gateway_answer(struct gateway_request *request);
 
 /**
- * gateway_answer_log() - the log of a request's end: all that decided it
+ * gateway_request_log() - the log of a request's end: all that decided it
  * @status: that the caller gets, 0 if it left
  */
-void gateway_answer_log(const struct gateway_request *request, int status);
+void gateway_request_log(const struct gateway_request *request, int status);
 
 /**
  * gateway_answer_error() - an answer of the gateway's own
@@ -61,12 +61,12 @@
 			  int64_t retry_after_ms, const char *why);
 
 /**
- * gateway_promises_not_run() - a status says that the request did not run
+ * gateway_status_implies_not_run() - a status says that the request did not run
  *
  * A server that does not say so by its own header may have run it, and its
  * status must not promise otherwise.
  */
-bool gateway_promises_not_run(int status);
+bool gateway_status_implies_not_run(int status);
 
 /**
  * gateway_send_ops - makes the sends that a dispatch decides on, with a struct
@@ -75,16 +75,16 @@
 extern const struct dispatch_ops gateway_send_ops;
 
 /**
- * gateway_foreseen() - log what was expected of a request that was refused, or
- * that parts are left out of; @arg is its struct gateway_request
+ * gateway_report_forecast() - log what was expected of a request that was
+ * refused, or that parts are left out of; @arg is its struct gateway_request
  */
-void gateway_foreseen(void *arg, const struct forecast *forecast);
+void gateway_report_forecast(void *arg, const struct forecast *forecast);
 
 /**
- * gateway_kept_back() - log that a part is not sent again
+ * gateway_report_resend_left_out() - log that a part is not sent again
  */
-void gateway_kept_back(void *arg, const struct dispatch_part *part,
-		       const struct forecast_part *expected);
+void gateway_report_resend_left_out(void *arg, const struct dispatch_part *part,
+				    const struct forecast_part *expected);
 
 /**
  * gateway_send_init() - after the dispatch is
--- a/gateway_second_sends.c
+++ b/gateway_second_sends.c
@@ -15,7 +15,7 @@
 	const struct budget *budget = &service->budget;
 	const struct budget *logged = &service->logged_budget;
 	int64_t now = clock_now(&gateway->clock);
-	int64_t age = now - gateway->second_sends_at;
+	int64_t age = now - gateway->second_sends_window_start;
 
 	LOG_INFO("second_sends", LOG_TEXT("service", service->name),
 		 LOG_I64("window_ms", age / USEC_PER_MSEC),
@@ -64,7 +64,7 @@
 			log_window(gateway, service);
 		service->logged_budget = service->budget;
 	}
-	gateway->second_sends_at = clock_now(&gateway->clock);
+	gateway->second_sends_window_start = clock_now(&gateway->clock);
 	arm(gateway);
 }
 
@@ -72,7 +72,7 @@
 {
 	wake_timer_init(&gateway->second_sends_timer, gateway->base,
 			&gateway->clock, on_timer, gateway);
-	gateway->second_sends_at = gateway->started_at;
+	gateway->second_sends_window_start = gateway->started_at;
 	arm(gateway);
 }
 
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -26,7 +26,7 @@
 		struct str value =
 			http_message_span(message, message->fields[i].value);
 
-		if (!http_field_is_hop(message, name))
+		if (!http_field_is_hop_by_hop(message, name))
 			evbuffer_add_printf(fields, STR_FMT ": " STR_FMT "\r\n",
 					    STR_ARG(name), STR_ARG(value));
 	}
@@ -105,8 +105,9 @@
 		answer.success = status / 100 == 2;
 		if (!request->route->sharded) {
 			/* Other answers below 500 are the service's own. */
-			answer.success = status < 500 &&
-					 !gateway_promises_not_run(status);
+			answer.success =
+				status < 500 &&
+				!gateway_status_implies_not_run(status);
 			keep_answer(request, result->message);
 		}
 	}
@@ -169,8 +170,8 @@
 	const struct gateway_settings *settings = gateway->settings;
 
 	return region_set_allows(&route->regions,
-				 regions_of(&settings->regions,
-					    settings->data_centre));
+				 regions_find(&settings->regions,
+					      settings->data_centre));
 }
 
 /*
@@ -225,11 +226,11 @@
 {
 	struct gateway_request *request = arg;
 	struct gateway *gateway = request->gateway;
-	const struct server_rank rank = {
+	const struct server_job_rank rank = {
 		.priority = request->route->priority,
 		.goal_at = request->dispatch.soft_deadline,
 	};
-	struct server_turn *turn;
+	struct server_job *turn;
 	int ret;
 
 	if (!relay_part(request, send))
@@ -258,13 +259,13 @@
 	/* Cut off, nobody would know whether it ran. */
 	if (!request->route->repeatable)
 		linger = request->dispatch.deadline - now;
-	server_turn_abandon(send->handle, linger > 0 ? linger : 0);
+	server_job_abandon(send->handle, linger > 0 ? linger : 0);
 }
 
 static bool waits(void *arg, const struct dispatch_send *send)
 {
 	(void)arg;
-	return !send->relayed && server_turn_waits(send->handle);
+	return !send->relayed && server_job_is_unsent(send->handle);
 }
 
 static void decided(void *arg, const struct dispatch_send *send)
@@ -318,8 +319,8 @@
 	.is_queued = waits,
 	.sent = decided,
 	.limit_lowered = limited,
-	.forecast_decided = gateway_foreseen,
-	.send_suppressed = gateway_kept_back,
+	.forecast_decided = gateway_report_forecast,
+	.send_suppressed = gateway_report_resend_left_out,
 };
 
 /*
--- a/home.c
+++ b/home.c
@@ -59,7 +59,7 @@
 	return server;
 }
 
-struct home_server *home_put_server(struct home *home, struct str name)
+struct home_server *home_find_or_add_server(struct home *home, struct str name)
 {
 	struct home_server *server = home_find_server(home, name);
 
@@ -212,7 +212,7 @@
 				 const struct home_server *server)
 {
 	const struct table *table = home->board->table;
-	int row = table ? table_server(table, str_from(server->name)) : -1;
+	int row = table ? table_find_server(table, str_from(server->name)) : -1;
 
 	return row < 0 ? STR("") : str_from(table->servers[row].replica_set);
 }
@@ -295,7 +295,7 @@
 static int home_priority(const struct home *home, const char *service)
 {
 	const struct table *table = home->board->table;
-	int row = table ? table_service(table, str_from(service)) : -1;
+	int row = table ? table_find_service(table, str_from(service)) : -1;
 
 	return row < 0 ? 0 : (int)table->services[row].priority;
 }
@@ -491,7 +491,7 @@
 			   half_life(home));
 	if (!code) {
 		learn_latency(server, latency);
-		slot_queue_served(&server->queue, latency);
+		slot_queue_record_time(&server->queue, latency);
 		metric_histogram_add(
 			&home->board->counters.server_time.histogram, latency);
 	}
--- a/home_net.c
+++ b/home_net.c
@@ -331,7 +331,7 @@
 
 	(void)fd;
 	(void)what;
-	if (link->probing || !server_pool_is_cut(&link->pool)) {
+	if (link->probing || !server_pool_is_disconnected(&link->pool)) {
 		end_lost(link, link->probing);
 		return;
 	}
@@ -445,7 +445,7 @@
 	struct server_link *link = link_of(job->server);
 	Backend__RunAnswer *answer = NULL;
 	struct str body = {NULL, 0};
-	int code = run_code(reply->status, reply->code, reply->sent);
+	int code = run_reply_error(reply->status, reply->code, reply->sent);
 
 	if (hold_lost(job, code, reply->sent))
 		return;
@@ -531,7 +531,8 @@
 {
 	(void)arg;
 	if (job->handle)
-		server_pool_give_up(&link_of(job->server)->pool, job->handle);
+		server_pool_close_stalled(&link_of(job->server)->pool,
+					  job->handle);
 }
 
 static void cancel_job(void *arg, struct home_job *job)
@@ -700,7 +701,7 @@
 				      uint32_t connections)
 {
 	struct home_server *server =
-		home_put_server(&net->home, str_from(row->name));
+		home_find_or_add_server(&net->home, str_from(row->name));
 	struct server_link *link;
 
 	if (server->pool)
@@ -786,7 +787,7 @@
 		return;
 	net->has_leftovers = false;
 	HASH_ITER (hh, net->home.servers, server, next) {
-		int row = table_server(table, str_from(server->name));
+		int row = table_find_server(table, str_from(server->name));
 
 		server->seen =
 			row >= 0 && !has_moved(server, &table->servers[row]);
@@ -808,9 +809,9 @@
 		const struct server_link *link = link_of(server);
 
 		if (link->row >= 0)
-			share_in_use(net->board->share, link->row,
-				     (int)server->in_flight,
-				     (int)link->pool.n_conns);
+			share_report_usage(net->board->share, link->row,
+					   (int)server->in_flight,
+					   (int)link->pool.n_conns);
 	}
 }
 
@@ -855,7 +856,7 @@
 			 sync_servers, net);
 	blackboard_watch(board, BLACKBOARD_CATALOG, &net->catalog_watch,
 			 on_catalog, net);
-	blackboard_watch(board, BLACKBOARD_USE, &net->use_watch, report_use,
+	blackboard_watch(board, BLACKBOARD_USAGE, &net->use_watch, report_use,
 			 net);
 	on_poll(-1, 0, net);
 }
--- a/inbound.c
+++ b/inbound.c
@@ -147,7 +147,7 @@
 	static const char line[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
 	if (conn->invited || conn->message.state != MESSAGE_BODY ||
-	    !http_message_has(&conn->message, STR("expect")))
+	    !http_message_has_field(&conn->message, STR("expect")))
 		return;
 	conn->invited = true;
 	bufferevent_write(conn->bev, line, sizeof(line) - 1);
@@ -304,7 +304,7 @@
 	inbound->idle_timeout = MSEC(limits->idle_timeout_ms);
 }
 
-void inbound_leave(struct inbound *inbound)
+void inbound_disable_keep_alive(struct inbound *inbound)
 {
 	inbound->leaving = true;
 }
@@ -330,12 +330,12 @@
 	return busy;
 }
 
-void inbound_conn_set(struct inbound_conn *conn, void *request)
+void inbound_conn_set_request(struct inbound_conn *conn, void *request)
 {
 	conn->request = request;
 }
 
-int64_t inbound_conn_round_trip(const struct inbound_conn *conn)
+int64_t inbound_conn_rtt(const struct inbound_conn *conn)
 {
 	struct tcp_info info = {.tcpi_rtt = 0};
 	socklen_t len = sizeof(info);
@@ -346,13 +346,13 @@
 	return info.tcpi_rtt;
 }
 
-const char *inbound_conn_peer(const struct inbound_conn *conn)
+const char *inbound_conn_ip(const struct inbound_conn *conn)
 {
 	return conn->ip;
 }
 
-void inbound_answer(struct inbound_conn *conn, int status,
-		    struct evbuffer *fields, struct str body)
+void inbound_respond(struct inbound_conn *conn, int status,
+		     struct evbuffer *fields, struct str body)
 {
 	bool keep = keeps_open(conn);
 
--- a/inbound.h
+++ b/inbound.h
@@ -68,9 +68,9 @@
 			const struct caller_limits *limits);
 
 /**
- * inbound_leave() - from now on each answer closes its connection
+ * inbound_disable_keep_alive() - from now on each answer closes its connection
  */
-void inbound_leave(struct inbound *inbound);
+void inbound_disable_keep_alive(struct inbound *inbound);
 
 /**
  * inbound_close_idle() - stop listening, close connections without a request
@@ -80,28 +80,28 @@
 int inbound_close_idle(struct inbound *inbound);
 
 /**
- * inbound_conn_set() - what is handed to ops->left
+ * inbound_conn_set_request() - what is handed to ops->left
  */
-void inbound_conn_set(struct inbound_conn *conn, void *request);
+void inbound_conn_set_request(struct inbound_conn *conn, void *request);
 
 /**
- * inbound_conn_round_trip() - to the caller and back, by its connection
+ * inbound_conn_rtt() - to the caller and back, by its connection
  *
  * Return: microseconds; 0 if it is not known.
  */
-int64_t inbound_conn_round_trip(const struct inbound_conn *conn);
+int64_t inbound_conn_rtt(const struct inbound_conn *conn);
 
 /**
- * inbound_conn_peer() - the caller's IP address
+ * inbound_conn_ip() - the caller's IP address
  */
-const char *inbound_conn_peer(const struct inbound_conn *conn);
+const char *inbound_conn_ip(const struct inbound_conn *conn);
 
 /**
- * inbound_answer() - answer the request of a connection
+ * inbound_respond() - answer the request of a connection
  * @fields: header lines, each with its CRLF; drained. May be NULL
  * @body: whole
  */
-void inbound_answer(struct inbound_conn *conn, int status,
-		    struct evbuffer *fields, struct str body);
+void inbound_respond(struct inbound_conn *conn, int status,
+		     struct evbuffer *fields, struct str body);
 
 #endif
--- a/lifecycle.c
+++ b/lifecycle.c
@@ -52,7 +52,7 @@
 	board->leaving_since = clock_now(board->clock);
 	LOG_INFO("leaving",
 		 LOG_I64("searches_open", board->counters.searches_open.value));
-	blackboard_changed(board, BLACKBOARD_LIFECYCLE);
+	blackboard_notify(board, BLACKBOARD_LIFECYCLE);
 	event_add(control->timer, &period);
 }
 
--- a/list_sync.c
+++ b/list_sync.c
@@ -276,8 +276,8 @@
 		push_down(sync, old);
 }
 
-int list_sync_platform(struct list_sync *sync, struct str text,
-		       uint64_t revision)
+int list_sync_platform_list(struct list_sync *sync, struct str text,
+			    uint64_t revision)
 {
 	struct instance_list list;
 	int ret;
@@ -291,8 +291,8 @@
 	return 0;
 }
 
-void list_sync_heard(struct list_sync *sync, const char *peer,
-		     uint64_t revision, uint64_t digest)
+void list_sync_peer_revision(struct list_sync *sync, const char *peer,
+			     uint64_t revision, uint64_t digest)
 {
 	int64_t delay = MSEC(sync->reader->tunables->table_pull_delay_ms);
 
--- a/list_sync.h
+++ b/list_sync.h
@@ -81,18 +81,18 @@
 void list_sync_finish(struct list_sync *sync);
 
 /**
- * list_sync_platform() - the platform gave its list
+ * list_sync_platform_list() - the platform gave its list
  *
  * Return: 0; ERR_SYNTAX if it is no list; ERR_STALE if it is not newer.
  */
-int list_sync_platform(struct list_sync *sync, struct str text,
-		       uint64_t revision);
+int list_sync_platform_list(struct list_sync *sync, struct str text,
+			    uint64_t revision);
 
 /**
- * list_sync_heard() - a peer told its list
+ * list_sync_peer_revision() - a peer told its list
  */
-void list_sync_heard(struct list_sync *sync, const char *peer,
-		     uint64_t revision, uint64_t digest);
+void list_sync_peer_revision(struct list_sync *sync, const char *peer,
+			     uint64_t revision, uint64_t digest);
 void list_sync_request(struct list_sync *sync, const char *peer,
 		       const Peer__ListRequest *message);
 
--- a/load_limit.c
+++ b/load_limit.c
@@ -36,7 +36,7 @@
 
 	load->updated_at = now;
 	load->served_rate *= factor;
-	for (i = 0; i < OUTLOOK_LEVELS; i++) {
+	for (i = 0; i < ESTIMATE_LEVELS; i++) {
 		load->levels[i].demand *= factor;
 		load->levels[i].admitted *= factor;
 		load->levels[i].peak_in_progress *= factor;
@@ -70,7 +70,7 @@
 	double demand = 0;
 	int i;
 
-	for (i = 0; i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < ESTIMATE_LEVELS; i++)
 		demand += load->levels[i].demand;
 	return demand;
 }
@@ -97,7 +97,7 @@
 	load->in_progress += cost;
 	load->levels[level].in_progress += cost;
 	load->levels[level].admitted += per_second(cost);
-	for (i = level; i < OUTLOOK_LEVELS; i++)
+	for (i = level; i < ESTIMATE_LEVELS; i++)
 		load->levels[i].peak_in_progress =
 			fmax(load->levels[i].peak_in_progress,
 			     (double)in_progress_up_to(load, i));
@@ -131,7 +131,7 @@
 
 	if (!peers || !own_demand || !load->served_rate)
 		return 0;
-	for (i = 0; i < OUTLOOK_LEVELS; i++) {
+	for (i = 0; i < ESTIMATE_LEVELS; i++) {
 		double demand = load->levels[i].demand + peers->demand[i];
 
 		fleet_demand += demand;
@@ -195,7 +195,7 @@
 	double all = 0;
 	int i;
 
-	for (i = 0; i < OUTLOOK_LEVELS; i++) {
+	for (i = 0; i < ESTIMATE_LEVELS; i++) {
 		all += load->levels[i].admitted;
 		less_urgent += i >= level ? load->levels[i].admitted : 0;
 		if (i < level && is_recent(&load->levels[i], now) &&
@@ -229,7 +229,7 @@
 
 	for (i = 0; i < level; i++)
 		capacity -= load->levels[i].admitted;
-	for (i = 0; peers && i < OUTLOOK_LEVELS; i++)
+	for (i = 0; peers && i < ESTIMATE_LEVELS; i++)
 		fleet_demand += peers->demand[i];
 	capacity = fmax(capacity, load->served_rate * ADMITTED_FLOOR) * factor;
 	return own_demand > 0 ? capacity * fleet_demand / own_demand : capacity;
@@ -286,7 +286,7 @@
 	int n = 0;
 	int i;
 
-	for (i = 0; i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < ESTIMATE_LEVELS; i++)
 		n += is_recent(&load->levels[i], now);
 	if (n < 2 || (load->lowered_at && now - load->lowered_at < FULL_PERIOD))
 		return false;
--- a/load_limit.h
+++ b/load_limit.h
@@ -52,7 +52,7 @@
 	double served_rate;
 	int64_t updated_at;
 	int64_t lowered_at;
-	struct load_level levels[OUTLOOK_LEVELS];
+	struct load_level levels[ESTIMATE_LEVELS];
 };
 
 /**
@@ -68,7 +68,7 @@
 	int n_limited;
 	double limit_per_demand;
 	double limit;
-	double demand[OUTLOOK_LEVELS];
+	double demand[ESTIMATE_LEVELS];
 };
 
 /**
--- a/load_share.c
+++ b/load_share.c
@@ -63,7 +63,7 @@
 /* One service in a message, with the array it points to. */
 struct packed_load {
 	Peer__ServiceLoad message;
-	uint32_t demand[OUTLOOK_LEVELS];
+	uint32_t demand[ESTIMATE_LEVELS];
 };
 
 static void fill_load(struct packed_load *part, uint64_t service,
@@ -78,9 +78,9 @@
 	part->message.limit_us = to_u32(load->limit);
 	part->message.open_us = to_u32((double)load->in_progress);
 	part->message.age_ms = to_u32((double)age / USEC_PER_MSEC);
-	for (i = 0; i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < ESTIMATE_LEVELS; i++)
 		part->demand[i] = to_u32(load->levels[i].demand);
-	part->message.n_asked_us = OUTLOOK_LEVELS;
+	part->message.n_asked_us = ESTIMATE_LEVELS;
 	part->message.asked_us = part->demand;
 }
 
@@ -188,7 +188,7 @@
 	report->service = from->service;
 	report->limit = from->limit_us;
 	report->lowered_at = now - MSEC(from->age_ms);
-	for (i = 0; i < from->n_asked_us && i < OUTLOOK_LEVELS; i++)
+	for (i = 0; i < from->n_asked_us && i < ESTIMATE_LEVELS; i++)
 		report->demand[i] = from->asked_us[i];
 }
 
@@ -200,7 +200,7 @@
 		.service = from->service,
 		.due = now + MSEC(from->due_in_ms),
 		.cost = from->cost_us,
-		.level = server_outlook_level(from->level),
+		.level = server_estimate_level(from->level),
 		.promised = from->cost_us,
 		.taken = from->taken,
 	};
@@ -265,7 +265,7 @@
 		if (!report)
 			continue;
 		out->limit += report->limit;
-		for (j = 0; j < OUTLOOK_LEVELS; j++) {
+		for (j = 0; j < ESTIMATE_LEVELS; j++) {
 			out->demand[j] += report->demand[j];
 			demand += report->demand[j];
 		}
--- a/load_share.h
+++ b/load_share.h
@@ -49,7 +49,7 @@
 	uint64_t service;
 	double limit;
 	int64_t lowered_at;
-	double demand[OUTLOOK_LEVELS];
+	double demand[ESTIMATE_LEVELS];
 };
 
 /**
--- a/member.c
+++ b/member.c
@@ -206,8 +206,9 @@
 	uint8_t *raw = NULL;
 
 	if (message->packed_size <= MEMBERS_SIZE_MAX)
-		raw = unpack_bytes(message->packed.data, message->packed.len,
-				   message->packed_size);
+		raw = decompress_bytes(message->packed.data,
+				       message->packed.len,
+				       message->packed_size);
 	if (raw)
 		body = peer__members__unpack(NULL, message->packed_size, raw);
 	free(raw);
--- a/member_net.c
+++ b/member_net.c
@@ -187,7 +187,7 @@
 {
 	struct member_net *net = arg;
 
-	share_confirmed(&net->share, sent_at);
+	share_confirm_lease(&net->share, sent_at);
 }
 
 static void receive_beacon(void *arg, const struct member *member,
@@ -222,14 +222,14 @@
 	struct member_net *net = arg;
 
 	if (!net->applying_table)
-		blackboard_changed(net->board, BLACKBOARD_SHARES);
+		blackboard_notify(net->board, BLACKBOARD_SHARES);
 }
 
 static void report_use(void *arg)
 {
 	struct member_net *net = arg;
 
-	blackboard_changed(net->board, BLACKBOARD_USE);
+	blackboard_notify(net->board, BLACKBOARD_USAGE);
 }
 
 static const struct share_ops share_ops = {
@@ -291,7 +291,7 @@
 		if (!entry->seen)
 			fleet_remove(fleet, entry);
 	}
-	blackboard_changed(net->board, BLACKBOARD_FLEET);
+	blackboard_notify(net->board, BLACKBOARD_FLEET);
 }
 
 static void on_instances(void *arg)
@@ -344,7 +344,7 @@
 	net->applying_table = true;
 	share_table_changed(&net->share, net->board->table);
 	net->applying_table = false;
-	blackboard_changed(net->board, BLACKBOARD_SHARES);
+	blackboard_notify(net->board, BLACKBOARD_SHARES);
 }
 
 static void on_lifecycle(void *arg)
@@ -421,8 +421,8 @@
 
 	net->reply_link = link;
 	if (frame->type == FRAME_VIEW_STATE)
-		share_view_state(&net->share,
-				 (const Peer__ViewState *)frame->message);
+		share_receive_view_state(&net->share, (const Peer__ViewState *)
+							      frame->message);
 	else
 		member_table_receive_members(
 			&net->members, (const Peer__Members *)frame->message);
--- a/member_send.c
+++ b/member_send.c
@@ -213,7 +213,7 @@
 
 	peer__members__pack(body, raw);
 	free(snapshot->packed);
-	snapshot->packed = pack_bytes(raw, size, &len);
+	snapshot->packed = compress_bytes(raw, size, &len);
 	snapshot->len = snapshot->packed ? len : 0;
 	snapshot->size = size;
 	free(raw);
--- a/outage.c
+++ b/outage.c
@@ -143,7 +143,7 @@
 
 	check->n_open--;
 	if (listens) {
-		server_score_reached(&check->server->score);
+		server_score_reconnected(&check->server->score);
 		check->next_at = now;
 	} else if (check->server->score.unreachable) {
 		server_score_unreachable(&check->server->score, now);
--- a/pack.c
+++ b/pack.c
@@ -6,7 +6,7 @@
 
 #include "mem.h"
 
-uint8_t *pack_bytes(const uint8_t *raw, size_t size, size_t *len)
+uint8_t *compress_bytes(const uint8_t *raw, size_t size, size_t *len)
 {
 	uLongf room = compressBound(size);
 	uint8_t *out = mem_zalloc(room);
@@ -20,7 +20,7 @@
 	return NULL;
 }
 
-uint8_t *unpack_bytes(const uint8_t *packed, size_t len, size_t size)
+uint8_t *decompress_bytes(const uint8_t *packed, size_t len, size_t size)
 {
 	uint8_t *raw = mem_zalloc(size + 1);
 	uLongf room = size;
--- a/pack.h
+++ b/pack.h
@@ -6,22 +6,22 @@
 #include <stdint.h>
 
 /* Below this many bytes nothing is gained that is worth the time. */
-#define PACK_LEAST 512
+#define COMPRESS_MIN_SIZE 512
 
 /**
- * pack_bytes() - deflate
+ * compress_bytes() - deflate
  * @len: set to the length of what is returned
  *
  * Return: bytes that the caller frees; NULL if it cannot be done.
  */
-uint8_t *pack_bytes(const uint8_t *raw, size_t size, size_t *len);
+uint8_t *compress_bytes(const uint8_t *raw, size_t size, size_t *len);
 
 /**
- * unpack_bytes() - the other way round
+ * decompress_bytes() - the other way round
  * @size: of what comes out, as the sender says
  *
  * Return: @size bytes that the caller frees; NULL if that is not what it is.
  */
-uint8_t *unpack_bytes(const uint8_t *packed, size_t len, size_t size);
+uint8_t *decompress_bytes(const uint8_t *packed, size_t len, size_t size);
 
 #endif
--- a/peer.c
+++ b/peer.c
@@ -197,7 +197,7 @@
 	struct frame frame;
 	int ret = 0;
 
-	link->last_word_at = clock_now(link->peers->board->clock);
+	link->last_received_at = clock_now(link->peers->board->clock);
 	while (!link->doomed && (ret = frame_read(in, &frame)) > 0) {
 		take_frame(link, &frame);
 		/* A handler that keeps the message has taken it out. */
@@ -243,7 +243,7 @@
 	link->peers = peers;
 	link->outgoing = outgoing;
 	link->opened_at = clock_now(peers->board->clock);
-	link->last_word_at = link->opened_at;
+	link->last_received_at = link->opened_at;
 	link->used_at = link->opened_at;
 	link->bev = bufferevent_socket_new(peers->board->base, fd,
 					   BEV_OPT_CLOSE_ON_FREE);
@@ -324,7 +324,7 @@
 static bool is_unwanted(const struct peers *peers, const struct peer_link *link,
 			int64_t now)
 {
-	return peers->wanted && now - link->last_word_at >= UNWANTED_IDLE &&
+	return peers->wanted && now - link->last_received_at >= UNWANTED_IDLE &&
 	       now - link->used_at >= UNWANTED_IDLE &&
 	       !hub_links_contain(peers->wanted, link->instance);
 }
@@ -382,7 +382,7 @@
 	}
 }
 
-void peers_review(struct peers *peers)
+void peers_update_links(struct peers *peers)
 {
 	close_stale(peers);
 	connect_missing(peers);
@@ -390,7 +390,7 @@
 
 static void on_fleet(void *arg)
 {
-	peers_review(arg);
+	peers_update_links(arg);
 }
 
 static void on_timer(evutil_socket_t fd, short what, void *arg)
--- a/peer.h
+++ b/peer.h
@@ -29,7 +29,7 @@
  * @outgoing: opened by this instance
  * @up: Hello was exchanged; nothing else passes before
  * @instance: the other end, once up; for outgoing ones from the start
- * @last_word_at: when bytes last came
+ * @last_received_at: when bytes last came
  * @used_at: when a frame was last sent
  */
 struct peer_link {
@@ -41,7 +41,7 @@
 	uint64_t incarnation;
 	struct address address;
 	struct bufferevent *bev;
-	int64_t last_word_at;
+	int64_t last_received_at;
 	int64_t used_at;
 	int64_t opened_at;
 	struct peer_link *prev;
@@ -112,9 +112,9 @@
 struct peer_link *peers_find_any(struct peers *peers, struct str instance);
 
 /**
- * peers_review() - connect to those that are wanted now
+ * peers_update_links() - connect to those that are wanted now
  */
-void peers_review(struct peers *peers);
+void peers_update_links(struct peers *peers);
 
 /**
  * peer_backlog() - bytes that were sent on a link and not yet taken by it
--- a/peer_traffic.c
+++ b/peer_traffic.c
@@ -14,7 +14,7 @@
 
 	evbuffer_add_printf(out, "# HELP %s %s\n# TYPE %s counter\n", name,
 			    help, name);
-	for (i = 0; i < FRAME_TYPES; i++) {
+	for (i = 0; i < FRAME_TYPE_LIMIT; i++) {
 		if (counts[i])
 			evbuffer_add_printf(out,
 					    "%s{kind=\"%s\"} %" PRIu64 "\n",
--- a/peer_traffic.h
+++ b/peer_traffic.h
@@ -18,8 +18,8 @@
  * @bytes: the same, headers included
  */
 struct peer_traffic {
-	uint64_t frames[FRAME_TYPES];
-	uint64_t bytes[FRAME_TYPES];
+	uint64_t frames[FRAME_TYPE_LIMIT];
+	uint64_t bytes[FRAME_TYPE_LIMIT];
 };
 
 static inline void peer_traffic_add(struct peer_traffic *traffic,
--- a/platform.c
+++ b/platform.c
@@ -202,7 +202,8 @@
 	start_soon(channel, call->id, call->wait_ms);
 }
 
-void platform_fetch(struct platform *platform, const char *key, uint64_t id)
+void platform_fetch_part(struct platform *platform, const char *key,
+			 uint64_t id)
 {
 	struct platform_channel *channel = &platform->channels[PLATFORM_PART];
 	char *escaped = evhttp_uriencode(key, -1, 0);
@@ -213,7 +214,7 @@
 	start_soon(channel, id, 0);
 }
 
-void platform_turn(struct platform *platform)
+void platform_use_next_address(struct platform *platform)
 {
 	turn(&platform->channels[PLATFORM_TABLE]);
 	platform->channels[PLATFORM_PART].address =
--- a/platform.h
+++ b/platform.h
@@ -69,13 +69,14 @@
 void platform_call(struct platform *platform, const struct reader_call *call);
 
 /**
- * platform_fetch() - read a part of the table, whole
+ * platform_fetch_part() - read a part of the table, whole
  */
-void platform_fetch(struct platform *platform, const char *key, uint64_t id);
+void platform_fetch_part(struct platform *platform, const char *key,
+			 uint64_t id);
 
 /**
- * platform_turn() - use the next address from the next call on
+ * platform_use_next_address() - use the next address from the next call on
  */
-void platform_turn(struct platform *platform);
+void platform_use_next_address(struct platform *platform);
 
 #endif
--- a/reader.c
+++ b/reader.c
@@ -67,7 +67,7 @@
 	reader->leaving = leaving;
 }
 
-bool reader_watches(const struct reader *reader)
+bool reader_is_watching(const struct reader *reader)
 {
 	return !reader->leaving &&
 	       reader->rank < reader->tunables->table_readers;
@@ -178,7 +178,7 @@
 {
 	int64_t now = clock_now(reader->clock);
 
-	bool watches = reader_watches(reader) || watch->by_all;
+	bool watches = reader_is_watching(reader) || watch->by_all;
 
 	if (watch->busy || now < watch->next_at)
 		return false;
@@ -213,7 +213,7 @@
 		if (watch_due(reader, &reader->watches[i], call))
 			return true;
 	}
-	return !reader_watches(reader) && ask_due(reader, call);
+	return !reader_is_watching(reader) && ask_due(reader, call);
 }
 
 /*
@@ -229,21 +229,21 @@
 	return CALL_GAP;
 }
 
-bool reader_awaits(const struct reader *reader, enum reader_key key,
-		   uint64_t id)
+bool reader_is_current_call(const struct reader *reader, enum reader_key key,
+			    uint64_t id)
 {
 	const struct reader_watch *watch = &reader->watches[key];
 
 	return watch->busy && watch->call_id == id;
 }
 
-void reader_done(struct reader *reader, enum reader_key key, uint64_t id,
-		 int code, bool newer, int64_t retry_after_ms)
+void reader_call_done(struct reader *reader, enum reader_key key, uint64_t id,
+		      int code, bool newer, int64_t retry_after_ms)
 {
 	struct reader_watch *watch = &reader->watches[key];
 	int64_t now = clock_now(reader->clock);
 
-	if (!reader_awaits(reader, key, id))
+	if (!reader_is_current_call(reader, key, id))
 		return;
 	watch->busy = false;
 	if (code) {
--- a/reader.h
+++ b/reader.h
@@ -21,7 +21,7 @@
 
 /**
  * struct reader_call - one call on the platform
- * @id: given back to reader_done()
+ * @id: given back to reader_call_done()
  * @conditional: only a revision above @after is wanted
  * @wait_ms: how long the platform may wait for one
  */
@@ -99,7 +99,7 @@
  * reader_set_rank() - the data centre's members changed
  */
 void reader_set_rank(struct reader *reader, int rank, int n, bool leaving);
-bool reader_watches(const struct reader *reader);
+bool reader_is_watching(const struct reader *reader);
 
 /**
  * reader_set_starting() - whether the instance still calls as a new one
@@ -119,19 +119,19 @@
 bool reader_next(struct reader *reader, struct reader_call *call);
 
 /**
- * reader_awaits() - whether the call is the current one for its key
+ * reader_is_current_call() - whether the call is the current one for its key
  */
-bool reader_awaits(const struct reader *reader, enum reader_key key,
-		   uint64_t id);
+bool reader_is_current_call(const struct reader *reader, enum reader_key key,
+			    uint64_t id);
 
 /**
- * reader_done() - a call was answered, with all that it led to, or failed
+ * reader_call_done() - a call was answered, with all that it led to, or failed
  * @code: 0 also if there was nothing newer; or why it failed
  * @newer: a value came
  * @retry_after_ms: what the platform asked for, 0 if nothing
  */
-void reader_done(struct reader *reader, enum reader_key key, uint64_t id,
-		 int code, bool newer, int64_t retry_after_ms);
+void reader_call_done(struct reader *reader, enum reader_key key, uint64_t id,
+		      int code, bool newer, int64_t retry_after_ms);
 
 /**
  * reader_random() - a number from 0 to below @n; 0 if @n is 0
--- a/records.c
+++ b/records.c
@@ -62,7 +62,7 @@
 		add(records, body.data + at, tag);
 }
 
-void records_cut(struct records *records, const char *floor)
+void records_drop_below(struct records *records, const char *floor)
 {
 	records->n = place_of(records, floor);
 }
--- a/records.h
+++ b/records.h
@@ -32,8 +32,8 @@
 void records_add(struct records *records, struct str body, uint8_t tag);
 
 /**
- * records_cut() - drop those that are less than a record
+ * records_drop_below() - drop those that are less than a record
  */
-void records_cut(struct records *records, const char *floor);
+void records_drop_below(struct records *records, const char *floor);
 
 #endif
--- a/regions.c
+++ b/regions.c
@@ -29,7 +29,7 @@
 	free(regions->entries);
 }
 
-const char *regions_of(const struct regions *regions, const char *data_centre)
+const char *regions_find(const struct regions *regions, const char *data_centre)
 {
 	int i;
 
--- a/regions.h
+++ b/regions.h
@@ -25,12 +25,13 @@
 void regions_finish(struct regions *regions);
 
 /**
- * regions_of() - the region of a data centre
+ * regions_find() - the region of a data centre
  * @regions: may be NULL
  *
  * Return: empty if it is not known.
  */
-const char *regions_of(const struct regions *regions, const char *data_centre);
+const char *regions_find(const struct regions *regions,
+			 const char *data_centre);
 
 /**
  * struct region_set - regions that requests must not leave; none: no bound
--- a/registry.c
+++ b/registry.c
@@ -110,9 +110,9 @@
 	server->refs = 1;
 	server->entry = *entry;
 	server->remote = strcmp(entry->data_centre, registry->data_centre);
-	server->region = regions_of(registry->regions, entry->data_centre);
-	server->cordoned =
-		cordons_hold(&registry->cordons, str_from(entry->data_centre));
+	server->region = regions_find(registry->regions, entry->data_centre);
+	server->cordoned = cordon_set_contains(&registry->cordons,
+					       str_from(entry->data_centre));
 	HASH_ADD_KEYPTR(hh, registry->servers, server->entry.id,
 			strlen(server->entry.id), server);
 	join_service(registry, server);
@@ -201,7 +201,7 @@
 	removed->changed_at = changed_at;
 }
 
-const char *registry_word_name(enum registry_word word)
+const char *registry_order_name(enum registry_order word)
 {
 	static const char *const names[] = {
 		[REGISTRY_NEWER] = "newer",
@@ -214,7 +214,7 @@
 	return names[word];
 }
 
-uint64_t registry_known_at(const struct registry *registry, struct str id)
+uint64_t registry_known_revision(const struct registry *registry, struct str id)
 {
 	const struct registry_server *server = registry_find(registry, id);
 	const struct registry_removed *removed;
@@ -225,9 +225,9 @@
 	return removed ? removed->changed_at : 0;
 }
 
-enum registry_word registry_compare(const struct registry *registry,
-				    const struct server_entry *entry,
-				    uint64_t changed_at)
+enum registry_order registry_compare(const struct registry *registry,
+				     const struct server_entry *entry,
+				     uint64_t changed_at)
 {
 	const struct registry_server *server =
 		registry_find(registry, str_from(entry->id));
@@ -283,8 +283,9 @@
 		bool before = server->cordoned;
 
 		server->cordoned =
-			cordons_hold(&registry->cordons,
-				     str_from(server->entry.data_centre));
+			cordon_set_contains(&registry->cordons,
+					    str_from(
+						    server->entry.data_centre));
 		if (server->cordoned && !before)
 			registry->closing(registry->arg, server);
 		else if (!server->cordoned && before)
@@ -304,8 +305,8 @@
 {
 	bool news;
 
-	if (cold_for > REGISTRY_COLD_MOST)
-		cold_for = REGISTRY_COLD_MOST;
+	if (cold_for > REGISTRY_COLD_MAX)
+		cold_for = REGISTRY_COLD_MAX;
 	news = server->cold_until + COLD_TOLERANCE < now + cold_for;
 
 	if (now + cold_for > server->cold_until)
@@ -341,16 +342,17 @@
 		server->changed_at = 0;
 }
 
-bool registry_left_before(const struct registry *registry, struct str id)
+bool registry_removed_in_earlier_era(const struct registry *registry,
+				     struct str id)
 {
 	const struct registry_removed *removed = find_removed(registry, id);
 
 	return removed && !removed->changed_at && !registry_find(registry, id);
 }
 
-struct registry_server *registry_born(struct registry *registry,
-				      struct registry_server *server,
-				      int64_t born)
+struct registry_server *registry_note_start(struct registry *registry,
+					    struct registry_server *server,
+					    int64_t born)
 {
 	struct server_entry entry = server->entry;
 	uint64_t changed_at = server->changed_at;
@@ -364,7 +366,7 @@
 	return server;
 }
 
-int registry_conns(struct registry_server *server)
+int registry_count_conns(struct registry_server *server)
 {
 	struct registry_server **at = &server->earlier;
 	int n = server->n_conns;
@@ -384,15 +386,15 @@
 	return n;
 }
 
-struct str registry_life(const struct registry_server *server,
-			 char out[REGISTRY_LIFE_SIZE])
+struct str registry_incarnation(const struct registry_server *server,
+				char out[REGISTRY_INCARNATION_SIZE])
 {
 	const struct server_entry *entry = &server->entry;
 
-	str_copy(out, REGISTRY_LIFE_SIZE, str_from(entry->id));
+	str_copy(out, REGISTRY_INCARNATION_SIZE, str_from(entry->id));
 	if (entry->born)
-		snprintf(out, REGISTRY_LIFE_SIZE, "%s@%" PRId64, entry->id,
-			 entry->born);
+		snprintf(out, REGISTRY_INCARNATION_SIZE, "%s@%" PRId64,
+			 entry->id, entry->born);
 	return str_from(out);
 }
 
@@ -410,7 +412,7 @@
 	}
 }
 
-void registry_answered(struct registry_service *service, int64_t took)
+void registry_record_latency(struct registry_service *service, int64_t took)
 {
 	double weight = 1.0 / (double)++service->n_answers;
 
@@ -425,7 +427,7 @@
 	return server_score_linger(&server->score, server->service->usual, now);
 }
 
-static bool is_tried(const struct registry_choice *choice,
+static bool is_tried(const struct registry_criteria *choice,
 		     const struct registry_server *server)
 {
 	int i;
@@ -437,7 +439,7 @@
 	return false;
 }
 
-static bool may_take(const struct registry_choice *choice,
+static bool may_take(const struct registry_criteria *choice,
 		     const struct registry_server *server)
 {
 	return registry_is_open(server) &&
@@ -446,7 +448,7 @@
 	       !is_tried(choice, server);
 }
 
-static double cost_of(const struct registry_choice *choice,
+static double cost_of(const struct registry_criteria *choice,
 		      const struct registry_server *server, double spread,
 		      int64_t now)
 {
@@ -454,7 +456,7 @@
 		.slots = server->entry.slots,
 		.usual = server->service->latency,
 		.remote = server->remote,
-		.outlook = server->service->registry->shared_pace
+		.outlook = server->service->registry->use_shared_estimates
 				   ? &server->outlook
 				   : NULL,
 		.relayed = choice->relayed,
@@ -470,7 +472,7 @@
 }
 
 struct registry_server *registry_pick(const struct registry_service *service,
-				      const struct registry_choice *choice,
+				      const struct registry_criteria *choice,
 				      int64_t now)
 {
 	struct registry_server *best = NULL;
@@ -485,7 +487,7 @@
 
 		if (!may_take(choice, server))
 			continue;
-		cost = cost_of(choice, server, rng_unit(&rng), now);
+		cost = cost_of(choice, server, rng_uniform(&rng), now);
 		if (cost >= least)
 			continue;
 		least = cost;
--- a/registry.h
+++ b/registry.h
@@ -79,7 +79,7 @@
 	bool remote;
 	const char *region;
 	struct server_load load;
-	struct server_outlook outlook;
+	struct server_estimate outlook;
 	bool is_slow;
 	int64_t slow_at;
 	struct server_queue *queue;
@@ -141,8 +141,8 @@
 /**
  * struct registry - all backend servers
  * @regions: of data centres; may be NULL, set by the owner
- * @shared_pace: servers are chosen by what all that send to them see; else by
- *	what this instance sees alone; set by the owner
+ * @use_shared_estimates: servers are chosen by what all that send to them see;
+ *else by what this instance sees alone; set by the owner
  * @cordons: data centres that get no new requests; who changes them calls
  *	registry_apply_cordons()
  */
@@ -150,7 +150,7 @@
 	struct registry_removed removed[REGISTRY_REMOVED_MAX];
 	uint64_t n_removed;
 	const struct regions *regions;
-	bool shared_pace;
+	bool use_shared_estimates;
 	struct cordons cordons;
 	char data_centre[REGISTRY_NAME_SIZE];
 	struct registry_server *servers;
@@ -170,7 +170,7 @@
 void registry_finish(struct registry *registry);
 
 /* What an entry that came is, beside what is known. */
-enum registry_word {
+enum registry_order {
 	REGISTRY_NEWER,
 	REGISTRY_REPEATED,	/* older, and says the same */
 	REGISTRY_OLDER,		/* and says something else */
@@ -179,24 +179,26 @@
 };
 
 /**
- * registry_word_name() - for the log
+ * registry_order_name() - for the log
  */
-const char *registry_word_name(enum registry_word word);
+const char *registry_order_name(enum registry_order word);
 
 /**
  * registry_compare() - a server's entry came
  * @changed_at: the store's revision
  */
-enum registry_word registry_compare(const struct registry *registry,
-				    const struct server_entry *entry,
-				    uint64_t changed_at);
+enum registry_order registry_compare(const struct registry *registry,
+				     const struct server_entry *entry,
+				     uint64_t changed_at);
 
 /**
- * registry_known_at() - the store's revision of a server's entry, or of its end
+ * registry_known_revision() - the store's revision of a server's entry, or of
+ * its end
  *
  * Return: 0 if neither is known, or they are of an earlier era.
  */
-uint64_t registry_known_at(const struct registry *registry, struct str id);
+uint64_t registry_known_revision(const struct registry *registry,
+				 struct str id);
 
 /**
  * registry_put() - a server's entry came
@@ -224,11 +226,11 @@
  * Servers, peers and writers of entries may say any time; none is cold for so
  * long. Microseconds.
  */
-#define REGISTRY_COLD_MOST MSEC(60000)
+#define REGISTRY_COLD_MAX MSEC(60000)
 
 /**
  * registry_set_cold() - a server takes few requests for a while
- * @cold_for: microseconds, REGISTRY_COLD_MOST at most; a time that ends sooner
+ * @cold_for: microseconds, REGISTRY_COLD_MAX at most; a time that ends sooner
  *	than what is known changes nothing
  *
  * Return: whether that is news.
@@ -242,7 +244,7 @@
 bool registry_is_cold(const struct registry_server *server, int64_t now);
 
 /**
- * registry_born() - a peer names a start of a server
+ * registry_note_start() - a peer names a start of a server
  * @server: as it is known here
  * @born: as the peer knows it; 0: it does not
  *
@@ -251,26 +253,27 @@
  *
  * Return: the server as it is known now.
  */
-struct registry_server *registry_born(struct registry *registry,
-				      struct registry_server *server,
-				      int64_t born);
+struct registry_server *registry_note_start(struct registry *registry,
+					    struct registry_server *server,
+					    int64_t born);
 
 /**
- * registry_conns() - connections to a server that are open
+ * registry_count_conns() - connections to a server that are open
  *
  * Those of its earlier starts count: whether the server has noticed their end
  * is not known here, and it accepts so many in all.
  */
-int registry_conns(struct registry_server *server);
+int registry_count_conns(struct registry_server *server);
 
-/* Room for the text of registry_life(). */
-#define REGISTRY_LIFE_SIZE (REGISTRY_NAME_SIZE + 24)
+/* Room for the text of registry_incarnation(). */
+#define REGISTRY_INCARNATION_SIZE (REGISTRY_NAME_SIZE + 24)
 
 /**
- * registry_life() - a name for this start of a server, the same everywhere
+ * registry_incarnation() - a name for this start of a server, the same
+ * everywhere
  */
-struct str registry_life(const struct registry_server *server,
-			 char out[REGISTRY_LIFE_SIZE]);
+struct str registry_incarnation(const struct registry_server *server,
+				char out[REGISTRY_INCARNATION_SIZE]);
 
 /**
  * registry_remove() - a server's entry is gone
@@ -290,10 +293,11 @@
 void registry_enter_era(struct registry *registry);
 
 /**
- * registry_left_before() - a server's entry ended in an earlier era, and it was
- * not heard of in this one
+ * registry_removed_in_earlier_era() - a server's entry ended in an earlier era,
+ * and it was not heard of in this one
  */
-bool registry_left_before(const struct registry *registry, struct str id);
+bool registry_removed_in_earlier_era(const struct registry *registry,
+				     struct str id);
 
 struct registry_server *registry_find(const struct registry *registry,
 				      struct str id);
@@ -301,9 +305,10 @@
 					  struct str name);
 
 /**
- * registry_answered() - an answer of the service took so long, microseconds
+ * registry_record_latency() - an answer of the service took so long,
+ * microseconds
  */
-void registry_answered(struct registry_service *service, int64_t took);
+void registry_record_latency(struct registry_service *service, int64_t took);
 
 /**
  * registry_linger() - how long a server's answer that nobody needs may still
@@ -312,16 +317,16 @@
 int64_t registry_linger(const struct registry_server *server, int64_t now);
 
 /**
- * struct registry_choice - what server is looked for
+ * struct registry_criteria - what server is looked for
  * @tried: servers not to be taken
  * @fresh_only: pass over those that are better avoided
  * @regions: it must be in one of them; NULL: anywhere
  * @relayed: requests to other data centres go by relays
- * @level: of the request's urgency, see server_outlook.h
+ * @level: of the request's urgency, see server_estimate.h
  * @salt: another one for each request, so that not all choose the same one of
  *	servers that look alike
  */
-struct registry_choice {
+struct registry_criteria {
 	struct registry_server *const *tried;
 	int n_tried;
 	bool fresh_only;
@@ -340,7 +345,7 @@
  * Return: NULL if there is none.
  */
 struct registry_server *registry_pick(const struct registry_service *service,
-				      const struct registry_choice *choice,
+				      const struct registry_criteria *choice,
 				      int64_t now);
 
 struct registry_server *registry_server_ref(struct registry_server *server);
--- a/relay_ask.c
+++ b/relay_ask.c
@@ -42,7 +42,7 @@
 	batch->relay = relay;
 	batch->client = client;
 	batch->peer = peer;
-	batch->level = server_outlook_level(client->priority);
+	batch->level = server_estimate_level(client->priority);
 	str_copy(batch->data_centre, sizeof(batch->data_centre),
 		 str_from(data_centre));
 	DL_APPEND(client->batches, batch);
@@ -84,7 +84,7 @@
 	entry->batch->n_open--;
 	server_score_result(&entry->server->score, result, took, now);
 	if (result == SERVER_ANSWERED)
-		registry_answered(entry->server->service, took);
+		registry_record_latency(entry->server->service, took);
 }
 
 void relay_batch_free(struct relay_batch *batch)
@@ -99,13 +99,13 @@
 			server_score_result(&batch->peer->score,
 					    relay_batch_is_late(batch, now)
 						    ? SERVER_SILENT
-						    : SERVER_DROPPED,
+						    : SERVER_ABANDONED,
 					    0, now);
 	}
 	if (batch->client)
 		DL_DELETE(batch->client->batches, batch);
 	for (i = 0; i < batch->n_sends; i++) {
-		relay_send_end(batch->sends[i], SERVER_DROPPED, 0);
+		relay_send_end(batch->sends[i], SERVER_ABANDONED, 0);
 		registry_server_unref(batch->sends[i]->server);
 		free(batch->sends[i]);
 	}
@@ -237,7 +237,7 @@
 	}
 }
 
-struct relay_batch *relay_ask_job(struct relay_ask *relay, uint64_t id)
+struct relay_batch *relay_ask_find_job(struct relay_ask *relay, uint64_t id)
 {
 	struct relay_batch *batch;
 
@@ -249,14 +249,15 @@
 {
 	struct relay_ask *relay = arg;
 
-	relay_ask_take(relay, link, (const Peer__PartResult *)frame->message);
+	relay_ask_handle_result(relay, link,
+				(const Peer__PartResult *)frame->message);
 }
 
 static void lose(struct relay_ask *relay, uint64_t id)
 {
 	static const struct dispatch_answer lost = {.code = ERR_LOST,
 						    .stamp = STR("")};
-	struct relay_batch *batch = relay_ask_job(relay, id);
+	struct relay_batch *batch = relay_ask_find_job(relay, id);
 	struct relay_client *client;
 	int i;
 
@@ -270,7 +271,7 @@
 		struct dispatch_send *send = entry->send;
 
 		/* Says nothing of the server. */
-		relay_send_end(entry, SERVER_DROPPED, 0);
+		relay_send_end(entry, SERVER_ABANDONED, 0);
 		entry->send = NULL;
 		if (send)
 			client->result(send, &lost);
--- a/relay_ask_private.h
+++ b/relay_ask_private.h
@@ -73,16 +73,17 @@
 void relay_batch_free(struct relay_batch *batch);
 
 /**
- * relay_ask_job() - a batch that was told and is not over
+ * relay_ask_find_job() - a batch that was told and is not over
  *
  * Return: NULL if there is none of that id.
  */
-struct relay_batch *relay_ask_job(struct relay_ask *relay, uint64_t id);
+struct relay_batch *relay_ask_find_job(struct relay_ask *relay, uint64_t id);
 
 /**
- * relay_ask_take() - a relay told results, perhaps none, of one job
+ * relay_ask_handle_result() - a relay told results, perhaps none, of one job
  */
-void relay_ask_take(struct relay_ask *relay, const struct peer_link *link,
-		    const Peer__PartResult *message);
+void relay_ask_handle_result(struct relay_ask *relay,
+			     const struct peer_link *link,
+			     const Peer__PartResult *message);
 
 #endif
--- a/relay_result.c
+++ b/relay_result.c
@@ -74,13 +74,13 @@
 	struct registry_server *server = entry->server;
 
 	if (done->pace_us) {
-		server_outlook_told(&server->outlook, entry->batch->level,
-				    done->ahead_us, now);
-		server_pace_told(server, done->pace_us,
-				 entry->batch->peer->instance, now);
+		server_estimate_set_wait(&server->outlook, entry->batch->level,
+					 done->ahead_us, now);
+		server_timing_add_report(server, done->pace_us,
+					 entry->batch->peer->instance, now);
 	} else if (server_result_of(done->code, done->success) ==
 		   SERVER_ANSWERED) {
-		server_pace_seen(server, times->server, now);
+		server_timing_add_sample(server, times->server, now);
 	}
 }
 
@@ -114,9 +114,9 @@
 	relay_send_end(entry, server_result_of(done->code, done->success),
 		       took);
 	/* It sees more of a server than each entry that asks it. */
-	if (server_result_of(done->code, done->success) != SERVER_DROPPED)
-		server_score_told(&entry->server->score,
-				  (double)done->failures / 1000);
+	if (server_result_of(done->code, done->success) != SERVER_ABANDONED)
+		server_score_set_failures(&entry->server->score,
+					  (double)done->failures / 1000);
 	if (done->code == ERR_FOREIGN)
 		entry->server->gone = true;
 	if (done->code == ERR_COLD)
@@ -205,10 +205,11 @@
 	return link->outgoing && !strcmp(batch->peer->instance, link->instance);
 }
 
-void relay_ask_take(struct relay_ask *relay, const struct peer_link *link,
-		    const Peer__PartResult *message)
+void relay_ask_handle_result(struct relay_ask *relay,
+			     const struct peer_link *link,
+			     const Peer__PartResult *message)
 {
-	struct relay_batch *batch = relay_ask_job(relay, message->id);
+	struct relay_batch *batch = relay_ask_find_job(relay, message->id);
 	struct relay_client *client;
 
 	if (!batch || !is_from(batch, link))
--- a/relay_serve.c
+++ b/relay_serve.c
@@ -27,7 +27,7 @@
 struct relay_send {
 	struct relay_job *job;
 	struct registry_server *server;
-	struct server_turn *turn;
+	struct server_job *turn;
 	uint32_t index;
 };
 
@@ -48,7 +48,7 @@
 	struct peer_link *link;
 	uint64_t id;
 	struct upstream_request request;
-	struct server_rank rank;
+	struct server_job_rank rank;
 	int64_t deadline;
 	int64_t connections_max;
 	struct event *timer;
@@ -93,7 +93,7 @@
 		struct relay_send *send = &job->sends[i];
 
 		if (send->turn)
-			server_turn_abandon(send->turn, linger_of(send));
+			server_job_abandon(send->turn, linger_of(send));
 	}
 	clear_done(job);
 	records_finish(&job->records);
@@ -143,7 +143,7 @@
 	Peer__PartResult message = PEER__PART_RESULT__INIT;
 
 	if (job->has_floor)
-		records_cut(&job->records, job->floor);
+		records_drop_below(&job->records, job->floor);
 	message.id = job->id;
 	message.floor = extend_floor(job);
 	message.parts = job->pointers;
@@ -197,17 +197,16 @@
 {
 	const struct relay_job *job = send->job;
 	const struct registry_server *server = send->server;
-	int level = server_outlook_level(job->rank.priority);
+	int level = server_estimate_level(job->rank.priority);
 	int64_t now = clock_now(job->relay->board->clock);
 
 	done->failures = (uint32_t)(server->score.failures * 1000);
 	if (!job->relay->queues->enabled)
 		return;
 	done->ahead_us =
-		(uint32_t)server_outlook_ahead(&server->outlook, level, now);
-	done->pace_us =
-		(uint32_t)server_outlook_pace(&server->outlook,
-					      server->service->latency, now);
+		(uint32_t)server_estimate_wait(&server->outlook, level, now);
+	done->pace_us = (uint32_t)server_estimate_processing_time(
+		&server->outlook, server->service->latency, now);
 }
 
 /* Others are to be asked for so long. */
@@ -252,7 +251,7 @@
 
 	if (!server || !registry_is_open(server))
 		return ERR_DRAINING;
-	server = registry_born(relay->registry, server, part->born);
+	server = registry_note_start(relay->registry, server, part->born);
 	send->server = server;
 	return server_queue_send(relay->queues, server, &job->request,
 				 &job->rank, job->deadline,
@@ -358,8 +357,8 @@
 
 	for (i = 0; i < job->n_sends; i++) {
 		if (job->sends[i].turn)
-			server_turn_hurry(job->sends[i].turn,
-					  linger_of(&job->sends[i]));
+			server_job_hurry(job->sends[i].turn,
+					 linger_of(&job->sends[i]));
 	}
 }
 
--- a/replica.c
+++ b/replica.c
@@ -133,7 +133,7 @@
 		if (i != not &&tier_of(&replicas[i], now) == tier)
 			total += weight_of(observe, &replicas[i], now);
 	}
-	point = rng_unit(rng) * total;
+	point = rng_uniform(rng) * total;
 	for (i = 0; i < n; i++) {
 		if (i == not || tier_of(&replicas[i], now) != tier)
 			continue;
@@ -269,7 +269,7 @@
 		if (replica->homes[i].instance == avoid)
 			fill += 1e9;
 		/* A little chance breaks ties. */
-		fill *= 1 + rng_unit(rng) / 64;
+		fill *= 1 + rng_uniform(rng) / 64;
 		if (fill >= least)
 			continue;
 		least = fill;
@@ -409,8 +409,9 @@
 	       is_slow(observe, server, server->mean_us);
 }
 
-void replica_review(struct observe *observe, struct observe_server *server,
-		    enum observe_outcome outcome, int64_t elapsed_us)
+void replica_update_ejection(struct observe *observe,
+			     struct observe_server *server,
+			     enum observe_outcome outcome, int64_t elapsed_us)
 {
 	int64_t now = clock_now(observe->clock);
 
--- a/return_schedule.c
+++ b/return_schedule.c
@@ -100,7 +100,7 @@
 {
 	int i;
 
-	for (i = level; i < OUTLOOK_LEVELS; i++) {
+	for (i = level; i < ESTIMATE_LEVELS; i++) {
 		if (!queue->capacity[i])
 			continue;
 		if (queue->next_free_at[i] < now)
--- a/return_schedule.h
+++ b/return_schedule.h
@@ -54,8 +54,8 @@
  */
 struct return_queue {
 	uint64_t service;
-	double capacity[OUTLOOK_LEVELS];
-	int64_t next_free_at[OUTLOOK_LEVELS];
+	double capacity[ESTIMATE_LEVELS];
+	int64_t next_free_at[ESTIMATE_LEVELS];
 	int64_t used_at;
 };
 
--- a/routes.c
+++ b/routes.c
@@ -390,7 +390,7 @@
  * The target that is furthest behind its share. Drawing by chance would miss
  * the weights by several percent over a few hundred requests.
  */
-const struct route_service *route_deal(const struct route *route)
+const struct route_service *route_pick_target(const struct route *route)
 {
 	double total = 0;
 	double most = -INFINITY;
--- a/routes.h
+++ b/routes.h
@@ -132,9 +132,10 @@
 		      const char *region);
 
 /**
- * route_deal() - the target of the next request, so that shares follow weights
+ * route_pick_target() - the target of the next request, so that shares follow
+ * weights
  */
-const struct route_service *route_deal(const struct route *route);
+const struct route_service *route_pick_target(const struct route *route);
 
 const struct route_service *route_set_service(const struct route_set *set,
 					      struct str name);
--- a/run_trace.c
+++ b/run_trace.c
@@ -27,7 +27,8 @@
 	int row = ERR_NO_SERVICE;
 
 	if (board->table)
-		row = table_service(board->table, str_from(summary->service));
+		row = table_find_service(board->table,
+					 str_from(summary->service));
 	if (row < 0 || run_outcome(summary->code) == RUN_REFUSED)
 		return;
 	burn_target_fill(&target, &board->table->services[row]);
--- a/search.c
+++ b/search.c
@@ -44,8 +44,8 @@
 	for (i = 0; i < search->n_parts; i++) {
 		struct search_part *part = &search->parts[i];
 
-		catalog_server_release(search_catalog(search), part->server);
-		catalog_instance_release(search_catalog(search), part->home);
+		catalog_server_unref(search_catalog(search), part->server);
+		catalog_instance_unref(search_catalog(search), part->home);
 		free(part->shards);
 	}
 	search->n_parts = 0;
@@ -59,7 +59,7 @@
 		HASH_DEL(searches->by_id, search);
 	clear_parts(search);
 	if (search->map)
-		catalog_map_release(search_catalog(search), search->map);
+		catalog_map_unref(search_catalog(search), search->map);
 	free(search->parts);
 	free(search->shards);
 	merge_finish(&search->merge);
@@ -185,7 +185,7 @@
 
 static void take_map(struct search *search, struct catalog_map *map)
 {
-	search->map = catalog_map_hold(map);
+	search->map = catalog_map_ref(map);
 	search->shards =
 		mem_zalloc((size_t)map->n_shards * sizeof(*search->shards));
 	search->n_open = map->n_shards;
@@ -203,7 +203,7 @@
 	clear_parts(search);
 	merge_finish(&search->merge);
 	free(search->shards);
-	catalog_map_release(search_catalog(search), search->map);
+	catalog_map_unref(search_catalog(search), search->map);
 	search->map = NULL;
 }
 
@@ -221,8 +221,8 @@
 static const struct catalog_placement *better_snapshot(struct search *search)
 {
 	const struct catalog_placement *best =
-		catalog_best(search_catalog(search),
-			     str_from(search->request.service));
+		catalog_best_placement(search_catalog(search),
+				       str_from(search->request.service));
 	double ratio;
 
 	if (!best || best->map == search->map || !best->map->total)
@@ -233,11 +233,11 @@
 
 static void restart(struct search *search, struct catalog_map *map)
 {
-	catalog_map_hold(map);
+	catalog_map_ref(map);
 	drop_map(search);
 	search_trace_restart(search);
 	take_map(search, map);
-	catalog_map_release(search_catalog(search), map);
+	catalog_map_unref(search_catalog(search), map);
 	enter(search);
 	search->moved_until = 0;
 	search->n_restarts++;
@@ -332,7 +332,8 @@
 
 	if (!board->table)
 		return ERR_NOT_RUN;
-	row = table_service(board->table, str_from(search->request.service));
+	row = table_find_service(board->table,
+				 str_from(search->request.service));
 	if (row < 0)
 		return error_set(&search->error, ERR_NO_SERVICE, "service",
 				 search->request.service,
@@ -351,7 +352,7 @@
 		poison_fingerprint(str_from(service->name),
 				   str_from(search->request.where),
 				   (uint64_t)search->request.mode);
-	best = catalog_best(&board->catalog, str_from(service->name));
+	best = catalog_best_placement(&board->catalog, str_from(service->name));
 	if (!best)
 		return ERR_NO_SNAPSHOT;
 	take_map(search, best->map);
--- a/search_internal.h
+++ b/search_internal.h
@@ -20,7 +20,7 @@
 static inline const struct service *search_service(const struct search *search)
 {
 	const struct table *table = search->searches->board->table;
-	int row = table_service(table, str_from(search->request.service));
+	int row = table_find_service(table, str_from(search->request.service));
 
 	return row < 0 ? NULL : &table->services[row];
 }
--- a/search_plan.c
+++ b/search_plan.c
@@ -206,8 +206,8 @@
 	server->plan_slot = search->n_parts;
 	part = &search->parts[search->n_parts++];
 	memset(part, 0, sizeof(*part));
-	part->server = catalog_server_hold(server);
-	part->home = catalog_instance_hold(choice->home);
+	part->server = catalog_server_ref(server);
+	part->home = catalog_instance_ref(choice->home);
 	part->round = search->n_rounds;
 	part->is_hedge = round->hedged >= 0;
 	part->hedge_at = INT64_MAX;
--- a/search_poison.c
+++ b/search_poison.c
@@ -35,7 +35,7 @@
 				 const struct catalog_server *server)
 {
 	const struct table *table = search->searches->board->table;
-	int row = table ? table_server(table, str_from(server->name)) : -1;
+	int row = table ? table_find_server(table, str_from(server->name)) : -1;
 
 	return row < 0 ? STR("") : str_from(table->servers[row].replica_set);
 }
--- a/search_round.c
+++ b/search_round.c
@@ -268,7 +268,8 @@
 
 	memset(round, 0, sizeof(*round));
 	round->search = search;
-	round->placement = catalog_at(search_catalog(search), search->map);
+	round->placement =
+		catalog_find_placement(search_catalog(search), search->map);
 	round->service = search_service(search);
 	round->id = searches->next_id++;
 	round->first_part = search->n_parts;
--- a/search_trace.c
+++ b/search_trace.c
@@ -201,7 +201,7 @@
 
 	if (!table)
 		return NULL;
-	row = table_service(table, str_from(search->request.service));
+	row = table_find_service(table, str_from(search->request.service));
 	return row < 0 ? NULL : &table->services[row];
 }
 
--- a/serve.c
+++ b/serve.c
@@ -49,8 +49,8 @@
 {
 	struct instance *instance = arg;
 
-	poison_net_beat(&instance->poison);
-	entry_net_beat(&instance->entry, lag);
+	poison_net_tick(&instance->poison);
+	entry_net_tick(&instance->entry, lag);
 }
 
 static void on_heard(void *arg, const char *peer,
@@ -58,8 +58,10 @@
 {
 	struct instance *instance = arg;
 
-	table_control_heard(&instance->table, peer, beacon->table_revision,
-			    beacon->table_digest, beacon->table_age_ms);
+	table_control_receive_heartbeat(&instance->table, peer,
+					beacon->table_revision,
+					beacon->table_digest,
+					beacon->table_age_ms);
 }
 
 static int start(struct instance *instance)
--- a/server_load.c
+++ b/server_load.c
@@ -66,7 +66,7 @@
 
 int server_load_parse(struct str text, struct server_load *out)
 {
-	int32_t figures[FIGURES_MOST] = {0, 0, 0, SERVER_PACE_USUAL};
+	int32_t figures[FIGURES_MOST] = {0, 0, 0, SERVER_SLOWDOWN_NONE};
 	int n = parse_figures(text, figures);
 
 	if (n < 0)
--- a/server_load.h
+++ b/server_load.h
@@ -7,7 +7,7 @@
 #include "str.h"
 
 /* Work takes as long as usual. */
-#define SERVER_PACE_USUAL 100
+#define SERVER_SLOWDOWN_NONE 100
 
 /**
  * struct server_load - as it was when the answer was sent
--- a/server_outlook.c
+++ b/server_outlook.c
@@ -21,15 +21,15 @@
 /* One answer that took longer says no more than this, times what is known. */
 #define SEEN_CUT 4.0
 
-int server_outlook_level(int64_t priority)
+int server_estimate_level(int64_t priority)
 {
 	if (priority < 0)
 		return 0;
-	return priority < OUTLOOK_LEVELS ? (int)priority : OUTLOOK_LEVELS - 1;
+	return priority < ESTIMATE_LEVELS ? (int)priority : ESTIMATE_LEVELS - 1;
 }
 
-void server_outlook_told(struct server_outlook *outlook, int level,
-			 int64_t ahead, int64_t now)
+void server_estimate_set_wait(struct server_estimate *outlook, int level,
+			      int64_t ahead, int64_t now)
 {
 	if (ahead < 0)
 		ahead = 0;
@@ -44,14 +44,14 @@
 	return value < most ? value : most;
 }
 
-static void set_pace(struct server_outlook *outlook, double pace, int64_t now)
+static void set_pace(struct server_estimate *outlook, double pace, int64_t now)
 {
 	outlook->pace = pace < PACE_MOST ? pace : PACE_MOST;
 	outlook->pace_at = now;
 }
 
-void server_outlook_paced(struct server_outlook *outlook, double pace,
-			  int64_t now)
+void server_estimate_add_report(struct server_estimate *outlook, double pace,
+				int64_t now)
 {
 	if (pace <= 0)
 		return;
@@ -60,19 +60,19 @@
 	set_pace(outlook, pace, now);
 }
 
-void server_outlook_seen(struct server_outlook *outlook, int64_t took,
-			 double usual, int64_t now)
+void server_estimate_add_sample(struct server_estimate *outlook, int64_t took,
+				double usual, int64_t now)
 {
 	double since = (double)(now - outlook->pace_at);
 	double weight = within(1 - exp(-since / SEEN_SPAN_US),
 			       SEEN_WEIGHT_LEAST, SEEN_WEIGHT_MOST);
-	double pace = server_outlook_pace(outlook, usual, now);
+	double pace = server_estimate_processing_time(outlook, usual, now);
 	double sample = within((double)took, 0, pace * SEEN_CUT);
 
 	set_pace(outlook, pace + (sample - pace) * weight, now);
 }
 
-int64_t server_outlook_ahead(const struct server_outlook *outlook, int level,
+int64_t server_estimate_wait(const struct server_estimate *outlook, int level,
 			     int64_t now)
 {
 	int64_t ahead = outlook->levels[level].ahead;
@@ -81,14 +81,14 @@
 	return left > 0 ? left : 0;
 }
 
-int64_t server_outlook_longest(const struct server_outlook *outlook,
-			       int64_t now)
+int64_t server_estimate_max_wait(const struct server_estimate *outlook,
+				 int64_t now)
 {
 	int64_t longest = 0;
 	int level;
 
-	for (level = 0; level < OUTLOOK_LEVELS; level++) {
-		int64_t ahead = server_outlook_ahead(outlook, level, now);
+	for (level = 0; level < ESTIMATE_LEVELS; level++) {
+		int64_t ahead = server_estimate_wait(outlook, level, now);
 
 		if (ahead > longest)
 			longest = ahead;
@@ -96,8 +96,8 @@
 	return longest;
 }
 
-double server_outlook_pace(const struct server_outlook *outlook, double usual,
-			   int64_t now)
+double server_estimate_processing_time(const struct server_estimate *outlook,
+				       double usual, int64_t now)
 {
 	double pace;
 	double fade;
--- a/server_outlook.h
+++ b/server_outlook.h
@@ -10,80 +10,82 @@
 #include <stdint.h>
 
 /* Levels of urgency that are told apart; the last holds all that follow. */
-#define OUTLOOK_LEVELS 4
+#define ESTIMATE_LEVELS 4
 
 /**
- * struct server_outlook - all zero: nothing is known, and nothing goes before
+ * struct server_estimate - all zero: nothing is known, and nothing goes before
  * @levels: by urgency: until a slot is free for a request of that level, as it
  *	was at @at; microseconds
  * @pace: time that a request takes once it has a slot, microseconds
  * @pace_at: when that was told, 0: never
  */
-struct server_outlook {
+struct server_estimate {
 	struct {
 		int64_t ahead;
 		int64_t at;
-	} levels[OUTLOOK_LEVELS];
+	} levels[ESTIMATE_LEVELS];
 	double pace;
 	int64_t pace_at;
 };
 
 /**
- * server_outlook_level() - the level of a route's priority
+ * server_estimate_level() - the level of a route's priority
  */
-int server_outlook_level(int64_t priority);
+int server_estimate_level(int64_t priority);
 
 /**
- * server_outlook_told() - a request of a level would wait so long now
+ * server_estimate_set_wait() - a request of a level would wait so long now
  * @ahead: microseconds
  */
-void server_outlook_told(struct server_outlook *outlook, int level,
-			 int64_t ahead, int64_t now);
+void server_estimate_set_wait(struct server_estimate *outlook, int level,
+			      int64_t ahead, int64_t now);
 
 /**
- * server_outlook_paced() - a request takes so long there lately, microseconds
+ * server_estimate_add_report() - a request takes so long there lately,
+ * microseconds
  *
  * Words that come within a moment of each other are of different senders: the
  * mean of them is believed.
  */
-void server_outlook_paced(struct server_outlook *outlook, double pace,
-			  int64_t now);
+void server_estimate_add_report(struct server_estimate *outlook, double pace,
+				int64_t now);
 
 /**
- * server_outlook_seen() - an answer to a request of this instance came
+ * server_estimate_add_sample() - an answer to a request of this instance came
  * @took: without what it waited here, microseconds
- * @usual: as for server_outlook_pace()
+ * @usual: as for server_estimate_processing_time()
  *
  * It counts for more the longer nothing was known.
  */
-void server_outlook_seen(struct server_outlook *outlook, int64_t took,
-			 double usual, int64_t now);
+void server_estimate_add_sample(struct server_estimate *outlook, int64_t took,
+				double usual, int64_t now);
 
 /**
- * server_outlook_ahead() - how long a request of a level would wait
+ * server_estimate_wait() - how long a request of a level would wait
  *
  * The work that was told is done as time passes.
  *
  * Return: microseconds.
  */
-int64_t server_outlook_ahead(const struct server_outlook *outlook, int level,
+int64_t server_estimate_wait(const struct server_estimate *outlook, int level,
 			     int64_t now);
 
 /**
- * server_outlook_longest() - as server_outlook_ahead(), of the level that waits
- * longest
+ * server_estimate_max_wait() - as server_estimate_wait(), of the level that
+ * waits longest
  */
-int64_t server_outlook_longest(const struct server_outlook *outlook,
-			       int64_t now);
+int64_t server_estimate_max_wait(const struct server_estimate *outlook,
+				 int64_t now);
 
 /**
- * server_outlook_pace() - how long a request takes once it has a slot
+ * server_estimate_processing_time() - how long a request takes once it has a
+ *slot
  * @usual: of the service, microseconds: what is believed where nothing was told
  *	for long; what was told is believed within a range around it
  *
  * Return: microseconds.
  */
-double server_outlook_pace(const struct server_outlook *outlook, double usual,
-			   int64_t now);
+double server_estimate_processing_time(const struct server_estimate *outlook,
+				       double usual, int64_t now);
 
 #endif
--- a/server_pace.c
+++ b/server_pace.c
@@ -21,10 +21,11 @@
 		   int64_t now)
 {
 	double usual = server->service->usual;
-	double pace = server_outlook_pace(&server->outlook, usual, now);
+	double pace =
+		server_estimate_processing_time(&server->outlook, usual, now);
 	bool slow = is_slow(server, pace);
 
-	if (!server->service->registry->shared_pace ||
+	if (!server->service->registry->use_shared_estimates ||
 	    !server->service->n_answers || slow == server->is_slow)
 		return;
 	if (server->slow_at && now - server->slow_at < LOG_PERIOD)
@@ -43,30 +44,31 @@
 	return server->outlook.pace_at ? now - server->outlook.pace_at : 0;
 }
 
-void server_pace_seen(struct registry_server *server, int64_t took, int64_t now)
+void server_timing_add_sample(struct registry_server *server, int64_t took,
+			      int64_t now)
 {
 	int64_t age = age_of(server, now);
 
-	server_outlook_seen(&server->outlook, took, server->service->latency,
-			    now);
+	server_estimate_add_sample(&server->outlook, took,
+				   server->service->latency, now);
 	review(server, "own", age, now);
 }
 
-void server_pace_told(struct registry_server *server, double pace,
-		      const char *by, int64_t now)
+void server_timing_add_report(struct registry_server *server, double pace,
+			      const char *by, int64_t now)
 {
 	int64_t age = age_of(server, now);
 
-	server_outlook_paced(&server->outlook, pace, now);
+	server_estimate_add_report(&server->outlook, pace, now);
 	review(server, by, age, now);
 }
 
-void server_pace_result(struct registry_server *server,
-			enum server_result result, int64_t took, int64_t now)
+void server_timing_result(struct registry_server *server,
+			  enum server_result result, int64_t took, int64_t now)
 {
 	server_score_result(&server->score, result, took, now);
 	if (result != SERVER_ANSWERED)
 		return;
-	registry_answered(server->service, took);
-	server_pace_seen(server, took, now);
+	registry_record_latency(server->service, took);
+	server_timing_add_sample(server, took, now);
 }
--- a/server_pace.h
+++ b/server_pace.h
@@ -10,26 +10,26 @@
 #include "registry.h"
 
 /**
- * server_pace_result() - a request that this instance sent to a server ended
+ * server_timing_result() - a request that this instance sent to a server ended
  * @took: as for server_score_result(), without what it waited here
  */
-void server_pace_result(struct registry_server *server,
-			enum server_result result, int64_t took, int64_t now);
+void server_timing_result(struct registry_server *server,
+			  enum server_result result, int64_t took, int64_t now);
 
 /**
- * server_pace_seen() - a server answered a request after so long
+ * server_timing_add_sample() - a server answered a request after so long
  * @took: microseconds, without what it waited for its turn and the way of a
  *	relay
  */
-void server_pace_seen(struct registry_server *server, int64_t took,
-		      int64_t now);
+void server_timing_add_sample(struct registry_server *server, int64_t took,
+			      int64_t now);
 
 /**
- * server_pace_told() - a relay tells how long a server takes lately
+ * server_timing_add_report() - a relay tells how long a server takes lately
  * @pace: microseconds
  * @by: its instance, for the log
  */
-void server_pace_told(struct registry_server *server, double pace,
-		      const char *by, int64_t now);
+void server_timing_add_report(struct registry_server *server, double pace,
+			      const char *by, int64_t now);
 
 #endif
--- a/server_pool.c
+++ b/server_pool.c
@@ -451,7 +451,7 @@
 	return ret;
 }
 
-bool server_pool_is_cut(const struct server_pool *pool)
+bool server_pool_is_disconnected(const struct server_pool *pool)
 {
 	const struct server_conn *conn;
 
@@ -494,7 +494,7 @@
 		send_cancel(pool, request_id);
 }
 
-void server_pool_give_up(struct server_pool *pool, void *handle)
+void server_pool_close_stalled(struct server_pool *pool, void *handle)
 {
 	struct server_conn *silent = handle;
 	struct server_conn *conn;
--- a/server_pool.h
+++ b/server_pool.h
@@ -81,9 +81,9 @@
 		     void *arg, void **handle);
 
 /**
- * server_pool_is_cut() - whether no connection is open
+ * server_pool_is_disconnected() - whether no connection is open
  */
-bool server_pool_is_cut(const struct server_pool *pool);
+bool server_pool_is_disconnected(const struct server_pool *pool);
 
 /**
  * server_pool_abandon() - give up a running request
@@ -97,12 +97,12 @@
 			 const char *request_id);
 
 /**
- * server_pool_give_up() - the connection of a request makes no progress
+ * server_pool_close_stalled() - the connection of a request makes no progress
  *
  * It is closed, and the request ends with ERR_SILENT during the call. Idle
  * connections that have not been answered on since the request began are
  * closed too: whatever lost track of the one may have lost them as well.
  */
-void server_pool_give_up(struct server_pool *pool, void *handle);
+void server_pool_close_stalled(struct server_pool *pool, void *handle);
 
 #endif
--- a/server_queue.c
+++ b/server_queue.c
@@ -37,30 +37,30 @@
 	return clock_now(queues->clock);
 }
 
-static struct server_turn *turn_of(struct slot_item *item)
+static struct server_job *turn_of(struct slot_item *item)
 {
-	return (struct server_turn *)((char *)item -
-				      offsetof(struct server_turn, item));
+	return (struct server_job *)((char *)item -
+				     offsetof(struct server_job, item));
 }
 
-static void free_turn(struct server_turn *turn)
+static void free_turn(struct server_job *turn)
 {
 	registry_server_unref(turn->server);
 	free(turn);
 }
 
 /* Reported later: whoever has to hear of it may be at work on its requests. */
-static void end_unsent(struct server_turn *turn, int code)
+static void end_unsent(struct server_job *turn, int code)
 {
 	struct server_queues *queues = turn->queues;
 
-	turn->state = TURN_ENDED;
+	turn->state = JOB_UNSENT;
 	turn->code = code;
 	DL_APPEND(queues->ended, turn);
 	queues->ops->wake(queues->arg, now_of(queues));
 }
 
-static void log_turn_dropped(const struct server_turn *turn, int code)
+static void log_turn_dropped(const struct server_job *turn, int code)
 {
 	const struct server_queues *queues = turn->queues;
 	int64_t now = now_of(queues);
@@ -71,12 +71,13 @@
 		 LOG_I64("priority", turn->item.priority),
 		 LOG_I64("waited_us", now - turn->queued_at),
 		 LOG_I64("left_us", turn->deadline - now),
-		 LOG_I64("ahead_us", server_queue_ahead(queues, turn->server,
-							turn->item.priority)),
-		 LOG_F64("pace_us", server_queue_pace(queues, turn->server)));
+		 LOG_I64("ahead_us", server_queue_wait(queues, turn->server,
+						       turn->item.priority)),
+		 LOG_F64("pace_us",
+			 server_queue_processing_time(queues, turn->server)));
 }
 
-static void drop(struct server_turn *turn, int code)
+static void drop(struct server_job *turn, int code)
 {
 	metric_inc(&turn->queues->stats->turns_dropped);
 	log_turn_dropped(turn, code);
@@ -105,21 +106,22 @@
 		server->queue = queue;
 		queues->ops->wake(queues->arg, now_of(queues) + TICK);
 	}
-	queue->items.slots = server_queue_most(queues, server);
-	queue->items.usual = server_queue_pace(queues, server);
+	queue->items.slots = server_queue_limit(queues, server);
+	queue->items.usual = server_queue_processing_time(queues, server);
 	queue->items.mean = queue->items.usual;
-	slot_queue_set_by_lot(&queue->items,
-			      now_of(queues) < queues->by_lot_until);
+	slot_queue_set_random_order(&queue->items,
+				    now_of(queues) <
+					    queues->random_order_until);
 	return queue;
 }
 
 static void note_short(struct server_queues *queues,
 		       const struct server_queue *queue)
 {
-	int64_t until = queue->items.short_at + BY_LOT_FOR;
+	int64_t until = queue->items.overloaded_at + BY_LOT_FOR;
 
-	if (queue->items.short_at && until > queues->by_lot_until)
-		queues->by_lot_until = until;
+	if (queue->items.overloaded_at && until > queues->random_order_until)
+		queues->random_order_until = until;
 }
 
 /* The queue ends with the last that waits. */
@@ -135,22 +137,23 @@
 		free(queue);
 		server->queue = NULL;
 	}
-	server_queue_tell(queues, server);
+	server_queue_update_estimate(queues, server);
 }
 
-static int send_now(struct server_turn *turn)
+static int send_now(struct server_job *turn)
 {
 	struct server_queues *queues = turn->queues;
 	bool alone = queues->enabled &&
 		     !queues->ops->under_way(queues->arg, turn->server);
 
-	turn->pace = alone ? server_queue_pace(queues, turn->server) : 0;
-	turn->state = TURN_SENT;
+	turn->pace =
+		alone ? server_queue_processing_time(queues, turn->server) : 0;
+	turn->state = JOB_SENT;
 	turn->sent_at = now_of(queues);
 	return queues->ops->send(queues->arg, turn);
 }
 
-static void note_wait(const struct server_turn *turn)
+static void note_wait(const struct server_job *turn)
 {
 	struct server_queues *queues = turn->queues;
 	int64_t now = now_of(queues);
@@ -165,7 +168,8 @@
 		 LOG_I64("priority", turn->item.priority),
 		 LOG_I64("waited_us", waited),
 		 LOG_I64("goal_in_us", turn->item.goal - now),
-		 LOG_F64("pace_us", server_queue_pace(queues, turn->server)));
+		 LOG_F64("pace_us",
+			 server_queue_processing_time(queues, turn->server)));
 }
 
 /* Why nothing that waits can be sent any more; 0: it can. */
@@ -179,7 +183,7 @@
 static void return_all(struct server_queue *queue, int code)
 {
 	while (queue->items.n) {
-		struct server_turn *turn = turn_of(queue->items.items[0]);
+		struct server_job *turn = turn_of(queue->items.items[0]);
 
 		slot_queue_remove(&queue->items, &turn->item);
 		drop(turn, code);
@@ -199,8 +203,8 @@
 	queue = queue_of(queues, server);
 	if (code)
 		return_all(queue, code);
-	while (queue->items.n &&
-	       (!queues->enabled || server_queue_has_room(queues, server))) {
+	while (queue->items.n && (!queues->enabled ||
+				  server_queue_has_capacity(queues, server))) {
 		item = slot_queue_pop(&queue->items, on_drop, queues);
 		if (!item)
 			break;
@@ -211,7 +215,7 @@
 	}
 }
 
-static int enqueue(struct server_turn *turn)
+static int enqueue(struct server_job *turn)
 {
 	struct server_queues *queues = turn->queues;
 	struct registry_server *server = turn->server;
@@ -236,16 +240,16 @@
 		      const struct registry_server *server)
 {
 	return queues->enabled &&
-	       (server->queue || !server_queue_has_room(queues, server));
+	       (server->queue || !server_queue_has_capacity(queues, server));
 }
 
-static struct server_turn *new_turn(struct server_queues *queues,
-				    struct registry_server *server,
-				    const struct upstream_request *request,
-				    const struct server_rank *rank,
-				    int64_t deadline)
+static struct server_job *new_turn(struct server_queues *queues,
+				   struct registry_server *server,
+				   const struct upstream_request *request,
+				   const struct server_job_rank *rank,
+				   int64_t deadline)
 {
-	struct server_turn *turn = mem_zalloc(sizeof(*turn));
+	struct server_job *turn = mem_zalloc(sizeof(*turn));
 
 	turn->queues = queues;
 	turn->request = request;
@@ -264,11 +268,11 @@
 int server_queue_send(struct server_queues *queues,
 		      struct registry_server *server,
 		      const struct upstream_request *request,
-		      const struct server_rank *rank, int64_t deadline,
+		      const struct server_job_rank *rank, int64_t deadline,
 		      int64_t connections_max, exchange_cb cb, void *arg,
-		      struct server_turn **out)
+		      struct server_job **out)
 {
-	struct server_turn *turn =
+	struct server_job *turn =
 		new_turn(queues, server, request, rank, deadline);
 	int ret;
 
@@ -284,44 +288,44 @@
 	return ret;
 }
 
-bool server_turn_waits(const struct server_turn *turn)
+bool server_job_is_unsent(const struct server_job *turn)
 {
-	return turn->state != TURN_SENT;
+	return turn->state != JOB_SENT;
 }
 
-static void leave_queue(struct server_turn *turn)
+static void leave_queue(struct server_job *turn)
 {
 	slot_queue_remove(&turn->server->queue->items, &turn->item);
 	metric_inc(&turn->queues->stats->turns_forgotten);
 	review(turn->queues, turn->server);
 }
 
-void server_turn_abandon(struct server_turn *turn, int64_t linger)
+void server_job_abandon(struct server_job *turn, int64_t linger)
 {
 	struct server_queues *queues = turn->queues;
 
-	if (turn->state == TURN_WAITING)
+	if (turn->state == JOB_WAITING)
 		leave_queue(turn);
-	else if (turn->state == TURN_ENDED)
+	else if (turn->state == JOB_UNSENT)
 		DL_DELETE(queues->ended, turn);
 	else
 		queues->ops->abandon(queues->arg, turn, linger);
 	free_turn(turn);
 }
 
-void server_turn_hurry(struct server_turn *turn, int64_t linger)
+void server_job_hurry(struct server_job *turn, int64_t linger)
 {
 	struct server_queues *queues = turn->queues;
 
-	if (turn->state == TURN_SENT)
+	if (turn->state == JOB_SENT)
 		queues->ops->hurry(queues->arg, turn, linger);
-	if (turn->state != TURN_WAITING)
+	if (turn->state != JOB_WAITING)
 		return;
 	leave_queue(turn);
 	end_unsent(turn, ERR_CANCELLED);
 }
 
-static void report(struct server_turn *turn,
+static void report(struct server_job *turn,
 		   const struct exchange_result *result)
 {
 	exchange_cb cb = turn->cb;
@@ -331,19 +335,19 @@
 	cb(arg, result);
 }
 
-void server_turn_over(struct server_turn *turn,
-		      const struct exchange_result *result)
+void server_job_done(struct server_job *turn,
+		     const struct exchange_result *result)
 {
 	struct exchange_result told = *result;
 
 	told.waited = turn->sent_at - turn->queued_at;
 	if (!result->code && turn->queues->enabled)
-		server_queue_learn(turn, result->took);
+		server_queue_learn_cost(turn, result->took);
 	report(turn, &told);
 }
 
-void server_queue_freed(struct server_queues *queues,
-			struct registry_server *server)
+void server_queue_capacity_freed(struct server_queues *queues,
+				 struct registry_server *server)
 {
 	go_on(queues, server);
 	review(queues, server);
@@ -352,7 +356,7 @@
 void server_queue_close(struct server_queues *queues,
 			struct registry_server *server)
 {
-	server_queue_freed(queues, server);
+	server_queue_capacity_freed(queues, server);
 }
 
 static void look_through(struct server_queues *queues)
@@ -375,7 +379,7 @@
 {
 	look_through(queues);
 	while (queues->ended) {
-		struct server_turn *turn = queues->ended;
+		struct server_job *turn = queues->ended;
 		const struct exchange_result result = {
 			.code = turn->code,
 			.not_run = true,
--- a/server_queue.h
+++ b/server_queue.h
@@ -6,8 +6,8 @@
  * be served in time goes back to who gave it, unsent.
  *
  * Decides without sockets: sends go out through struct server_queue_ops, their
- * ends come in by server_turn_over() and server_queue_freed(), and time by
- * server_queue_tick(). See docs/design/turns.md.
+ * ends come in by server_job_done() and server_queue_capacity_freed(), and time
+ * by server_queue_tick(). See docs/design/turns.md.
  */
 #ifndef SERVER_QUEUE_H
 #define SERVER_QUEUE_H
@@ -24,29 +24,29 @@
 struct server_queues;
 
 /**
- * struct server_rank - the place of a request among those that wait
+ * struct server_job_rank - the place of a request among those that wait
  * @priority: of its route, 0 is the most urgent
  * @goal_at: an answer later than this is worth little, microseconds
  */
-struct server_rank {
+struct server_job_rank {
 	int64_t priority;
 	int64_t goal_at;
 };
 
-enum server_turn_state {
-	TURN_WAITING,
-	TURN_SENT,
-	TURN_ENDED, /* unsent; that is yet to be reported */
+enum server_job_state {
+	JOB_WAITING,
+	JOB_SENT,
+	JOB_UNSENT, /* unsent; that is yet to be reported */
 };
 
 /**
- * struct server_turn - one request
+ * struct server_job - one request
  * @server: held
  * @handle: of the owner of the operations, while it is sent
  * @watch: the same
  * @code: why it ended unsent
  */
-struct server_turn {
+struct server_job {
 	struct server_queues *queues;
 	struct registry_server *server;
 	const struct upstream_request *request;
@@ -56,29 +56,29 @@
 	void *arg;
 	void *handle;
 	void *watch;
-	enum server_turn_state state;
+	enum server_job_state state;
 	int64_t queued_at;
 	int64_t sent_at;
 	double pace; /* of the server when it was sent alone; else 0 */
 	int code;
 	struct slot_item item;
-	struct server_turn *prev; /* of those that ended */
-	struct server_turn *next;
+	struct server_job *prev; /* of those that ended */
+	struct server_job *next;
 };
 
 /**
  * struct server_queue_ops - what the module wants done
  * @send: send a request now. Return: 0 with @turn->handle set, as the owner
  *	likes; or why not, as upstream_send()
- * @abandon: see server_turn_abandon()
- * @hurry: see server_turn_hurry()
+ * @abandon: see server_job_abandon()
+ * @hurry: see server_job_hurry()
  * @under_way: requests of this instance that a server has not ended
  * @wake: call server_queue_tick() at the latest at a time
  */
 struct server_queue_ops {
-	int (*send)(void *arg, struct server_turn *turn);
-	void (*abandon)(void *arg, struct server_turn *turn, int64_t linger);
-	void (*hurry)(void *arg, struct server_turn *turn, int64_t linger);
+	int (*send)(void *arg, struct server_job *turn);
+	void (*abandon)(void *arg, struct server_job *turn, int64_t linger);
+	void (*hurry)(void *arg, struct server_job *turn, int64_t linger);
 	int (*under_way)(void *arg, const struct registry_server *server);
 	void (*wake)(void *arg, int64_t at);
 };
@@ -89,7 +89,8 @@
  *	they share; at least 1
  * @enabled: else all is sent at once
  * @costs: of requests by level of urgency, compared to the mean; 0: not known
- * @by_lot_until: not all can be in time, see slot_queue_set_by_lot()
+ * @random_order_until: not all can be in time, see
+ *slot_queue_set_random_order()
  * @waiting: servers for which requests wait
  * @ended: turns that ended unsent, not reported yet
  */
@@ -100,10 +101,10 @@
 	struct gateway_stats *stats;
 	int senders;
 	bool enabled;
-	double costs[OUTLOOK_LEVELS];
-	int64_t by_lot_until;
+	double costs[ESTIMATE_LEVELS];
+	int64_t random_order_until;
 	struct server_queue *waiting;
-	struct server_turn *ended;
+	struct server_job *ended;
 };
 
 void server_queues_init(struct server_queues *queues, const struct clock *clock,
@@ -123,38 +124,38 @@
 int server_queue_send(struct server_queues *queues,
 		      struct registry_server *server,
 		      const struct upstream_request *request,
-		      const struct server_rank *rank, int64_t deadline,
+		      const struct server_job_rank *rank, int64_t deadline,
 		      int64_t connections_max, exchange_cb cb, void *arg,
-		      struct server_turn **out);
+		      struct server_job **out);
 
 /**
- * server_turn_waits() - it was not sent, and surely has not run
+ * server_job_is_unsent() - it was not sent, and surely has not run
  */
-bool server_turn_waits(const struct server_turn *turn);
+bool server_job_is_unsent(const struct server_job *turn);
 
 /**
- * server_turn_abandon() - the answer is not needed any more
+ * server_job_abandon() - the answer is not needed any more
  * @linger: as of exchange_abandon(); what was not sent is forgotten
  */
-void server_turn_abandon(struct server_turn *turn, int64_t linger);
+void server_job_abandon(struct server_job *turn, int64_t linger);
 
 /**
- * server_turn_hurry() - as server_turn_abandon(), but its end is still reported
+ * server_job_hurry() - as server_job_abandon(), but its end is still reported
  */
-void server_turn_hurry(struct server_turn *turn, int64_t linger);
+void server_job_hurry(struct server_job *turn, int64_t linger);
 
 /**
- * server_turn_over() - a send ended that was not abandoned
+ * server_job_done() - a send ended that was not abandoned
  */
-void server_turn_over(struct server_turn *turn,
-		      const struct exchange_result *result);
+void server_job_done(struct server_job *turn,
+		     const struct exchange_result *result);
 
 /**
- * server_queue_freed() - a request to a server ended, and its connection can be
- * used
+ * server_queue_capacity_freed() - a request to a server ended, and its
+ * connection can be used
  */
-void server_queue_freed(struct server_queues *queues,
-			struct registry_server *server);
+void server_queue_capacity_freed(struct server_queues *queues,
+				 struct registry_server *server);
 
 /**
  * server_queue_close() - a server gets no new requests: what waits goes back
--- a/server_queue_net.c
+++ b/server_queue_net.c
@@ -5,14 +5,14 @@
 
 static void on_result(void *arg, const struct exchange_result *result)
 {
-	struct server_turn *turn = arg;
+	struct server_job *turn = arg;
 
 	crash_watch_end(turn->watch, result->code == ERR_LOST);
-	server_turn_over(turn, result);
+	server_job_done(turn, result);
 }
 
 /* What waits is not watched: it cannot crash the server. */
-static int send_turn(void *arg, struct server_turn *turn)
+static int send_turn(void *arg, struct server_job *turn)
 {
 	struct server_queue_net *net = arg;
 	struct exchange *exchange;
@@ -32,14 +32,14 @@
 	return ret;
 }
 
-static void abandon(void *arg, struct server_turn *turn, int64_t linger)
+static void abandon(void *arg, struct server_job *turn, int64_t linger)
 {
 	(void)arg;
 	crash_watch_end(turn->watch, false);
 	exchange_abandon(turn->handle, linger);
 }
 
-static void hurry(void *arg, struct server_turn *turn, int64_t linger)
+static void hurry(void *arg, struct server_job *turn, int64_t linger)
 {
 	(void)arg;
 	exchange_set_timeout(turn->handle, linger);
@@ -70,7 +70,7 @@
 {
 	struct server_queue_net *net = arg;
 
-	server_queue_freed(&net->queues, server);
+	server_queue_capacity_freed(&net->queues, server);
 }
 
 static void on_timer(void *arg)
--- a/server_queue_private.h
+++ b/server_queue_private.h
@@ -18,34 +18,35 @@
 };
 
 /**
- * server_queue_most() - requests that this instance may have under way there
+ * server_queue_limit() - requests that this instance may have under way there
  */
-int server_queue_most(const struct server_queues *queues,
-		      const struct registry_server *server);
-bool server_queue_has_room(const struct server_queues *queues,
-			   const struct registry_server *server);
+int server_queue_limit(const struct server_queues *queues,
+		       const struct registry_server *server);
+bool server_queue_has_capacity(const struct server_queues *queues,
+			       const struct registry_server *server);
 
 /**
- * server_queue_pace() - how long a request takes there, sent to answered
+ * server_queue_processing_time() - how long a request takes there, sent to
+ * answered
  *
  * Return: microseconds.
  */
-double server_queue_pace(const struct server_queues *queues,
-			 const struct registry_server *server);
+double server_queue_processing_time(const struct server_queues *queues,
+				    const struct registry_server *server);
 
 /**
- * server_queue_ahead() - how long one more request would wait
+ * server_queue_wait() - how long one more request would wait
  *
  * Return: microseconds.
  */
-int64_t server_queue_ahead(const struct server_queues *queues,
-			   const struct registry_server *server, int priority);
+int64_t server_queue_wait(const struct server_queues *queues,
+			  const struct registry_server *server, int priority);
 
 /**
- * server_queue_tell() - the server's outlook follows what waits
+ * server_queue_update_estimate() - the server's outlook follows what waits
  */
-void server_queue_tell(const struct server_queues *queues,
-		       struct registry_server *server);
+void server_queue_update_estimate(const struct server_queues *queues,
+				  struct registry_server *server);
 
 /**
  * server_queue_cost() - what requests of a priority take, compared to the mean
@@ -53,9 +54,9 @@
 double server_queue_cost(const struct server_queues *queues, int64_t priority);
 
 /**
- * server_queue_learn() - a request was answered
+ * server_queue_learn_cost() - a request was answered
  * @took: since it was sent, microseconds
  */
-void server_queue_learn(const struct server_turn *turn, int64_t took);
+void server_queue_learn_cost(const struct server_job *turn, int64_t took);
 
 #endif
--- a/server_queue_room.c
+++ b/server_queue_room.c
@@ -13,8 +13,8 @@
 #define COST_MOST 10.0
 
 /* What keeps this instance's share of the slots busy. */
-int server_queue_most(const struct server_queues *queues,
-		      const struct registry_server *server)
+int server_queue_limit(const struct server_queues *queues,
+		       const struct registry_server *server)
 {
 	int64_t share = server->entry.slots / queues->senders;
 
@@ -28,18 +28,19 @@
 	return (int)share + (server->score.refusals <= REFUSALS_MOST);
 }
 
-bool server_queue_has_room(const struct server_queues *queues,
-			   const struct registry_server *server)
+bool server_queue_has_capacity(const struct server_queues *queues,
+			       const struct registry_server *server)
 {
 	return queues->ops->under_way(queues->arg, server) <
-	       server_queue_most(queues, server);
+	       server_queue_limit(queues, server);
 }
 
-double server_queue_pace(const struct server_queues *queues,
-			 const struct registry_server *server)
+double server_queue_processing_time(const struct server_queues *queues,
+				    const struct registry_server *server)
 {
-	return server_outlook_pace(&server->outlook, server->service->latency,
-				   clock_now(queues->clock));
+	return server_estimate_processing_time(&server->outlook,
+					       server->service->latency,
+					       clock_now(queues->clock));
 }
 
 /*
@@ -51,10 +52,10 @@
 static double until_next(const struct server_queues *queues,
 			 const struct registry_server *server)
 {
-	if (!server->queue && server_queue_has_room(queues, server))
+	if (!server->queue && server_queue_has_capacity(queues, server))
 		return 0;
-	return server_queue_pace(queues, server) /
-	       server_queue_most(queues, server);
+	return server_queue_processing_time(queues, server) /
+	       server_queue_limit(queues, server);
 }
 
 static int64_t ahead_of(const struct registry_server *server, int priority,
@@ -63,18 +64,18 @@
 	double n = 1;
 
 	if (server->queue)
-		n += slot_queue_before(&server->queue->items, priority);
+		n += slot_queue_cost_before(&server->queue->items, priority);
 	return (int64_t)(n * next);
 }
 
-int64_t server_queue_ahead(const struct server_queues *queues,
-			   const struct registry_server *server, int priority)
+int64_t server_queue_wait(const struct server_queues *queues,
+			  const struct registry_server *server, int priority)
 {
 	return ahead_of(server, priority, until_next(queues, server));
 }
 
-void server_queue_tell(const struct server_queues *queues,
-		       struct registry_server *server)
+void server_queue_update_estimate(const struct server_queues *queues,
+				  struct registry_server *server)
 {
 	int64_t now = clock_now(queues->clock);
 	double next;
@@ -83,25 +84,25 @@
 	if (!queues->enabled)
 		return;
 	next = until_next(queues, server);
-	for (level = 0; level < OUTLOOK_LEVELS; level++) {
-		int priority = level < OUTLOOK_LEVELS - 1 ? level : INT_MAX;
+	for (level = 0; level < ESTIMATE_LEVELS; level++) {
+		int priority = level < ESTIMATE_LEVELS - 1 ? level : INT_MAX;
 
-		server_outlook_told(&server->outlook, level,
-				    ahead_of(server, priority, next), now);
+		server_estimate_set_wait(&server->outlook, level,
+					 ahead_of(server, priority, next), now);
 	}
 }
 
 double server_queue_cost(const struct server_queues *queues, int64_t priority)
 {
-	double cost = queues->costs[server_outlook_level(priority)];
+	double cost = queues->costs[server_estimate_level(priority)];
 
 	return cost > 0 ? cost : 1;
 }
 
 /* Behind others, it would show the time of these as well. */
-void server_queue_learn(const struct server_turn *turn, int64_t took)
+void server_queue_learn_cost(const struct server_job *turn, int64_t took)
 {
-	int level = server_outlook_level(turn->item.priority);
+	int level = server_estimate_level(turn->item.priority);
 	double *cost = &turn->queues->costs[level];
 	double sample;
 
--- a/server_score.c
+++ b/server_score.c
@@ -98,7 +98,7 @@
 	return score->unreachable >= LOST_AFTER;
 }
 
-void server_score_reached(struct server_score *score)
+void server_score_reconnected(struct server_score *score)
 {
 	score->unreachable = 0;
 	score->avoid_for = 0;
@@ -110,7 +110,7 @@
 {
 	score->outstanding--;
 	note_reach(score, result, now);
-	if (result == SERVER_DROPPED ||
+	if (result == SERVER_ABANDONED ||
 	    (result == SERVER_SILENT && took < SILENCE_LEAST))
 		return;
 	if (result == SERVER_SILENT || result == SERVER_UNREACHABLE) {
@@ -132,7 +132,7 @@
 	score->latency_at = now;
 }
 
-void server_score_told(struct server_score *score, double failures)
+void server_score_set_failures(struct server_score *score, double failures)
 {
 	score->failures = failures < 1 ? failures : 1;
 }
@@ -154,7 +154,7 @@
 		return SERVER_FAILED;
 	default:
 		/* Ended on our side. */
-		return SERVER_DROPPED;
+		return SERVER_ABANDONED;
 	}
 }
 
@@ -228,15 +228,15 @@
 static double cost_as_told(const struct server_score *score,
 			   const struct server_traits *traits, int64_t now)
 {
-	const struct server_outlook *outlook = traits->outlook;
-	double pace =
-		beyond_chance(server_outlook_pace(outlook, traits->usual, now),
-			      traits->usual);
-	double wait = (double)server_outlook_ahead(outlook, traits->level, now);
+	const struct server_estimate *outlook = traits->outlook;
+	double pace = beyond_chance(
+		server_estimate_processing_time(outlook, traits->usual, now),
+		traits->usual);
+	double wait = (double)server_estimate_wait(outlook, traits->level, now);
 	double own = own_load(score, traits) * pace;
 	/* A part that waits at a relay does not show that its server stopped.
 	 */
-	int64_t waits = server_outlook_longest(outlook, score->waiting_since);
+	int64_t waits = server_estimate_max_wait(outlook, score->waiting_since);
 	double cost;
 
 	if (wait < own)
--- a/server_score.h
+++ b/server_score.h
@@ -9,7 +9,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct server_outlook;
+struct server_estimate;
 
 /**
  * struct server_score - observations, microseconds where they are times
@@ -39,7 +39,7 @@
 };
 
 enum server_result {
-	SERVER_DROPPED, /* says nothing: ended on our side */
+	SERVER_ABANDONED, /* says nothing: ended on our side */
 	SERVER_ANSWERED,
 	SERVER_REFUSED,	    /* surely not run */
 	SERVER_FAILED,	    /* an error, or a broken connection */
@@ -57,10 +57,10 @@
 			 int64_t took, int64_t now);
 
 /**
- * server_score_told() - another instance says what it saw of the server
+ * server_score_set_failures() - another instance says what it saw of the server
  * @failures: as in struct server_score, of more sends than were seen here
  */
-void server_score_told(struct server_score *score, double failures);
+void server_score_set_failures(struct server_score *score, double failures);
 
 /**
  * server_score_is_lost() - no connection can be made to the server
@@ -73,9 +73,9 @@
 void server_score_unreachable(struct server_score *score, int64_t now);
 
 /**
- * server_score_reached() - a connection was made to a server that was lost
+ * server_score_reconnected() - a connection was made to a server that was lost
  */
-void server_score_reached(struct server_score *score);
+void server_score_reconnected(struct server_score *score);
 
 /**
  * server_result_of() - what the end of a send says of its server
@@ -101,7 +101,7 @@
 	double usual;
 	bool remote;
 	bool relayed;
-	const struct server_outlook *outlook;
+	const struct server_estimate *outlook;
 	int level;
 	double spread;
 };
--- a/server_view.c
+++ b/server_view.c
@@ -13,12 +13,12 @@
 #define RETURN_GRACE MSEC(2300)
 
 /* A server whose entry vanished; it may come back. */
-struct server_absence {
+struct vanished_server {
 	char id[STORE_KEY_SIZE];
 	int64_t until;
 	uint64_t changed_at;
-	struct server_absence *prev;
-	struct server_absence *next;
+	struct vanished_server *prev;
+	struct vanished_server *next;
 };
 
 void server_view_init(struct server_view *view, const struct clock *clock,
@@ -35,7 +35,7 @@
 }
 
 static void drop_absence(struct server_view *view,
-			 struct server_absence *absence)
+			 struct vanished_server *absence)
 {
 	DL_DELETE(view->absent, absence);
 	free(absence);
@@ -47,7 +47,7 @@
 		drop_absence(view, view->absent);
 }
 
-void server_view_returned(struct server_view *view)
+void server_view_store_returned(struct server_view *view)
 {
 	view->returned_at = clock_now(view->clock);
 }
@@ -57,21 +57,21 @@
 	while (view->absent)
 		drop_absence(view, view->absent);
 	registry_enter_era(view->registry);
-	server_view_returned(view);
+	server_view_store_returned(view);
 	view->era_until = view->returned_at + RETURN_GRACE;
 	view->passed_over = false;
 	return view->era_until;
 }
 
-bool server_view_wants_whole(const struct server_view *view)
+bool server_view_needs_full_list(const struct server_view *view)
 {
 	return view->passed_over && clock_now(view->clock) >= view->era_until;
 }
 
-static struct server_absence *find_absence(const struct server_view *view,
-					   const char *id)
+static struct vanished_server *find_absence(const struct server_view *view,
+					    const char *id)
 {
-	struct server_absence *absence;
+	struct vanished_server *absence;
 
 	DL_FOREACH (view->absent, absence) {
 		if (!strcmp(absence->id, id))
@@ -119,7 +119,7 @@
 			  uint64_t changed_at)
 {
 	int64_t until = view->returned_at + RETURN_GRACE;
-	struct server_absence *absence = find_absence(view, id);
+	struct vanished_server *absence = find_absence(view, id);
 	const struct registry_server *server =
 		registry_find(view->registry, str_from(id));
 
@@ -143,8 +143,8 @@
 void server_view_tick(struct server_view *view)
 {
 	int64_t now = clock_now(view->clock);
-	struct server_absence *absence;
-	struct server_absence *next;
+	struct vanished_server *absence;
+	struct vanished_server *next;
 
 	DL_FOREACH_SAFE (view->absent, absence, next) {
 		if (now < absence->until)
@@ -157,7 +157,7 @@
 
 int64_t server_view_due(const struct server_view *view)
 {
-	const struct server_absence *absence;
+	const struct vanished_server *absence;
 	int64_t due = INT64_MAX;
 
 	DL_FOREACH (view->absent, absence) {
@@ -188,14 +188,14 @@
 static bool is_taken(const struct server_view *view,
 		     const struct server_entry *entry, uint64_t changed_at)
 {
-	enum registry_word word =
+	enum registry_order word =
 		registry_compare(view->registry, entry, changed_at);
 
 	if (word == REGISTRY_NEWER || word == REGISTRY_REPEATED)
 		return true;
-	log_word(entry->id, state_of(entry), registry_word_name(word),
+	log_word(entry->id, state_of(entry), registry_order_name(word),
 		 changed_at,
-		 registry_known_at(view->registry, str_from(entry->id)));
+		 registry_known_revision(view->registry, str_from(entry->id)));
 	return false;
 }
 
@@ -203,7 +203,7 @@
 static bool ends_absence(struct server_view *view,
 			 const struct server_entry *entry, uint64_t changed_at)
 {
-	struct server_absence *absence = find_absence(view, entry->id);
+	struct vanished_server *absence = find_absence(view, entry->id);
 
 	if (!absence)
 		return true;
@@ -277,7 +277,8 @@
 	struct registry_server *server;
 
 	if (is_era_new(view) &&
-	    registry_left_before(view->registry, str_from(entry->id))) {
+	    registry_removed_in_earlier_era(view->registry,
+					    str_from(entry->id))) {
 		log_word(entry->id, state_of(entry), "left_before", changed_at,
 			 0);
 		view->passed_over = true;
@@ -292,7 +293,7 @@
 void server_view_begin_list(struct server_view *view)
 {
 	view->list++;
-	if (server_view_wants_whole(view))
+	if (server_view_needs_full_list(view))
 		view->passed_over = false;
 }
 
--- a/server_view.h
+++ b/server_view.h
@@ -13,7 +13,7 @@
 #include "registry.h"
 #include "store.h"
 
-struct server_absence;
+struct vanished_server;
 
 /**
  * struct server_view_ops - what the module wants done
@@ -42,7 +42,7 @@
 	const struct server_view_ops *ops;
 	void *arg;
 	bool known;
-	struct server_absence *absent;
+	struct vanished_server *absent;
 	uint64_t list;
 	int64_t returned_at;
 	int64_t era_until;
@@ -55,11 +55,11 @@
 void server_view_finish(struct server_view *view);
 
 /**
- * server_view_returned() - the store is back
+ * server_view_store_returned() - the store is back
  *
  * Entries that vanish from now on are kept for a while.
  */
-void server_view_returned(struct server_view *view);
+void server_view_store_returned(struct server_view *view);
 
 /**
  * server_view_enter_era() - the store went back to a copy
@@ -73,10 +73,10 @@
 int64_t server_view_enter_era(struct server_view *view);
 
 /**
- * server_view_wants_whole() - a list named servers that were not taken, as they
- * had left, and they had time to write again
+ * server_view_needs_full_list() - a list named servers that were not taken, as
+ * they had left, and they had time to write again
  */
-bool server_view_wants_whole(const struct server_view *view);
+bool server_view_needs_full_list(const struct server_view *view);
 
 /**
  * server_view_put() - a server's entry, from the store or a peer
--- a/slot_queue.c
+++ b/slot_queue.c
@@ -23,7 +23,7 @@
 		return b->late;
 	if (a->priority != b->priority)
 		return a->priority < b->priority;
-	if (queue->by_lot && a->lot != b->lot)
+	if (queue->random_order && a->lot != b->lot)
 		return a->lot < b->lot;
 	if (a->goal != b->goal)
 		return a->late ? a->goal > b->goal : a->goal < b->goal;
@@ -167,13 +167,13 @@
 	queue->max = max;
 }
 
-void slot_queue_set_by_lot(struct slot_queue *queue, bool by_lot)
+void slot_queue_set_random_order(struct slot_queue *queue, bool random_order)
 {
 	size_t i;
 
-	if (queue->by_lot == by_lot)
+	if (queue->random_order == random_order)
 		return;
-	queue->by_lot = by_lot;
+	queue->random_order = random_order;
 	for (i = queue->n / 2; i-- > 0;)
 		move_down(queue, i);
 }
@@ -205,7 +205,7 @@
 	put(queue, queue->n, item);
 	move_up(queue, queue->n++);
 	if (misses_goal(queue, item, now + wait))
-		queue->short_at = now;
+		queue->overloaded_at = now;
 	return 0;
 }
 
@@ -218,7 +218,7 @@
 	       !is_late(queue, first, now)) {
 		first->late = true;
 		move_down(queue, 0);
-		queue->short_at = now;
+		queue->overloaded_at = now;
 		first = queue->items[0];
 	}
 	return first;
@@ -274,7 +274,7 @@
 	return NULL;
 }
 
-double slot_queue_before(const struct slot_queue *queue, int priority)
+double slot_queue_cost_before(const struct slot_queue *queue, int priority)
 {
 	int64_t now = clock_now(queue->clock);
 	double cost = 0;
@@ -318,7 +318,7 @@
 	}
 }
 
-void slot_queue_served(struct slot_queue *queue, int64_t usec)
+void slot_queue_record_time(struct slot_queue *queue, int64_t usec)
 {
 	double step = queue->usual * QUANTILE_STEP + 1;
 
--- a/slot_queue.h
+++ b/slot_queue.h
@@ -44,8 +44,8 @@
  * @plain: drop at the deadline only, as a baseline of experiments
  * @floor: the least urgent is passed over for fewer turns in a row than these;
  *	0: for any number
- * @by_lot: see slot_queue_set_by_lot()
- * @short_at: when it was last found that not all can be in time; 0: never
+ * @random_order: see slot_queue_set_random_order()
+ * @overloaded_at: when it was last found that not all can be in time; 0: never
  * @slots: of them this instance's share, for the estimate of waits
  * @usual: nearly all take less with a slot, microseconds; 0: not known
  * @mean: time with a slot, microseconds
@@ -58,8 +58,8 @@
 	size_t max;
 	bool plain;
 	int floor;
-	bool by_lot;
-	int64_t short_at;
+	bool random_order;
+	int64_t overloaded_at;
 	int slots;
 	double usual;
 	double mean;
@@ -80,12 +80,12 @@
 void slot_queue_finish(struct slot_queue *queue);
 
 /**
- * slot_queue_set_by_lot() - the least lots go first, and then the goals
+ * slot_queue_set_random_order() - the least lots go first, and then the goals
  *
  * Where not all can be in time: else the first to miss their goals would at
  * each server be others, and nearly all requests of many parts lack some.
  */
-void slot_queue_set_by_lot(struct slot_queue *queue, bool by_lot);
+void slot_queue_set_random_order(struct slot_queue *queue, bool random_order);
 
 /**
  * slot_queue_push() - wait for a slot
@@ -117,17 +117,18 @@
 void slot_queue_expire(struct slot_queue *queue, slot_drop_fn drop, void *ctx);
 
 /**
- * slot_queue_before() - what would be served before a new item that is in time
+ * slot_queue_cost_before() - what would be served before a new item that is in
+ * time
  * @priority: of the new one
  *
  * Return: the sum of their costs.
  */
-double slot_queue_before(const struct slot_queue *queue, int priority);
+double slot_queue_cost_before(const struct slot_queue *queue, int priority);
 
 /**
- * slot_queue_served() - learn how long a request had a slot
+ * slot_queue_record_time() - learn how long a request had a slot
  */
-void slot_queue_served(struct slot_queue *queue, int64_t usec);
+void slot_queue_record_time(struct slot_queue *queue, int64_t usec);
 
 /**
  * slot_queue_wait() - how long a new item would wait, with none less urgent
--- a/store_schedule.c
+++ b/store_schedule.c
@@ -33,7 +33,7 @@
 #define RANKS_TRYING 4
 #define RANKED_PAUSE_MOST MSEC(8000)
 
-void store_schedule_joins(struct store_sync *sync, double draw)
+void store_schedule_delay_start(struct store_sync *sync, double draw)
 {
 	sync->start_wait = JOIN_WAIT + (int64_t)(draw * (double)JOIN_SPREAD);
 }
--- a/store_schedule.h
+++ b/store_schedule.h
@@ -10,13 +10,13 @@
 #include "store_sync.h"
 
 /**
- * store_schedule_joins() - this instance starts among others that it does not
- * know
+ * store_schedule_delay_start() - this instance starts among others that it does
+ * not know
  * @draw: 0 to 1, another one at each instance
  *
  * To be called before the first store_sync_tick().
  */
-void store_schedule_joins(struct store_sync *sync, double draw);
+void store_schedule_delay_start(struct store_sync *sync, double draw);
 
 /**
  * store_schedule_due() - when to call for a topic next, microseconds
--- a/store_sync.c
+++ b/store_sync.c
@@ -92,8 +92,8 @@
 		server_view_put(&sync->servers, &entry, item->changed_at);
 }
 
-int store_sync_take_routes(struct store_sync *sync, struct str text,
-			   const char *from)
+int store_sync_apply_routes(struct store_sync *sync, struct str text,
+			    const char *from)
 {
 	struct error err = {.code = ERR_NONE};
 	struct route_set *set;
@@ -124,9 +124,9 @@
 	if (feed->topic == STORE_SERVERS)
 		take_server(sync, item, feed->listing);
 	else if (item->kind == STORE_ITEM_CORDON)
-		cordon_sync_item(&sync->cordons, item);
+		cordon_sync_apply_item(&sync->cordons, item);
 	else if (item->kind == STORE_ITEM_PLAIN && !item->removed)
-		store_sync_take_routes(sync, item->value, "store");
+		store_sync_apply_routes(sync, item->value, "store");
 }
 
 static bool is_empty(const struct store_sync *sync)
@@ -176,7 +176,7 @@
 	return 0;
 }
 
-void store_sync_begin_whole(struct store_sync *sync)
+void store_sync_begin_snapshot(struct store_sync *sync)
 {
 	struct store_feed *feed = &sync->feeds[STORE_SERVERS];
 
@@ -190,12 +190,12 @@
  * The peer may have just started while entries had lapsed, and know fewer
  * servers than live: those it does not name are left only after a while.
  */
-void store_sync_end_whole(struct store_sync *sync, uint64_t at)
+void store_sync_end_snapshot(struct store_sync *sync, uint64_t at)
 {
 	struct store_feed *feed = &sync->feeds[STORE_SERVERS];
 
 	if (feed->fresh_at >= 0)
-		server_view_returned(&sync->servers);
+		server_view_store_returned(&sync->servers);
 	server_view_end_list(&sync->servers, at);
 }
 
@@ -222,8 +222,8 @@
 	feed->listing = false;
 }
 
-void store_sync_set_patience(struct store_sync *sync, int64_t patience,
-			     int rank)
+void store_sync_set_max_view_age(struct store_sync *sync, int64_t patience,
+				 int rank)
 {
 	sync->patience = patience;
 	sync->rank = rank;
@@ -279,7 +279,7 @@
 		LOG_INFO("store_regained", LOG_I64("topic", feed->topic),
 			 LOG_I64("failures", feed->failures));
 	if (lost || is_view_old(sync))
-		server_view_returned(&sync->servers);
+		server_view_store_returned(&sync->servers);
 }
 
 static void call_failed(struct store_sync *sync, struct store_feed *feed,
@@ -389,7 +389,7 @@
 	struct store_call call = {.topic = feed->topic, .after = feed->at};
 
 	if (feed->topic == STORE_ROUTES &&
-	    cordon_sync_wants_list(&sync->cordons))
+	    cordon_sync_needs_list(&sync->cordons))
 		feed->listed = false;
 	if (!feed->listed && !feed->listing)
 		start_list(sync, feed);
--- a/store_sync.h
+++ b/store_sync.h
@@ -125,30 +125,30 @@
 			 const char *from);
 
 /**
- * store_sync_take_routes() - a document came, from the store or a peer
+ * store_sync_apply_routes() - a document came, from the store or a peer
  *
  * Return: 0 if it is in force now; ERR_STALE if it is not newer; or why it is
  * not taken.
  */
-int store_sync_take_routes(struct store_sync *sync, struct str text,
-			   const char *from);
+int store_sync_apply_routes(struct store_sync *sync, struct str text,
+			    const char *from);
 
 /**
- * store_sync_set_patience() - see struct store_sync
+ * store_sync_set_max_view_age() - see struct store_sync
  */
-void store_sync_set_patience(struct store_sync *sync, int64_t patience,
-			     int rank);
+void store_sync_set_max_view_age(struct store_sync *sync, int64_t patience,
+				 int rank);
 
 /**
- * store_sync_begin_whole() - a peer's whole view follows, entry by entry
+ * store_sync_begin_snapshot() - a peer's whole view follows, entry by entry
  */
-void store_sync_begin_whole(struct store_sync *sync);
+void store_sync_begin_snapshot(struct store_sync *sync);
 
 /**
- * store_sync_end_whole() - what it did not name is gone
+ * store_sync_end_snapshot() - what it did not name is gone
  * @at: the store's revision as of which the peer's view is complete
  */
-void store_sync_end_whole(struct store_sync *sync, uint64_t at);
+void store_sync_end_snapshot(struct store_sync *sync, uint64_t at);
 
 /**
  * store_sync_confirm() - a peer's view of a topic is now this one's
--- a/table.c
+++ b/table.c
@@ -460,7 +460,7 @@
 
 	for (i = 0; i < table->n_servers; i++) {
 		struct backend_server *server = &table->servers[i];
-		int row = table_service(table, str_from(server->service));
+		int row = table_find_service(table, str_from(server->service));
 
 		if (row < 0)
 			return bad_row(ERR_REFERENCE, &sheets[TABLE_SERVERS], i,
@@ -902,9 +902,9 @@
 	return ret;
 }
 
-int table_init_changed(struct table *table, const struct table *old,
-		       const struct table_change *changes, int n,
-		       uint64_t revision, struct error *err)
+int table_init_from_changes(struct table *table, const struct table *old,
+			    const struct table_change *changes, int n,
+			    uint64_t revision, struct error *err)
 {
 	struct table_text text = {.cap = old->len, .data = NULL};
 	struct sheet sheets[TABLE_SHEETS];
@@ -980,14 +980,14 @@
 	return (struct str){table->text + line->at, line->len};
 }
 
-int table_service(const struct table *table, struct str name)
+int table_find_service(const struct table *table, struct str name)
 {
 	int row = index_find(&table->index->services, name.data, name.len);
 
 	return row < 0 ? ERR_NO_SERVICE : row;
 }
 
-int table_server(const struct table *table, struct str name)
+int table_find_server(const struct table *table, struct str name)
 {
 	return index_find(&table->index->servers, name.data, name.len);
 }
--- a/table.h
+++ b/table.h
@@ -233,7 +233,7 @@
 	       uint64_t revision, struct error *err);
 
 /**
- * table_init_changed() - a table that differs from another in some rows
+ * table_init_from_changes() - a table that differs from another in some rows
  * @table: filled
  * @old: the other table
  * @changes: sorted by sheet and name, each row once
@@ -245,9 +245,9 @@
  *
  * Return: as table_init().
  */
-int table_init_changed(struct table *table, const struct table *old,
-		       const struct table_change *changes, int n,
-		       uint64_t revision, struct error *err);
+int table_init_from_changes(struct table *table, const struct table *old,
+			    const struct table_change *changes, int n,
+			    uint64_t revision, struct error *err);
 void table_finish(struct table *table);
 
 /**
@@ -263,17 +263,17 @@
 			   int row);
 
 /**
- * table_service() - row of a service by name
+ * table_find_service() - row of a service by name
  *
  * Return: index into @table->services, or ERR_NO_SERVICE.
  */
-int table_service(const struct table *table, struct str name);
+int table_find_service(const struct table *table, struct str name);
 
 /**
- * table_server() - row of a backend server by name
+ * table_find_server() - row of a backend server by name
  *
  * Return: index into @table->servers, or ERR_REFERENCE.
  */
-int table_server(const struct table *table, struct str name);
+int table_find_server(const struct table *table, struct str name);
 
 #endif
--- a/table_control.c
+++ b/table_control.c
@@ -31,7 +31,7 @@
 {
 	struct table_control *control = ctx;
 
-	platform_fetch(&control->platform, key, id);
+	platform_fetch_part(&control->platform, key, id);
 }
 
 static void send_frame(struct table_control *control, const char *peer,
@@ -74,7 +74,8 @@
 {
 	struct table_control *control = ctx;
 
-	if (list_sync_platform(&control->list, text, revision) == ERR_SYNTAX)
+	if (list_sync_platform_list(&control->list, text, revision) ==
+	    ERR_SYNTAX)
 		LOG_WARN("instances_bad", LOG_U64("revision", revision));
 }
 
@@ -98,7 +99,7 @@
 	control->sync.list_revision = list->revision;
 	control->sync.list_digest = list->digest;
 	if (!instances_apply(&control->board->listed, text))
-		blackboard_changed(control->board, BLACKBOARD_INSTANCES);
+		blackboard_notify(control->board, BLACKBOARD_INSTANCES);
 }
 
 static const struct list_sync_ops list_ops = {
@@ -162,7 +163,7 @@
 	if (board->lifecycle != LIFECYCLE_STARTING || table_sync_ready(sync))
 		return;
 	board->lifecycle = LIFECYCLE_SERVING;
-	blackboard_changed(board, BLACKBOARD_LIFECYCLE);
+	blackboard_notify(board, BLACKBOARD_LIFECYCLE);
 }
 
 /* Events. */
@@ -186,10 +187,10 @@
 	struct table_control *control = arg;
 	uint64_t stale = control->sync.counts.stale;
 
-	table_sync_answered(&control->sync, key, id, answer);
+	table_sync_receive_answer(&control->sync, key, id, answer);
 	/* This replica may have stopped following, and others not. */
 	if (control->sync.counts.stale != stale)
-		platform_turn(&control->platform);
+		platform_use_next_address(&control->platform);
 	publish(control);
 }
 
@@ -198,7 +199,7 @@
 {
 	struct table_control *control = arg;
 
-	table_sync_part(&control->sync, id, answer);
+	table_sync_receive_part(&control->sync, id, answer);
 	publish(control);
 }
 
@@ -210,9 +211,9 @@
 static void take_digest(struct table_control *control, const char *peer,
 			const Peer__TableDigest *message)
 {
-	list_sync_heard(&control->list, peer, message->list_revision,
-			message->list_digest);
-	table_sync_digest(&control->sync, peer, message);
+	list_sync_peer_revision(&control->list, peer, message->list_revision,
+				message->list_digest);
+	table_sync_receive_digest(&control->sync, peer, message);
 }
 
 static void on_frame(void *arg, struct peer_link *link, struct frame *frame)
@@ -233,12 +234,14 @@
 			    (const Peer__TableDigest *)frame->message);
 		break;
 	case FRAME_TABLE_REQUEST:
-		table_sync_request(&control->sync, link->instance,
-				   (const Peer__TableRequest *)frame->message);
+		table_sync_receive_request(&control->sync, link->instance,
+					   (const Peer__TableRequest *)
+						   frame->message);
 		break;
 	case FRAME_TABLE_UPDATE:
-		table_sync_update(&control->sync, link->instance,
-				  (const Peer__TableUpdate *)frame->message);
+		table_sync_receive_update(&control->sync, link->instance,
+					  (const Peer__TableUpdate *)
+						  frame->message);
 		break;
 	default:
 		return;
@@ -246,10 +249,12 @@
 	publish(control);
 }
 
-void table_control_heard(struct table_control *control, const char *peer,
-			 uint64_t revision, uint64_t digest, uint32_t age_ms)
+void table_control_receive_heartbeat(struct table_control *control,
+				     const char *peer, uint64_t revision,
+				     uint64_t digest, uint32_t age_ms)
 {
-	table_sync_heard(&control->sync, peer, revision, digest, age_ms);
+	table_sync_receive_heartbeat(&control->sync, peer, revision, digest,
+				     age_ms);
 	publish(control);
 }
 
--- a/table_control.h
+++ b/table_control.h
@@ -30,10 +30,11 @@
 void table_control_finish(struct table_control *control);
 
 /**
- * table_control_heard() - a heartbeat told a peer's table
+ * table_control_receive_heartbeat() - a heartbeat told a peer's table
  * @age_ms: see TableDigest in peer.proto
  */
-void table_control_heard(struct table_control *control, const char *peer,
-			 uint64_t revision, uint64_t digest, uint32_t age_ms);
+void table_control_receive_heartbeat(struct table_control *control,
+				     const char *peer, uint64_t revision,
+				     uint64_t digest, uint32_t age_ms);
 
 #endif
--- a/table_delta.c
+++ b/table_delta.c
@@ -149,8 +149,8 @@
 	if (delta->base_revision != from->revision ||
 	    delta->base_digest != from->digest)
 		return ERR_VERSION;
-	ret = table_init_changed(table, from, delta->changes, delta->n,
-				 delta->revision, err);
+	ret = table_init_from_changes(table, from, delta->changes, delta->n,
+				      delta->revision, err);
 	if (ret || table->digest == delta->digest)
 		return ret;
 	table_finish(table);
--- a/table_parts.c
+++ b/table_parts.c
@@ -150,7 +150,7 @@
 		reuse_part(parts, &parts->parts[i], old);
 }
 
-const char *table_parts_key(const struct table_parts *parts)
+const char *table_parts_next_key(const struct table_parts *parts)
 {
 	const struct table_part *part = next_part(parts);
 
--- a/table_parts.h
+++ b/table_parts.h
@@ -61,11 +61,11 @@
 void table_parts_reuse(struct table_parts *parts, struct table_parts *old);
 
 /**
- * table_parts_key() - the key of the part to read next
+ * table_parts_next_key() - the key of the part to read next
  *
  * Return: the key, or NULL if all parts are there.
  */
-const char *table_parts_key(const struct table_parts *parts);
+const char *table_parts_next_key(const struct table_parts *parts);
 
 /**
  * table_parts_add() - take the part that was awaited
@@ -76,7 +76,7 @@
 		    struct error *err);
 
 /**
- * table_parts_text() - the whole table, once table_parts_key() is NULL
+ * table_parts_text() - the whole table, once table_parts_next_key() is NULL
  *
  * Return: the text, ended by NUL; release with free().
  */
--- a/table_status.c
+++ b/table_status.c
@@ -16,13 +16,13 @@
 
 static void add_doubt(struct evbuffer *out, const struct table_sync *sync)
 {
-	enum table_doubt doubt = table_sync_doubt(sync);
+	enum table_confirmation doubt = table_sync_confirmation(sync);
 
 	evbuffer_add_printf(out, ",\"confirmed\":%s",
 			    doubt == TABLE_CONFIRMED ? "true" : "false");
 	if (doubt != TABLE_CONFIRMED)
 		evbuffer_add_printf(out, ",\"reason\":\"%s\"",
-				    table_doubt_names[doubt]);
+				    table_confirmation_names[doubt]);
 }
 
 void table_status_add_brief(struct evbuffer *out, const struct table_sync *sync)
@@ -52,7 +52,8 @@
 			    ",\"reader\":%s,\"reader_rank\":%d,"
 			    "\"platform_revision\":%" PRIu64
 			    ",\"platform_failures\":%d}",
-			    reader_watches(&sync->reader) ? "true" : "false",
+			    reader_is_watching(&sync->reader) ? "true"
+							      : "false",
 			    sync->reader.rank, sync->platform_shown,
 			    sync->reader.watches[READER_TABLE].failures);
 }
--- a/table_sync.c
+++ b/table_sync.c
@@ -68,7 +68,9 @@
 	reader_set_starting(&sync->reader, false);
 	LOG_INFO("table_start_over",
 		 LOG_U64("revision", table_sync_revision(sync)),
-		 LOG_TEXT("state", table_doubt_names[table_sync_doubt(sync)]),
+		 LOG_TEXT("state",
+			  table_confirmation_names[table_sync_confirmation(
+				  sync)]),
 		 LOG_I64("peers_heard", sync->n_heard));
 }
 
@@ -127,7 +129,7 @@
 	if (peers->n_own && i != peers->rank)
 		table_sync_send_digest(sync, peers->own[i].instance, true);
 	i = reader_random(&sync->reader, peers->n_far);
-	if (peers->n_far && reader_watches(&sync->reader))
+	if (peers->n_far && reader_is_watching(&sync->reader))
 		table_sync_send_digest(sync, peers->far[i].instance, true);
 }
 
--- a/table_sync.h
+++ b/table_sync.h
@@ -31,9 +31,9 @@
 /**
  * struct table_sync_ops - what the module wants done
  * @call: read "table" or "instances" from the platform; the answer goes to
- *        table_sync_answered()
+ *        table_sync_receive_answer()
  * @fetch_part: read another key of the platform, whole and without waiting;
- *              the answer goes to table_sync_part()
+ *              the answer goes to table_sync_receive_part()
  * @send_digest: to the peer; messages are borrowed during the call
  * @send_request: to the peer
  * @send_update: to the peer
@@ -97,7 +97,7 @@
 	uint64_t revision;
 };
 
-enum table_doubt {
+enum table_confirmation {
 	TABLE_CONFIRMED,
 	TABLE_NONE,	      /* there is no table */
 	TABLE_UNHEARD,	      /* never confirmed since the start */
@@ -106,7 +106,7 @@
 	TABLE_PLATFORM_LOWER, /* the platform has a lower revision */
 };
 
-extern const char *const table_doubt_names[];
+extern const char *const table_confirmation_names[];
 
 /**
  * struct table_refusal - why a revision was refused
@@ -240,34 +240,36 @@
 			    const struct table_member *members, int n);
 
 /**
- * table_sync_answered() - the platform answered a call, or it failed
+ * table_sync_receive_answer() - the platform answered a call, or it failed
  */
-void table_sync_answered(struct table_sync *sync, enum reader_key key,
-			 uint64_t id, const struct platform_answer *answer);
-void table_sync_part(struct table_sync *sync, uint64_t id,
-		     const struct platform_answer *answer);
+void table_sync_receive_answer(struct table_sync *sync, enum reader_key key,
+			       uint64_t id,
+			       const struct platform_answer *answer);
+void table_sync_receive_part(struct table_sync *sync, uint64_t id,
+			     const struct platform_answer *answer);
 
 /**
- * table_sync_heard() - a peer's heartbeat told its table
+ * table_sync_receive_heartbeat() - a peer's heartbeat told its table
  * @revision: 0 if it has none
  * @age_ms: see TableDigest in peer.proto
  */
-void table_sync_heard(struct table_sync *sync, const char *peer,
-		      uint64_t revision, uint64_t digest, uint32_t age_ms);
-void table_sync_digest(struct table_sync *sync, const char *peer,
-		       const Peer__TableDigest *message);
-void table_sync_request(struct table_sync *sync, const char *peer,
-			const Peer__TableRequest *message);
+void table_sync_receive_heartbeat(struct table_sync *sync, const char *peer,
+				  uint64_t revision, uint64_t digest,
+				  uint32_t age_ms);
+void table_sync_receive_digest(struct table_sync *sync, const char *peer,
+			       const Peer__TableDigest *message);
+void table_sync_receive_request(struct table_sync *sync, const char *peer,
+				const Peer__TableRequest *message);
 
 /**
- * table_sync_update() - a peer sent a table
+ * table_sync_receive_update() - a peer sent a table
  *
  * Return: 0 if it is in force now; ERR_STALE for one that is not newer;
  * ERR_CONFLICT, ERR_VERSION (another base: asked for anew), ERR_PROTOCOL, or
  * an error of table_init(), with the table in force unchanged.
  */
-int table_sync_update(struct table_sync *sync, const char *peer,
-		      const Peer__TableUpdate *message);
+int table_sync_receive_update(struct table_sync *sync, const char *peer,
+			      const Peer__TableUpdate *message);
 
 /**
  * table_sync_ready() - whether this instance may serve
@@ -290,8 +292,9 @@
 uint32_t table_sync_age_ms(const struct table_sync *sync);
 
 /**
- * table_sync_doubt() - why the table is unconfirmed; TABLE_CONFIRMED if it is
+ * table_sync_confirmation() - why the table is unconfirmed; TABLE_CONFIRMED if
+ * it is
  */
-enum table_doubt table_sync_doubt(const struct table_sync *sync);
+enum table_confirmation table_sync_confirmation(const struct table_sync *sync);
 
 #endif
--- a/table_sync_peers.c
+++ b/table_sync_peers.c
@@ -13,7 +13,7 @@
 	if (!age_ms)
 		return;
 	table_sync_confirm(sync, at);
-	if (at > sync->behind_at && !reader_watches(&sync->reader))
+	if (at > sync->behind_at && !reader_is_watching(&sync->reader))
 		table_sync_clear_behind(sync);
 }
 
@@ -277,8 +277,9 @@
 	ask(sync);
 }
 
-void table_sync_heard(struct table_sync *sync, const char *peer,
-		      uint64_t revision, uint64_t digest, uint32_t age_ms)
+void table_sync_receive_heartbeat(struct table_sync *sync, const char *peer,
+				  uint64_t revision, uint64_t digest,
+				  uint32_t age_ms)
 {
 	hear_of(sync, peer);
 	switch (table_sync_judge(sync, revision, digest)) {
@@ -296,11 +297,11 @@
 	}
 }
 
-void table_sync_digest(struct table_sync *sync, const char *peer,
-		       const Peer__TableDigest *message)
+void table_sync_receive_digest(struct table_sync *sync, const char *peer,
+			       const Peer__TableDigest *message)
 {
-	table_sync_heard(sync, peer, message->revision, message->digest,
-			 message->age_ms);
+	table_sync_receive_heartbeat(sync, peer, message->revision,
+				     message->digest, message->age_ms);
 	if (message->refused)
 		hear_refused(sync, peer, message->refused);
 	if (message->ask || message->revision < table_sync_revision(sync) ||
@@ -347,8 +348,8 @@
 	return false;
 }
 
-void table_sync_request(struct table_sync *sync, const char *peer,
-			const Peer__TableRequest *message)
+void table_sync_receive_request(struct table_sync *sync, const char *peer,
+				const Peer__TableRequest *message)
 {
 	struct table_delta delta;
 
@@ -434,8 +435,8 @@
 	return code;
 }
 
-int table_sync_update(struct table_sync *sync, const char *peer,
-		      const Peer__TableUpdate *message)
+int table_sync_receive_update(struct table_sync *sync, const char *peer,
+			      const Peer__TableUpdate *message)
 {
 	bool whole = !message->base_revision;
 	struct error err = {0};
--- a/table_sync_platform.c
+++ b/table_sync_platform.c
@@ -83,15 +83,15 @@
 {
 	sync->part_id++;
 	sync->counts.calls++;
-	sync->ops->fetch_part(sync->ctx, table_parts_key(sync->parts),
+	sync->ops->fetch_part(sync->ctx, table_parts_next_key(sync->parts),
 			      sync->part_id);
 }
 
 static void finish_call(struct table_sync *sync, enum reader_key key,
 			uint64_t id, const struct platform_answer *answer)
 {
-	reader_done(&sync->reader, key, id, answer->code, answer->newer,
-		    answer->retry_after_ms);
+	reader_call_done(&sync->reader, key, id, answer->code, answer->newer,
+			 answer->retry_after_ms);
 	if (answer->code)
 		LOG_WARN("platform_call_failed",
 			 LOG_TEXT("error", error_name(answer->code)),
@@ -135,7 +135,7 @@
 	sync->parts_call_id = call_id;
 	sync->parts_digest = raw_digest;
 	table_parts_reuse(sync->parts, &sync->last_parts);
-	if (table_parts_key(sync->parts))
+	if (table_parts_next_key(sync->parts))
 		fetch_next_part(sync);
 	else
 		parts_complete(sync);
@@ -189,12 +189,13 @@
 	sync->ops->instances(sync->ctx, answer->text, answer->revision);
 }
 
-void table_sync_answered(struct table_sync *sync, enum reader_key key,
-			 uint64_t id, const struct platform_answer *answer)
+void table_sync_receive_answer(struct table_sync *sync, enum reader_key key,
+			       uint64_t id,
+			       const struct platform_answer *answer)
 {
 	bool parts = false;
 
-	if (!reader_awaits(&sync->reader, key, id))
+	if (!reader_is_current_call(&sync->reader, key, id))
 		return;
 	if (!answer->code && answer->newer && key == READER_INSTANCES)
 		take_instances(sync, answer);
@@ -223,8 +224,8 @@
 	finish_call(sync, READER_TABLE, sync->parts_call_id, &failed);
 }
 
-void table_sync_part(struct table_sync *sync, uint64_t id,
-		     const struct platform_answer *answer)
+void table_sync_receive_part(struct table_sync *sync, uint64_t id,
+			     const struct platform_answer *answer)
 {
 	int code = answer->code;
 	struct error err = {0};
@@ -232,14 +233,14 @@
 
 	if (!sync->parts || id != sync->part_id)
 		return;
-	key = table_parts_key(sync->parts);
+	key = table_parts_next_key(sync->parts);
 	if (code == ERR_KEY_MISSING || (!code && !answer->newer))
 		code = ERR_PART;
 	if (!code)
 		code = table_parts_add(sync->parts, answer->text, &err);
 	if (code)
 		parts_failed(sync, key, code);
-	else if (table_parts_key(sync->parts))
+	else if (table_parts_next_key(sync->parts))
 		fetch_next_part(sync);
 	else
 		parts_complete(sync);
--- a/table_sync_state.c
+++ b/table_sync_state.c
@@ -15,7 +15,7 @@
 	[TABLE_ALARM_UNCONFIRMED] = "table_unconfirmed",
 };
 
-const char *const table_doubt_names[] = {
+const char *const table_confirmation_names[] = {
 	[TABLE_CONFIRMED] = "confirmed",
 	[TABLE_NONE] = "no_table",
 	[TABLE_UNHEARD] = "never_confirmed",
@@ -125,7 +125,7 @@
 	return sync->want.revision > table_sync_revision(sync);
 }
 
-enum table_doubt table_sync_doubt(const struct table_sync *sync)
+enum table_confirmation table_sync_confirmation(const struct table_sync *sync)
 {
 	int64_t bound = MSEC(sync->reader.tunables->table_confirm_ms);
 
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -71,7 +71,7 @@
 static void check_best(struct catalog *catalog)
 {
 	const struct catalog_placement *best =
-		catalog_best(catalog, STR("desk"));
+		catalog_best_placement(catalog, STR("desk"));
 
 	if (best && best->covered > best->map->total)
 		__builtin_trap();
@@ -115,7 +115,7 @@
 	/* Twice: maps are only kept once a server is known to hold them. */
 	take_input(&peer, data, size);
 	take_input(&peer, data, size);
-	catalog_drop_home(&peer.catalog, STR("peer"));
+	catalog_remove_instance(&peer.catalog, STR("peer"));
 	check_best(&peer.catalog);
 	catalog_finish(&peer.catalog);
 	table_finish(&table);
--- a/tests/fuzz/fuzz_view.c
+++ b/tests/fuzz/fuzz_view.c
@@ -28,7 +28,7 @@
 {
 	struct world *world = arg;
 
-	view_share_changed(&world->share, id, changed_at, removed);
+	view_share_record_change(&world->share, id, changed_at, removed);
 }
 
 static void on_closing(void *arg, struct registry_server *server)
@@ -99,7 +99,7 @@
 	}
 	clock_advance(&world->clock, MSEC(700));
 	store_sync_tick(&world->sync);
-	view_share_read(&world->share);
+	view_share_publish(&world->share);
 }
 
 /* Several messages, each behind a byte with its length. */
--- a/tests/matrix_world.c
+++ b/tests/matrix_world.c
@@ -655,7 +655,7 @@
 	struct world_instance *to = &world->instances[event->to];
 	struct world_instance *from = &world->instances[event->from];
 
-	catalog_drop_home(&to->board.catalog, str_from(from->name));
+	catalog_remove_instance(&to->board.catalog, str_from(from->name));
 	home_link_lost(&to->home, &to->links[event->from]);
 	searches_home_lost(&to->searches, str_from(from->name));
 }
@@ -970,7 +970,7 @@
 
 		if (!is_home_of(instance->index, i))
 			continue;
-		server = home_put_server(
+		server = home_find_or_add_server(
 			&instance->home,
 			str_from(instance->world->servers[i].name));
 		home_set_share(&instance->home, server, SLOTS / 2, SLOTS / 2);
--- a/tests/member_sim.c
+++ b/tests/member_sim.c
@@ -186,7 +186,7 @@
 	struct sim_node *node = arg;
 
 	if (node->sim->table)
-		share_confirmed(&node->share, sent_at);
+		share_confirm_lease(&node->share, sent_at);
 }
 
 static uint64_t random_bits(void *arg)
@@ -373,7 +373,8 @@
 		use->used = use->usable;
 		use->drain_at = 0;
 	}
-	share_in_use(&node->share, row, use->used.slots, use->used.connections);
+	share_report_usage(&node->share, row, use->used.slots,
+			   use->used.connections);
 }
 
 /* What one instance may use has perhaps changed: check the sums. */
@@ -576,7 +577,7 @@
 		peer__view_state__unpack(NULL, message->len,
 					 (const uint8_t *)message->data);
 
-	share_view_state(&node->share, state);
+	share_receive_view_state(&node->share, state);
 	peer__view_state__free_unpacked(state, NULL);
 }
 
--- a/tests/table_sim.c
+++ b/tests/table_sim.c
@@ -544,37 +544,37 @@
 static void sync_answered(void *state, enum reader_key key, uint64_t id,
 			  const struct platform_answer *answer)
 {
-	table_sync_answered(state, key, id, answer);
+	table_sync_receive_answer(state, key, id, answer);
 }
 
 static void sync_part(void *state, uint64_t id,
 		      const struct platform_answer *answer)
 {
-	table_sync_part(state, id, answer);
+	table_sync_receive_part(state, id, answer);
 }
 
 static void sync_heard(void *state, const char *peer, uint64_t revision,
 		       uint64_t digest, uint32_t age_ms)
 {
-	table_sync_heard(state, peer, revision, digest, age_ms);
+	table_sync_receive_heartbeat(state, peer, revision, digest, age_ms);
 }
 
 static void sync_digest(void *state, const char *peer,
 			const Peer__TableDigest *message)
 {
-	table_sync_digest(state, peer, message);
+	table_sync_receive_digest(state, peer, message);
 }
 
 static void sync_request(void *state, const char *peer,
 			 const Peer__TableRequest *message)
 {
-	table_sync_request(state, peer, message);
+	table_sync_receive_request(state, peer, message);
 }
 
 static void sync_update(void *state, const char *peer,
 			const Peer__TableUpdate *message)
 {
-	table_sync_update(state, peer, message);
+	table_sync_receive_update(state, peer, message);
 }
 
 static const struct table *sync_in_force(const void *state)
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -577,7 +577,7 @@
 			continue;
 		DL_DELETE(pool->running, job);
 		pool->n_busy--;
-		slot_queue_served(&pool->queue, job->service_time);
+		slot_queue_record_time(&pool->queue, job->service_time);
 		leave_entry(model, job, sample);
 		end_job(model, job, true);
 	}
--- a/tests/test_catalog.c
+++ b/tests/test_catalog.c
@@ -7,7 +7,7 @@
 
 static const struct catalog_placement *best(struct path_board *path)
 {
-	return catalog_best(&path->board.catalog, STR(PATH_SERVICE));
+	return catalog_best_placement(&path->board.catalog, STR(PATH_SERVICE));
 }
 
 static void test_coverage_counts_reachable_records(void)
@@ -107,15 +107,15 @@
 	path_board_init(&path, 1);
 	path_put(&path, "h1", "b1", 1, 1, "0");
 	path_put(&path, "h2", "b1", 1, 1, "0");
-	catalog_drop_home(&path.board.catalog, STR("h1"));
+	catalog_remove_instance(&path.board.catalog, STR("h1"));
 	CU_ASSERT_EQUAL(best(&path)->covered, PATH_HELD);
 	/* h2 gives its share up. */
 	path_put_state(&path, "h2", "b1", 0, &held, 1);
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
 	path_put_state(&path, "h1", "b1", 1, &held, 1);
 	CU_ASSERT_EQUAL(best(&path)->covered, PATH_HELD);
-	catalog_drop_home(&path.board.catalog, STR("h1"));
-	catalog_drop_home(&path.board.catalog, STR("h1"));
+	catalog_remove_instance(&path.board.catalog, STR("h1"));
+	catalog_remove_instance(&path.board.catalog, STR("h1"));
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
 	path_board_finish(&path);
 }
@@ -163,7 +163,7 @@
 	path_put(&path, "h2", "b2", 1, 1, "0");
 	path_put_state(&path, "h1", "b2", 0, &held, 1);
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.servers), 2);
-	catalog_drop_home(&path.board.catalog, STR("h2"));
+	catalog_remove_instance(&path.board.catalog, STR("h2"));
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.servers), 1);
 	CU_ASSERT_PTR_NULL(path.board.catalog.maps);
 	path_put_state(&path, "h1", "b2", 0, &held, 1);
@@ -301,7 +301,7 @@
 	path_board_init(&path, 2);
 	catalog = &path.board.catalog;
 	path_put(&path, "h1", "b1", 1, 1, "0");
-	server = catalog_server_hold(best(&path)->servers[0]);
+	server = catalog_server_ref(best(&path)->servers[0]);
 	path_set_servers(&path, 2, 1);
 	CU_ASSERT_STRING_EQUAL(server->name, "b1");
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
@@ -314,9 +314,9 @@
 	CU_ASSERT_EQUAL_FATAL(best(&path) != NULL, true);
 	CU_ASSERT_PTR_EQUAL(best(&path)->servers[0], server);
 	path_set_servers(&path, 2, 1);
-	catalog_server_release(catalog, server);
+	catalog_server_unref(catalog, server);
 	CU_ASSERT_EQUAL(HASH_COUNT(catalog->servers), 2);
-	catalog_drop_home(catalog, STR("h1"));
+	catalog_remove_instance(catalog, STR("h1"));
 	CU_ASSERT_EQUAL(HASH_COUNT(catalog->servers), 1);
 	path_board_finish(&path);
 }
@@ -329,13 +329,13 @@
 
 	path_board_init(&path, 1);
 	path_put(&path, "h1", "b1", 1, 2, "01");
-	map = catalog_map_hold(best(&path)->map);
+	map = catalog_map_ref(best(&path)->map);
 	path_put(&path, "h1", "b1", 2, 3, "012");
 	path_put(&path, "h1", "b1", 2, 3, "012");
 	CU_ASSERT_EQUAL(map->n_shards, 2);
-	CU_ASSERT_PTR_NULL(catalog_at(&path.board.catalog, map));
+	CU_ASSERT_PTR_NULL(catalog_find_placement(&path.board.catalog, map));
 	CU_ASSERT_EQUAL(best(&path)->map->version, 2);
-	catalog_map_release(&path.board.catalog, map);
+	catalog_map_unref(&path.board.catalog, map);
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.maps), 1);
 	path_board_finish(&path);
 }
