--- a/tests/test_cordon.c
+++ b/tests/test_cordon.c
@@ -49,13 +49,13 @@
 				  .removed = removed};
 
 	snprintf(item.name, sizeof(item.name), "%s", dc);
-	cordon_sync_item(&world->sync, &item);
+	cordon_sync_apply_item(&world->sync, &item);
 	cordon_sync_confirm(&world->sync, at);
 }
 
 static struct registry_server *pick(struct world *world)
 {
-	static const struct registry_choice anywhere;
+	static const struct registry_criteria anywhere;
 
 	return registry_pick(registry_service(&world->registry, STR("s")),
 			     &anywhere, clock_now(&world->clock));
@@ -125,22 +125,22 @@
 
 	world_init(&world);
 	change(&world, "dc1", 10, false);
-	cordons_put(&from, STR("dc2"), 15);
-	cordon_sync_take(&world.sync, &from);
-	CU_ASSERT(!cordons_hold(&world.registry.cordons, STR("dc1")));
-	CU_ASSERT(cordons_hold(&world.registry.cordons, STR("dc2")));
+	cordon_set_add(&from, STR("dc2"), 15);
+	cordon_sync_apply_peer_set(&world.sync, &from);
+	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc1")));
+	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc2")));
 	from = (struct cordons){.at = 12};
-	cordons_put(&from, STR("dc1"), 10);
-	cordon_sync_take(&world.sync, &from);
-	CU_ASSERT(!cordons_hold(&world.registry.cordons, STR("dc1")));
-	CU_ASSERT(cordons_hold(&world.registry.cordons, STR("dc2")));
+	cordon_set_add(&from, STR("dc1"), 10);
+	cordon_sync_apply_peer_set(&world.sync, &from);
+	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc1")));
+	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc2")));
 	/* What the peer cannot know yet stays. */
 	change(&world, "dc3", 30, false);
 	world.registry.cordons.at = 20;
 	from = (struct cordons){.at = 25};
-	cordon_sync_take(&world.sync, &from);
-	CU_ASSERT(cordons_hold(&world.registry.cordons, STR("dc3")));
-	CU_ASSERT(!cordons_hold(&world.registry.cordons, STR("dc2")));
+	cordon_sync_apply_peer_set(&world.sync, &from);
+	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc3")));
+	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc2")));
 	registry_finish(&world.registry);
 }
 
@@ -157,8 +157,8 @@
 	cordon_sync_begin_list(&world.sync);
 	change(&world, "dc2", 12, false);
 	cordon_sync_end_list(&world.sync, 15);
-	CU_ASSERT(!cordons_hold(&world.registry.cordons, STR("dc1")));
-	CU_ASSERT(cordons_hold(&world.registry.cordons, STR("dc2")));
+	CU_ASSERT(!cordon_set_contains(&world.registry.cordons, STR("dc1")));
+	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc2")));
 	registry_finish(&world.registry);
 }
 
@@ -171,7 +171,7 @@
 	change(&world, "dc1", 10, false);
 	change(&world, "dc1", 12, false);
 	change(&world, "dc1", 11, true);
-	CU_ASSERT(cordons_hold(&world.registry.cordons, STR("dc1")));
+	CU_ASSERT(cordon_set_contains(&world.registry.cordons, STR("dc1")));
 	registry_finish(&world.registry);
 }
 
@@ -183,9 +183,9 @@
 
 	for (i = 0; i < CORDONS_MAX; i++) {
 		snprintf(name, sizeof(name), "dc%d", i);
-		CU_ASSERT(cordons_put(&cordons, str_from(name), 1));
+		CU_ASSERT(cordon_set_add(&cordons, str_from(name), 1));
 	}
-	CU_ASSERT(!cordons_put(&cordons, STR("one-more"), 1));
+	CU_ASSERT(!cordon_set_add(&cordons, STR("one-more"), 1));
 	CU_ASSERT(cordons.n == CORDONS_MAX);
 }
 
--- a/tests/test_directory.c
+++ b/tests/test_directory.c
@@ -28,7 +28,7 @@
 					    candidate("b", true),
 					    candidate("a", true),
 					    candidate("a", false)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	CU_ASSERT(choose(all, 4, STR("a"), out) == 3);
 	CU_ASSERT(out[0] == 0 && out[1] == 2 && out[2] == 1);
@@ -46,7 +46,7 @@
 	struct directory_candidate all[40];
 	bool named[40] = {false};
 	char dc[8];
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 	int different = 0;
 	int i;
 
@@ -76,7 +76,7 @@
 	struct directory_candidate all[] = {candidate("a", true),
 					    candidate("b", true),
 					    candidate("a", false)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	CU_ASSERT(choose(all, 3, STR("a"), out) == 2);
 	CU_ASSERT(choose(all, 3, STR("elsewhere"), out) == 2);
@@ -85,7 +85,7 @@
 static void test_none_ready(void)
 {
 	struct directory_candidate all[] = {candidate("a", false)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	CU_ASSERT(choose(all, 1, STR("a"), out) == 0);
 	CU_ASSERT(choose(all, 0, STR("a"), out) == 0);
@@ -101,7 +101,7 @@
 					    candidate("a", true),
 					    candidate("b", true),
 					    candidate("b", true)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	all[0].capacity = 120;
 	all[1].capacity = 500;
@@ -122,7 +122,7 @@
 {
 	struct directory_candidate all[] = {candidate("a", true),
 					    candidate("a", true)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	all[0].capacity = 250;
 	all[1].capacity = 300;
@@ -131,14 +131,14 @@
 
 static void test_bounded(void)
 {
-	static struct directory_candidate all[DIRECTORY_MAX + 9];
-	int out[DIRECTORY_MAX];
+	static struct directory_candidate all[DIRECTORY_ADDRESSES_MAX + 9];
+	int out[DIRECTORY_ADDRESSES_MAX];
 	int i;
 
-	for (i = 0; i < DIRECTORY_MAX + 9; i++)
+	for (i = 0; i < DIRECTORY_ADDRESSES_MAX + 9; i++)
 		all[i] = candidate("a", true);
-	CU_ASSERT(choose(all, DIRECTORY_MAX + 9, STR("a"), out) ==
-		  DIRECTORY_MAX);
+	CU_ASSERT(choose(all, DIRECTORY_ADDRESSES_MAX + 9, STR("a"), out) ==
+		  DIRECTORY_ADDRESSES_MAX);
 }
 
 /*
@@ -152,7 +152,7 @@
 					    candidate("a2", true),
 					    candidate("b", true),
 					    candidate("c", true)};
-	int out[DIRECTORY_MAX];
+	int out[DIRECTORY_ADDRESSES_MAX];
 
 	all[2].region = "home";
 	all[3].region = "foreign";
--- a/tests/test_dispatch_forecast.c
+++ b/tests/test_dispatch_forecast.c
@@ -13,9 +13,9 @@
 	     server = server->hh.next) {
 		if (server->entry.service[1] - '0' < first)
 			continue;
-		server_outlook_told(&server->outlook, 0, ahead, now);
-		server_outlook_paced(&server->outlook, (double)USUAL_LATENCY,
-				     now);
+		server_estimate_set_wait(&server->outlook, 0, ahead, now);
+		server_estimate_add_report(&server->outlook,
+					   (double)USUAL_LATENCY, now);
 	}
 }
 
@@ -175,16 +175,16 @@
 /* A burst must not find each queue as short as its first request did. */
 static void test_own_sends_count(void)
 {
-	const struct server_outlook *outlook;
+	const struct server_estimate *outlook;
 	struct world world;
 
 	init(&world, 0);
 	report_wait(&world, 0, 0);
 	start(&world, "/shards/");
 	outlook = &world.sent[0]->server->outlook;
-	CU_ASSERT(server_outlook_ahead(outlook, 0, world.dispatch.start) ==
+	CU_ASSERT(server_estimate_wait(outlook, 0, world.dispatch.start) ==
 		  USUAL_LATENCY / 2);
-	CU_ASSERT(server_outlook_ahead(outlook, 3, world.dispatch.start) ==
+	CU_ASSERT(server_estimate_wait(outlook, 3, world.dispatch.start) ==
 		  USUAL_LATENCY / 2);
 	world_finish(&world);
 }
--- a/tests/test_list_sync.c
+++ b/tests/test_list_sync.c
@@ -194,8 +194,8 @@
 		const struct instance_list *list =
 			list_sync_newest(&other->sync);
 
-		list_sync_heard(&node->sync, other->name, list->revision,
-				list->digest);
+		list_sync_peer_revision(&node->sync, other->name,
+					list->revision, list->digest);
 		list_sync_tick(&node->sync);
 	}
 	deliver(net);
@@ -230,8 +230,9 @@
 			i == changed ? (int)revision : 0, i ? "," : "");
 	fputs("]", out);
 	fclose(out);
-	CU_ASSERT_EQUAL(list_sync_platform(&reader_of(net)->sync,
-					   (struct str){text, len}, revision),
+	CU_ASSERT_EQUAL(list_sync_platform_list(&reader_of(net)->sync,
+						(struct str){text, len},
+						revision),
 			0);
 	free(text);
 }
@@ -320,9 +321,11 @@
 	net_init(&net);
 	start(&net);
 	sync = &reader_of(&net)->sync;
-	CU_ASSERT_EQUAL(list_sync_platform(sync, STR("[]"), 9), ERR_STALE);
-	CU_ASSERT_EQUAL(list_sync_platform(sync, STR("[]"), 10), ERR_STALE);
-	CU_ASSERT_EQUAL(list_sync_platform(sync, STR("{}"), 11), ERR_SYNTAX);
+	CU_ASSERT_EQUAL(list_sync_platform_list(sync, STR("[]"), 9), ERR_STALE);
+	CU_ASSERT_EQUAL(list_sync_platform_list(sync, STR("[]"), 10),
+			ERR_STALE);
+	CU_ASSERT_EQUAL(list_sync_platform_list(sync, STR("{}"), 11),
+			ERR_SYNTAX);
 	update.revision = 9;
 	CU_ASSERT_EQUAL(list_sync_update(sync, "n1", &update), ERR_STALE);
 	update.revision = 11;
--- a/tests/test_outage.c
+++ b/tests/test_outage.c
@@ -20,7 +20,7 @@
 	int n_changes;
 };
 
-static const struct registry_choice anywhere;
+static const struct registry_criteria anywhere;
 
 static void on_check(void *arg, struct registry_server *server,
 		     struct outage_server *check)
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -46,14 +46,14 @@
 
 	records_init(&records, 4);
 	records_add(&records, (struct str){body[0], sizeof(body)}, 7);
-	records_cut(&records, floor);
+	records_drop_below(&records, floor);
 	CU_ASSERT_EQUAL(records.n, 4);
 	floor[1] = 1;
-	records_cut(&records, floor);
+	records_drop_below(&records, floor);
 	CU_ASSERT_EQUAL(records.n, 2);
 	CU_ASSERT_EQUAL(records.bytes[RECORD_SIZE], 3);
 	floor[0] = 5;
-	records_cut(&records, floor);
+	records_drop_below(&records, floor);
 	CU_ASSERT_EQUAL(records.n, 0);
 	records_finish(&records);
 }
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -46,7 +46,7 @@
 				    struct registry_server *tried,
 				    bool fresh_only, int64_t now)
 {
-	const struct registry_choice choice = {
+	const struct registry_criteria choice = {
 		.tried = &tried,
 		.n_tried = tried ? 1 : 0,
 		.fresh_only = fresh_only,
@@ -168,13 +168,13 @@
 	slow = put(&registry, "slow", "dc1", 1);
 	paused = put(&registry, "paused", "dc1", 2);
 	for (i = 0; i < 200; i++) {
-		registry_answered(slow->service, MSEC(15));
+		registry_record_latency(slow->service, MSEC(15));
 		server_score_sent(&paused->score, now);
 		server_score_result(&paused->score, SERVER_ANSWERED, MSEC(15),
 				    now);
 	}
 	for (i = 0; i < 20; i++) {
-		registry_answered(slow->service, MSEC(165));
+		registry_record_latency(slow->service, MSEC(165));
 		server_score_sent(&slow->score, now);
 		server_score_result(&slow->score, SERVER_ANSWERED, MSEC(165),
 				    now);
@@ -364,11 +364,11 @@
 	CU_ASSERT(put_born(&registry, 1000, 4) == server);
 	CU_ASSERT(put_born(&registry, 1000, 6) == server);
 	CU_ASSERT(server->entry.born == 2000);
-	CU_ASSERT(registry_born(&registry, server, 1000) == server);
+	CU_ASSERT(registry_note_start(&registry, server, 1000) == server);
 	/* One that does not say when it started is the one that is known. */
 	CU_ASSERT(put_born(&registry, 0, 7) == server);
 	CU_ASSERT(server->entry.born == 2000);
-	CU_ASSERT(registry_born(&registry, server, 0) == server);
+	CU_ASSERT(registry_note_start(&registry, server, 0) == server);
 	CU_ASSERT(n_closed == 0);
 	/* Which is the earlier is told by the later one, not by a removal. */
 	CU_ASSERT(registry_remove(&registry, STR("a"), 8));
@@ -385,7 +385,7 @@
 
 	init(&registry);
 	earlier = put_born(&registry, 1000, 1);
-	server = registry_born(&registry, earlier, 2000);
+	server = registry_note_start(&registry, earlier, 2000);
 	CU_ASSERT(server != earlier);
 	CU_ASSERT(server->entry.born == 2000);
 	CU_ASSERT(n_closed == 1);
@@ -413,13 +413,13 @@
 	first->n_conns = 2;
 	second = registry_server_ref(put_born(&registry, 2000, 2));
 	second->n_conns = 1;
-	CU_ASSERT(registry_conns(second) == 3);
+	CU_ASSERT(registry_count_conns(second) == 3);
 	third = put_born(&registry, 3000, 3);
-	CU_ASSERT(registry_conns(third) == 3);
+	CU_ASSERT(registry_count_conns(third) == 3);
 	second->n_conns = 0;
-	CU_ASSERT(registry_conns(third) == 2);
+	CU_ASSERT(registry_count_conns(third) == 2);
 	first->n_conns = 0;
-	CU_ASSERT(registry_conns(third) == 0);
+	CU_ASSERT(registry_count_conns(third) == 0);
 	CU_ASSERT(!third->earlier);
 	registry_server_unref(first);
 	registry_server_unref(second);
@@ -429,15 +429,15 @@
 /* What a request did to a server is told among instances by this name. */
 static void test_name_of_a_start(void)
 {
-	char a[REGISTRY_LIFE_SIZE];
-	char b[REGISTRY_LIFE_SIZE];
+	char a[REGISTRY_INCARNATION_SIZE];
+	char b[REGISTRY_INCARNATION_SIZE];
 	struct registry registry;
 
 	init(&registry);
-	CU_ASSERT(
-		str_eq(registry_life(put_born(&registry, 0, 1), a), STR("a")));
-	registry_life(put_born(&registry, 1000, 2), a);
-	registry_life(put_born(&registry, 2000, 3), b);
+	CU_ASSERT(str_eq(registry_incarnation(put_born(&registry, 0, 1), a),
+			 STR("a")));
+	registry_incarnation(put_born(&registry, 1000, 2), a);
+	registry_incarnation(put_born(&registry, 2000, 3), b);
 	CU_ASSERT(strcmp(a, b));
 	registry_finish(&registry);
 }
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -316,9 +316,9 @@
 	tell_done(&world, &done, false, 1);
 	CU_ASSERT_EQUAL(world.took[0], MSEC(50));
 	CU_ASSERT_DOUBLE_EQUAL(server->score.latency, MSEC(10), 1);
-	CU_ASSERT_EQUAL(server_outlook_ahead(&server->outlook, 1, now),
+	CU_ASSERT_EQUAL(server_estimate_wait(&server->outlook, 1, now),
 			MSEC(30));
-	CU_ASSERT_EQUAL(server_outlook_ahead(&server->outlook, 0, now), 0);
+	CU_ASSERT_EQUAL(server_estimate_wait(&server->outlook, 0, now), 0);
 	CU_ASSERT_DOUBLE_EQUAL(server->outlook.pace, MSEC(9), 1);
 	finish(&world);
 }
--- a/tests/test_routes.c
+++ b/tests/test_routes.c
@@ -77,7 +77,7 @@
 	int i;
 
 	for (i = 0; i < 100; i++)
-		counts[route_deal(route) - set->services]++;
+		counts[route_pick_target(route) - set->services]++;
 	CU_ASSERT(counts[0] == 75);
 	CU_ASSERT(counts[1] == 25);
 	CU_ASSERT(counts[2] == 0);
--- a/tests/test_search.c
+++ b/tests/test_search.c
@@ -605,7 +605,7 @@
 	start(&world);
 	CU_ASSERT_EQUAL_FATAL(world.n_sent, 1);
 	home = world.sent[0].home;
-	catalog_drop_home(&world.path.board.catalog, str_from(home));
+	catalog_remove_instance(&world.path.board.catalog, str_from(home));
 	searches_home_lost(&world.searches, str_from(home));
 	CU_ASSERT_EQUAL(world.n_done, 0);
 	CU_ASSERT_EQUAL_FATAL(world.n_sent, 2);
@@ -627,7 +627,7 @@
 	set_up(&world, 1);
 	path_put(&world.path, "h1", "b1", 1, 1, "0");
 	start(&world);
-	catalog_drop_home(&world.path.board.catalog, STR("h1"));
+	catalog_remove_instance(&world.path.board.catalog, STR("h1"));
 	searches_home_lost(&world.searches, STR("h1"));
 	CU_ASSERT_EQUAL(world.n_done, 1);
 	CU_ASSERT_STRING_EQUAL(world.outcome, "unknown");
--- a/tests/test_server_load.c
+++ b/tests/test_server_load.c
@@ -16,7 +16,7 @@
 
 	CU_ASSERT(!parse("3,0,8", &load));
 	CU_ASSERT(load.running == 3 && !load.waiting && load.slots == 8);
-	CU_ASSERT(load.pace == SERVER_PACE_USUAL);
+	CU_ASSERT(load.pace == SERVER_SLOWDOWN_NONE);
 	CU_ASSERT(!parse(" 2 , 11 ,2,\t400 ", &load));
 	CU_ASSERT(load.running == 2 && load.waiting == 11 && load.slots == 2);
 	CU_ASSERT(load.pace == 400);
--- a/tests/test_server_outlook.c
+++ b/tests/test_server_outlook.c
@@ -8,44 +8,48 @@
 
 static void test_levels(void)
 {
-	CU_ASSERT(server_outlook_level(-1) == 0);
-	CU_ASSERT(server_outlook_level(0) == 0);
-	CU_ASSERT(server_outlook_level(2) == 2);
-	CU_ASSERT(server_outlook_level(99) == OUTLOOK_LEVELS - 1);
+	CU_ASSERT(server_estimate_level(-1) == 0);
+	CU_ASSERT(server_estimate_level(0) == 0);
+	CU_ASSERT(server_estimate_level(2) == 2);
+	CU_ASSERT(server_estimate_level(99) == ESTIMATE_LEVELS - 1);
 }
 
 /* Nothing was told: a server is never taken for busy. */
 static void test_unknown(void)
 {
-	struct server_outlook outlook = {.pace = 0};
+	struct server_estimate outlook = {.pace = 0};
 
-	CU_ASSERT(server_outlook_ahead(&outlook, 0, START) == 0);
-	CU_ASSERT(server_outlook_pace(&outlook, USUAL, START) == USUAL);
+	CU_ASSERT(server_estimate_wait(&outlook, 0, START) == 0);
+	CU_ASSERT(server_estimate_processing_time(&outlook, USUAL, START) ==
+		  USUAL);
 }
 
 static void test_work_drains(void)
 {
-	struct server_outlook outlook = {.pace = 0};
+	struct server_estimate outlook = {.pace = 0};
 
-	server_outlook_told(&outlook, 1, MSEC(50), START);
-	CU_ASSERT(server_outlook_ahead(&outlook, 1, START) == MSEC(50));
-	CU_ASSERT(server_outlook_ahead(&outlook, 1, START + MSEC(20)) ==
+	server_estimate_set_wait(&outlook, 1, MSEC(50), START);
+	CU_ASSERT(server_estimate_wait(&outlook, 1, START) == MSEC(50));
+	CU_ASSERT(server_estimate_wait(&outlook, 1, START + MSEC(20)) ==
 		  MSEC(30));
-	CU_ASSERT(server_outlook_ahead(&outlook, 1, START + MSEC(60)) == 0);
-	CU_ASSERT(server_outlook_ahead(&outlook, 0, START) == 0);
+	CU_ASSERT(server_estimate_wait(&outlook, 1, START + MSEC(60)) == 0);
+	CU_ASSERT(server_estimate_wait(&outlook, 0, START) == 0);
 }
 
 /* A server that was slow and gets no requests is tried again. */
 static void test_pace_fades(void)
 {
-	struct server_outlook outlook = {.pace = 0};
+	struct server_estimate outlook = {.pace = 0};
 	double soon;
 	double late;
 
-	server_outlook_paced(&outlook, 8 * USUAL, START);
-	CU_ASSERT(server_outlook_pace(&outlook, USUAL, START) == 8 * USUAL);
-	soon = server_outlook_pace(&outlook, USUAL, START + MSEC(500));
-	late = server_outlook_pace(&outlook, USUAL, START + MSEC(10000));
+	server_estimate_add_report(&outlook, 8 * USUAL, START);
+	CU_ASSERT(server_estimate_processing_time(&outlook, USUAL, START) ==
+		  8 * USUAL);
+	soon = server_estimate_processing_time(&outlook, USUAL,
+					       START + MSEC(500));
+	late = server_estimate_processing_time(&outlook, USUAL,
+					       START + MSEC(10000));
 	CU_ASSERT(soon > 5 * USUAL && soon < 8 * USUAL);
 	CU_ASSERT(late < 1.1 * USUAL);
 }
@@ -53,14 +57,15 @@
 /* A peer may tell any number. */
 static void test_odd_figures(void)
 {
-	struct server_outlook outlook = {.pace = 0};
+	struct server_estimate outlook = {.pace = 0};
 
-	server_outlook_told(&outlook, 0, -5, START);
-	CU_ASSERT(server_outlook_ahead(&outlook, 0, START) == 0);
-	server_outlook_told(&outlook, 0, INT64_MAX, START);
-	CU_ASSERT(server_outlook_ahead(&outlook, 0, START) <= MSEC(10000));
-	server_outlook_paced(&outlook, 0, START);
-	CU_ASSERT(server_outlook_pace(&outlook, USUAL, START) == USUAL);
+	server_estimate_set_wait(&outlook, 0, -5, START);
+	CU_ASSERT(server_estimate_wait(&outlook, 0, START) == 0);
+	server_estimate_set_wait(&outlook, 0, INT64_MAX, START);
+	CU_ASSERT(server_estimate_wait(&outlook, 0, START) <= MSEC(10000));
+	server_estimate_add_report(&outlook, 0, START);
+	CU_ASSERT(server_estimate_processing_time(&outlook, USUAL, START) ==
+		  USUAL);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_server_pace.c
+++ b/tests/test_server_pace.c
@@ -65,7 +65,7 @@
 
 		registry_init(registry, str_from(data_centres[i % SERVERS]),
 			      on_closing, NULL);
-		registry->shared_pace = true;
+		registry->use_shared_estimates = true;
 		for (k = 0; k < SERVERS; k++)
 			add_server(registry, k, 1);
 	}
@@ -121,21 +121,21 @@
 		seen = server_at(world, relay, part->server);
 		server_score_sent(&seen->score, now);
 		server_score_result(&own->score, SERVER_ANSWERED, took, now);
-		registry_answered(own->service, took);
+		registry_record_latency(own->service, took);
 	}
-	server_pace_result(seen, SERVER_ANSWERED, took, now);
-	server_outlook_told(&seen->outlook, 0, ahead_at(world, part->server),
-			    now);
+	server_timing_result(seen, SERVER_ANSWERED, took, now);
+	server_estimate_set_wait(&seen->outlook, 0,
+				 ahead_at(world, part->server), now);
 	if (seen == own)
 		return;
-	server_outlook_told(&own->outlook, 0, ahead_at(world, part->server),
-			    now);
-	server_pace_told(own, seen->outlook.pace, "relay", now);
+	server_estimate_set_wait(&own->outlook, 0,
+				 ahead_at(world, part->server), now);
+	server_timing_add_report(own, seen->outlook.pace, "relay", now);
 }
 
 static void send_part(struct world *world, int entry)
 {
-	const struct registry_choice choice = {
+	const struct registry_criteria choice = {
 		.relayed = true,
 		.salt = (uint64_t)(world->n_parts * ENTRIES + entry)};
 	int64_t now = clock_now(&world->clock);
@@ -273,7 +273,8 @@
 
 static struct registry_server *picked(struct world *world, int entry, int level)
 {
-	const struct registry_choice choice = {.relayed = true, .level = level};
+	const struct registry_criteria choice = {.relayed = true,
+						 .level = level};
 
 	return registry_pick(registry_service(&world->entries[entry],
 					      STR("shard")),
@@ -289,12 +290,13 @@
 	start(&world);
 	play(&world, 500, moderate);
 	near = server_at(&world, 0, 0);
-	server_outlook_told(&near->outlook, 0, MSEC(200),
-			    clock_now(&world.clock));
-	server_pace_told(near, 6 * USUAL, "relay", clock_now(&world.clock));
+	server_estimate_set_wait(&near->outlook, 0, MSEC(200),
+				 clock_now(&world.clock));
+	server_timing_add_report(near, 6 * USUAL, "relay",
+				 clock_now(&world.clock));
 	CU_ASSERT(picked(&world, 0, 0) != near);
 	/* Nothing was told of this level. */
-	CU_ASSERT(server_outlook_ahead(&near->outlook, 1,
+	CU_ASSERT(server_estimate_wait(&near->outlook, 1,
 				       clock_now(&world.clock)) == 0);
 	clock_advance(&world.clock, MSEC(8000));
 	CU_ASSERT(picked(&world, 0, 0) == near);
@@ -311,17 +313,19 @@
 	start(&world);
 	play(&world, 500, moderate);
 	near = server_at(&world, 0, 0);
-	server_pace_told(near, 1e300, "relay", clock_now(&world.clock));
-	pace = server_outlook_pace(&near->outlook, USUAL,
-				   clock_now(&world.clock));
+	server_timing_add_report(near, 1e300, "relay", clock_now(&world.clock));
+	pace = server_estimate_processing_time(&near->outlook, USUAL,
+					       clock_now(&world.clock));
 	CU_ASSERT(pace <= 16 * USUAL);
-	server_pace_told(near, -1e300, "relay", clock_now(&world.clock));
-	CU_ASSERT(pace == server_outlook_pace(&near->outlook, USUAL,
-					      clock_now(&world.clock)));
+	server_timing_add_report(near, -1e300, "relay",
+				 clock_now(&world.clock));
+	CU_ASSERT(pace ==
+		  server_estimate_processing_time(&near->outlook, USUAL,
+						  clock_now(&world.clock)));
 	clock_advance(&world.clock, MSEC(500));
-	server_pace_told(near, 1, "relay", clock_now(&world.clock));
-	CU_ASSERT(server_outlook_pace(&near->outlook, USUAL,
-				      clock_now(&world.clock)) >=
+	server_timing_add_report(near, 1, "relay", clock_now(&world.clock));
+	CU_ASSERT(server_estimate_processing_time(&near->outlook, USUAL,
+						  clock_now(&world.clock)) >=
 		  (double)USUAL / 16);
 	/* Its answers tell: within two seconds it has no more than its share.
 	 */
@@ -333,7 +337,7 @@
 /* Guards against a server taken for stopped while parts wait at its relay. */
 static void test_waiting_is_not_a_stop(void)
 {
-	struct registry_choice choice = {.fresh_only = true, .relayed = true};
+	struct registry_criteria choice = {.fresh_only = true, .relayed = true};
 	struct registry_service *service;
 	struct registry_server *server;
 	struct world world;
@@ -345,7 +349,7 @@
 	now = clock_now(&world.clock);
 	service = registry_service(&world.entries[0], STR("shard"));
 	server = server_at(&world, 0, 0);
-	server_outlook_told(&server->outlook, 2, MSEC(80), now);
+	server_estimate_set_wait(&server->outlook, 2, MSEC(80), now);
 	server_score_sent(&server->score, now);
 	CU_ASSERT(registry_pick(service, &choice, now + MSEC(90)) == server);
 	CU_ASSERT(!registry_pick(service, &choice, now + MSEC(150)));
@@ -359,11 +363,12 @@
 	struct world world;
 
 	start(&world);
-	world.entries[0].shared_pace = false;
+	world.entries[0].use_shared_estimates = false;
 	near = server_at(&world, 0, 0);
-	server_outlook_told(&near->outlook, 0, MSEC(200),
-			    clock_now(&world.clock));
-	server_pace_told(near, 16 * USUAL, "relay", clock_now(&world.clock));
+	server_estimate_set_wait(&near->outlook, 0, MSEC(200),
+				 clock_now(&world.clock));
+	server_timing_add_report(near, 16 * USUAL, "relay",
+				 clock_now(&world.clock));
 	CU_ASSERT(picked(&world, 0, 0) == near);
 	finish(&world);
 }
--- a/tests/test_server_queue.c
+++ b/tests/test_server_queue.c
@@ -18,7 +18,7 @@
 struct asked {
 	struct upstream_request request;
 	char id[8];
-	struct server_turn *turn; /* NULL once it is over */
+	struct server_job *turn; /* NULL once it is over */
 	int64_t priority;
 	int64_t goal_at;
 	int64_t work;
@@ -49,12 +49,12 @@
 	int64_t wake_at;
 };
 
-static struct asked *asked_of(const struct server_turn *turn)
+static struct asked *asked_of(const struct server_job *turn)
 {
 	return turn->arg;
 }
 
-static int on_send(void *arg, struct server_turn *turn)
+static int on_send(void *arg, struct server_job *turn)
 {
 	struct world *world = arg;
 	struct asked *asked = asked_of(turn);
@@ -73,14 +73,14 @@
 	return 0;
 }
 
-static void on_abandon(void *arg, struct server_turn *turn, int64_t linger)
+static void on_abandon(void *arg, struct server_job *turn, int64_t linger)
 {
 	(void)arg;
 	(void)linger;
 	asked_of(turn)->turn = NULL;
 }
 
-static void on_hurry(void *arg, struct server_turn *turn, int64_t linger)
+static void on_hurry(void *arg, struct server_job *turn, int64_t linger)
 {
 	(void)arg;
 	(void)turn;
@@ -167,8 +167,8 @@
 	server_score_result(&world->server->score, server_result_of(code, true),
 			    took, now);
 	if (asked->turn)
-		server_turn_over(asked->turn, &result);
-	server_queue_freed(&world->queues, world->server);
+		server_job_done(asked->turn, &result);
+	server_queue_capacity_freed(&world->queues, world->server);
 }
 
 static void step(struct world *world)
@@ -203,7 +203,8 @@
 {
 	struct asked *asked = &world->asked[world->n++];
 	int64_t now = clock_now(&world->clock);
-	struct server_rank rank = {.priority = priority, .goal_at = now + goal};
+	struct server_job_rank rank = {.priority = priority,
+				       .goal_at = now + goal};
 	int ret;
 
 	snprintf(asked->id, sizeof(asked->id), "%d", world->n);
@@ -354,9 +355,9 @@
 
 	start(&world);
 	for (i = 0; i < 100; i++) {
-		CU_ASSERT(!server_turn_waits(
+		CU_ASSERT(!server_job_is_unsent(
 			ask(&world, 1, MSEC(100), MSEC(4))->turn));
-		CU_ASSERT_EQUAL(server_outlook_ahead(&world.server->outlook, 1,
+		CU_ASSERT_EQUAL(server_estimate_wait(&world.server->outlook, 1,
 						     clock_now(&world.clock)),
 				0);
 		pass(&world, MSEC(5));
@@ -368,7 +369,7 @@
 /* The outlook counts what goes first, by urgency. */
 static void test_outlook(void)
 {
-	struct server_outlook *outlook;
+	struct server_estimate *outlook;
 	struct world world;
 	int64_t now;
 	int i;
@@ -378,11 +379,11 @@
 	for (i = 0; i < MOST + 3; i++)
 		ask(&world, 1, MSEC(500), MSEC(10));
 	now = clock_now(&world.clock);
-	CU_ASSERT_EQUAL(server_outlook_ahead(outlook, 0, now), MSEC(10) / MOST);
-	CU_ASSERT_EQUAL(server_outlook_ahead(outlook, 1, now),
+	CU_ASSERT_EQUAL(server_estimate_wait(outlook, 0, now), MSEC(10) / MOST);
+	CU_ASSERT_EQUAL(server_estimate_wait(outlook, 1, now),
 			4 * MSEC(10) / MOST);
 	pass(&world, MSEC(100));
-	CU_ASSERT_EQUAL(server_outlook_ahead(outlook, 1,
+	CU_ASSERT_EQUAL(server_estimate_wait(outlook, 1,
 					     clock_now(&world.clock)),
 			0);
 	finish(&world);
@@ -476,7 +477,7 @@
 	ask(&world, 1, MSEC(500), MSEC(10));
 	gone = ask(&world, 0, MSEC(500), MSEC(10));
 	kept = ask(&world, 1, MSEC(500), MSEC(10));
-	server_turn_abandon(gone->turn, 0);
+	server_job_abandon(gone->turn, 0);
 	gone->n_ends++;
 	pass(&world, MSEC(100));
 	CU_ASSERT(!gone->ran);
@@ -495,7 +496,7 @@
 	for (i = 0; i < MOST + 1; i++)
 		ask(&world, 1, MSEC(500), MSEC(10));
 	for (i = 0; i < MOST + 1; i++)
-		server_turn_hurry(world.asked[i].turn, 0);
+		server_job_hurry(world.asked[i].turn, 0);
 	CU_ASSERT_EQUAL(world.asked[MOST].n_ends, 0);
 	pass(&world, MSEC(100));
 	CU_ASSERT_EQUAL(world.asked[MOST].code, ERR_CANCELLED);
--- a/tests/test_slot_queue.c
+++ b/tests/test_slot_queue.c
@@ -19,7 +19,7 @@
 	clock_init_paused(&f->clock, MSEC(1000));
 	slot_queue_init(&f->queue, &f->clock, max);
 	f->queue.slots = 1;
-	slot_queue_served(&f->queue, MSEC(10));
+	slot_queue_record_time(&f->queue, MSEC(10));
 }
 
 static void on_drop(void *ctx, struct slot_item *item, int code)
@@ -142,7 +142,7 @@
 	push(&f, &low, 5, 200);
 	push(&f, &urgent, 0, 900);
 	urgent.lot = 7;
-	slot_queue_set_by_lot(&f.queue, true);
+	slot_queue_set_random_order(&f.queue, true);
 	CU_ASSERT_PTR_EQUAL(pop(&f), &urgent);
 	CU_ASSERT_PTR_EQUAL(pop(&f), &low);
 	CU_ASSERT_PTR_EQUAL(pop(&f), &high);
@@ -198,7 +198,7 @@
 
 	setup(&f, 10);
 	for (i = 0; i < 500; i++)
-		slot_queue_served(&f.queue, MSEC(5000));
+		slot_queue_record_time(&f.queue, MSEC(5000));
 	CU_ASSERT_EQUAL(push(&f, &item, 5, 100), 0);
 	CU_ASSERT_PTR_EQUAL(pop(&f), &item);
 	slot_queue_finish(&f.queue);
--- a/tests/test_store_order.c
+++ b/tests/test_store_order.c
@@ -143,10 +143,10 @@
 	world_init(&world);
 	world_list_servers(&world);
 	hear(&world, "c", 10);
-	store_sync_begin_whole(&world.sync);
+	store_sync_begin_snapshot(&world.sync);
 	hear_listed(&world, "a", 1);
 	hear_listed(&world, "b", 2);
-	store_sync_end_whole(&world.sync, 20);
+	store_sync_end_snapshot(&world.sync, 20);
 	confirm(&world, STORE_SERVERS, 20);
 	world_pass(&world, 2400);
 	CU_ASSERT(!world_knows(&world, "c"));
@@ -391,16 +391,16 @@
 	go_back(&world, 20);
 	world_give_routes(&world, 2);
 	CU_ASSERT_EQUAL(world.sync.routes->version, 3);
-	CU_ASSERT(cordons_hold(cordons, STR("dc2")));
+	CU_ASSERT(cordon_set_contains(cordons, STR("dc2")));
 	/* Once the operators had time to write it again, the list counts. */
 	world_pass(&world, 2200);
 	CU_ASSERT(world.calls[STORE_ROUTES].watch);
 	world_answer(&world, STORE_ROUTES, 25, NULL, 0);
-	CU_ASSERT(cordons_hold(cordons, STR("dc2")));
+	CU_ASSERT(cordon_set_contains(cordons, STR("dc2")));
 	world_pass(&world, 200);
 	CU_ASSERT(!world.calls[STORE_ROUTES].watch);
 	world_answer(&world, STORE_ROUTES, 26, NULL, 0);
-	CU_ASSERT(!cordons_hold(cordons, STR("dc2")));
+	CU_ASSERT(!cordon_set_contains(cordons, STR("dc2")));
 	CU_ASSERT_EQUAL(world.sync.routes->version, 3);
 	world_finish(&world);
 }
--- a/tests/test_store_sync.c
+++ b/tests/test_store_sync.c
@@ -60,12 +60,12 @@
 	world_give_routes(&world, 7);
 	world_give_routes(&world, 5);
 	CU_ASSERT(world.sync.routes->version == 7);
-	CU_ASSERT(store_sync_take_routes(
+	CU_ASSERT(store_sync_apply_routes(
 			  &world.sync,
 			  STR("{\"version\":7,\"routes\":[],\"services\":[]}"),
 			  "peer") == ERR_STALE);
-	CU_ASSERT(store_sync_take_routes(&world.sync, STR("{\"version\":"),
-					 "peer") == ERR_SYNTAX);
+	CU_ASSERT(store_sync_apply_routes(&world.sync, STR("{\"version\":"),
+					  "peer") == ERR_SYNTAX);
 	CU_ASSERT(world.sync.routes->version == 7);
 	world_finish(&world);
 }
@@ -131,7 +131,7 @@
 	world_init(&world);
 	world_give_routes(&world, 1);
 	world_list_servers(&world);
-	store_sync_set_patience(&world.sync, MSEC(4000), 20);
+	store_sync_set_max_view_age(&world.sync, MSEC(4000), 20);
 	for (i = 0; i < failed_calls; i++) {
 		world_pass(&world, 1000);
 		world_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
@@ -225,7 +225,7 @@
 
 	world_init(&world);
 	world_list_servers(&world);
-	store_sync_set_patience(&world.sync, MSEC(1500), 0);
+	store_sync_set_max_view_age(&world.sync, MSEC(1500), 0);
 	n = world.n_calls[STORE_SERVERS];
 	for (i = 0; i < 20; i++) {
 		world_pass(&world, 500);
@@ -253,7 +253,7 @@
 	world_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
 	world_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
 	world_restart(&world);
-	store_sync_set_patience(&world.sync, MSEC(1700), 0);
+	store_sync_set_max_view_age(&world.sync, MSEC(1700), 0);
 	world.n_calls[STORE_SERVERS] = 0;
 	world_pass(&world, 200);
 	CU_ASSERT(world.n_calls[STORE_SERVERS] == 0);
@@ -272,7 +272,7 @@
 
 	world_init(&world);
 	world_restart(&world);
-	store_schedule_joins(&world.sync, 0.5);
+	store_schedule_delay_start(&world.sync, 0.5);
 	world.n_calls[STORE_SERVERS] = 0;
 	world_pass(&world, 800);
 	CU_ASSERT(world.n_calls[STORE_SERVERS] == 0);
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -49,9 +49,9 @@
 	CU_ASSERT_EQUAL(table.services[0].n_servers, 2);
 	CU_ASSERT_EQUAL(table.services[0].mode, SERVICE_COVERAGE);
 	CU_ASSERT_EQUAL(table.tunables.lease_ms, 700);
-	CU_ASSERT_EQUAL(table_service(&table, STR("desk")), 0);
-	CU_ASSERT_EQUAL(table_server(&table, STR("b2")), 1);
-	CU_ASSERT_EQUAL(table_server(&table, STR("b3")), ERR_REFERENCE);
+	CU_ASSERT_EQUAL(table_find_service(&table, STR("desk")), 0);
+	CU_ASSERT_EQUAL(table_find_server(&table, STR("b2")), 1);
+	CU_ASSERT_EQUAL(table_find_server(&table, STR("b3")), ERR_REFERENCE);
 	table_finish(&table);
 }
 
--- a/tests/test_table_delta.c
+++ b/tests/test_table_delta.c
@@ -41,7 +41,8 @@
 		CU_ASSERT_EQUAL(a->servers[i].slots, b->servers[i].slots);
 		CU_ASSERT_EQUAL(a->servers[i].service_index,
 				b->servers[i].service_index);
-		CU_ASSERT_EQUAL(table_server(a, str_from(b->servers[i].name)),
+		CU_ASSERT_EQUAL(table_find_server(a,
+						  str_from(b->servers[i].name)),
 				i);
 	}
 	for (i = 0; i < a->n_services; i++)
--- a/tests/test_table_sync.c
+++ b/tests/test_table_sync.c
@@ -215,14 +215,14 @@
 	return count;
 }
 
-static int count_doubt(struct sim *sim, enum table_doubt doubt)
+static int count_doubt(struct sim *sim, enum table_confirmation doubt)
 {
 	int count = 0;
 	int i;
 
 	for (i = 0; i < sim->n; i++)
 		count += sim->nodes[i].alive &&
-			 table_sync_doubt(sim_sync(sim, i)) == doubt;
+			 table_sync_confirmation(sim_sync(sim, i)) == doubt;
 	return count;
 }
 
@@ -232,7 +232,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		if (reader_watches(&sim_sync(sim, i)->reader) == reader)
+		if (reader_is_watching(&sim_sync(sim, i)->reader) == reader)
 			return i;
 	}
 	return -1;
@@ -261,7 +261,7 @@
 		struct table_sync *sync = sim_sync(&world.sim, i);
 
 		CU_ASSERT_EQUAL(table_sync_ready(sync), 0);
-		if (!reader_watches(&sync->reader))
+		if (!reader_is_watching(&sync->reader))
 			CU_ASSERT_TRUE(sync->counts.by_delta >= 8);
 	}
 	calls = world.sim.platform.calls;
@@ -601,8 +601,8 @@
 	};
 	struct table_sync *sync = sim_sync(sim, node);
 
-	table_sync_answered(sync, READER_TABLE, watch_of(sync)->call_id,
-			    &answer);
+	table_sync_receive_answer(sync, READER_TABLE, watch_of(sync)->call_id,
+				  &answer);
 }
 
 /*
@@ -667,14 +667,14 @@
 	sync = sim_sync(sim, 5);
 	sim_run(sim, 30000);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), ERR_NOT_RUN);
-	CU_ASSERT_EQUAL(table_sync_doubt(sync), TABLE_NONE);
+	CU_ASSERT_EQUAL(table_sync_confirmation(sync), TABLE_NONE);
 	/* One peer is reached, which has no way to the platform either. */
 	sim->nodes[8].group = 2;
 	sim_run(sim, SPREAD_MS);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), 0);
 	CU_ASSERT_EQUAL(sync->in_force->revision, 11);
 	sim_run(sim, 40000);
-	CU_ASSERT_EQUAL(table_sync_doubt(sync), TABLE_OLD);
+	CU_ASSERT_EQUAL(table_sync_confirmation(sync), TABLE_OLD);
 	CU_ASSERT_TRUE(sync->alarms[TABLE_ALARM_UNCONFIRMED].active);
 	world_finish(&world);
 }
@@ -685,7 +685,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		if (!reader_watches(&sim_sync(sim, i)->reader))
+		if (!reader_is_watching(&sim_sync(sim, i)->reader))
 			calls += sim_sync(sim, i)->counts.calls;
 	}
 	return calls;
@@ -828,8 +828,10 @@
 	sim_set_members(sim);
 	publish(&world, 12);
 	CU_ASSERT_TRUE(spreads(&world, 12));
-	CU_ASSERT_TRUE(reader_watches(&sim_sync(sim, ranked(sim, 0))->reader));
-	CU_ASSERT_TRUE(reader_watches(&sim_sync(sim, ranked(sim, 1))->reader));
+	CU_ASSERT_TRUE(
+		reader_is_watching(&sim_sync(sim, ranked(sim, 0))->reader));
+	CU_ASSERT_TRUE(
+		reader_is_watching(&sim_sync(sim, ranked(sim, 1))->reader));
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	world_finish(&world);
 }
@@ -1076,7 +1078,7 @@
 	sim->nodes[node].no_platform = true;
 	sim_run(sim, 20000);
 	CU_ASSERT_NOT_EQUAL(sync->reader.watches[READER_TABLE].call_id, id);
-	table_sync_answered(sync, READER_TABLE, id, &late);
+	table_sync_receive_answer(sync, READER_TABLE, id, &late);
 	CU_ASSERT_FALSE(sync->reader.behind);
 	world_finish(&world);
 }
@@ -1099,18 +1101,18 @@
 	update.digest = table->digest;
 	update.text.data = (uint8_t *)table->text;
 	update.text.len = table->len;
-	CU_ASSERT_EQUAL(table_sync_update(sync, "node-0003", &update),
+	CU_ASSERT_EQUAL(table_sync_receive_update(sync, "node-0003", &update),
 			ERR_STALE);
 	update.base_revision = 8;
-	CU_ASSERT_EQUAL(table_sync_update(sync, "node-0003", &update),
+	CU_ASSERT_EQUAL(table_sync_receive_update(sync, "node-0003", &update),
 			ERR_STALE);
 	update.base_revision = 0;
 	update.revision = 11;
 	update.digest++;
-	CU_ASSERT_EQUAL(table_sync_update(sync, "node-0003", &update),
+	CU_ASSERT_EQUAL(table_sync_receive_update(sync, "node-0003", &update),
 			ERR_PROTOCOL);
 	/* Refused once, it is not looked at again. */
-	CU_ASSERT_EQUAL(table_sync_update(sync, "node-0003", &update),
+	CU_ASSERT_EQUAL(table_sync_receive_update(sync, "node-0003", &update),
 			ERR_STALE);
 	CU_ASSERT_EQUAL(sync->in_force->revision, 10);
 	publish(&world, 11);
--- a/tests/test_view_order.c
+++ b/tests/test_view_order.c
@@ -102,7 +102,7 @@
 	other = &world.nodes[1 - world_reader(&world)];
 	feed = &other->sync.feeds[STORE_SERVERS];
 	at = feed->at;
-	server_view_returned(&reader->sync.servers);
+	server_view_store_returned(&reader->sync.servers);
 	server_view_vanished(&reader->sync.servers, "server", ++world.revision);
 	reader->sync.feeds[STORE_SERVERS].at = world.revision;
 	request.servers_at = at;
--- a/tests/test_view_share.c
+++ b/tests/test_view_share.c
@@ -137,12 +137,12 @@
 	world_tell_fleet(&world);
 	world_pass(&world, 1000);
 	CU_ASSERT(!store_sync_ready(&world.nodes[fresh].sync));
-	view_share_met(&world.nodes[fresh].share,
-		       world.nodes[world_reader(&world)].name);
+	view_share_member_reachable(&world.nodes[fresh].share,
+				    world.nodes[world_reader(&world)].name);
 	CU_ASSERT(store_sync_ready(&world.nodes[fresh].sync));
 	world.n_messages = 0;
-	view_share_met(&world.nodes[fresh].share,
-		       world.nodes[(fresh + 2) % 5].name);
+	view_share_member_reachable(&world.nodes[fresh].share,
+				    world.nodes[(fresh + 2) % 5].name);
 	CU_ASSERT(world.n_messages == 0);
 	CU_ASSERT(registry_find(&world.nodes[fresh].registry, STR("server")) !=
 		  NULL);
@@ -199,7 +199,7 @@
 
 	world_init(&world, 60);
 	for (i = 0; i < world.n_nodes; i++)
-		store_sync_set_patience(&world.nodes[i].sync, 0, 0);
+		store_sync_set_max_view_age(&world.nodes[i].sync, 0, 0);
 	world_pass(&world, 1000);
 	CU_ASSERT(world_count_version(&world, 1) == 60);
 	CU_ASSERT(world.n_whole <= 60);
@@ -227,10 +227,10 @@
 		text[i] = "{\"service\":\"a\"},"[i % 16];
 	message.routes.data = (uint8_t *)text;
 	message.routes.len = sizeof(text);
-	packed = view_pack(&message);
+	packed = view_compress(&message);
 	CU_ASSERT(packed != NULL);
 	CU_ASSERT(peer__view_update__get_packed_size(&message) < 3100);
-	CU_ASSERT_EQUAL(view_unpack(&message, &body), 0);
+	CU_ASSERT_EQUAL(view_decompress(&message, &body), 0);
 	CU_ASSERT_EQUAL(body->routes.len, sizeof(text));
 	CU_ASSERT(!memcmp(body->routes.data, text, sizeof(text)));
 	peer__view_body__free_unpacked(body, NULL);
@@ -245,21 +245,21 @@
 	char text[1000] = "";
 	uint8_t *packed;
 
-	CU_ASSERT_PTR_NULL(view_pack(&message));
-	CU_ASSERT_EQUAL(view_unpack(&message, &body), 0);
+	CU_ASSERT_PTR_NULL(view_compress(&message));
+	CU_ASSERT_EQUAL(view_decompress(&message, &body), 0);
 	CU_ASSERT_PTR_NULL(body);
 	message.routes.data = (uint8_t *)text;
 	message.routes.len = sizeof(text);
-	packed = view_pack(&message);
+	packed = view_compress(&message);
 	message.packed_size++;
-	CU_ASSERT_EQUAL(view_unpack(&message, &body), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(view_decompress(&message, &body), ERR_PROTOCOL);
 	message.packed_size -= 2;
-	CU_ASSERT_EQUAL(view_unpack(&message, &body), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(view_decompress(&message, &body), ERR_PROTOCOL);
 	message.packed_size = UINT32_MAX;
-	CU_ASSERT_EQUAL(view_unpack(&message, &body), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(view_decompress(&message, &body), ERR_PROTOCOL);
 	message.packed_size = 1003;
 	packed[0] ^= 1;
-	CU_ASSERT_EQUAL(view_unpack(&message, &body), ERR_PROTOCOL);
+	CU_ASSERT_EQUAL(view_decompress(&message, &body), ERR_PROTOCOL);
 	CU_ASSERT_PTR_NULL(body);
 	free(packed);
 }
@@ -451,8 +451,8 @@
 
 	for (i = 0; i < world->n_nodes; i++)
 		n += !world->nodes[i].dead &&
-		     cordons_hold(&world->nodes[i].registry.cordons,
-				  STR("dc1"));
+		     cordon_set_contains(&world->nodes[i].registry.cordons,
+					 STR("dc1"));
 	return n;
 }
 
--- a/tests/view_world.c
+++ b/tests/view_world.c
@@ -52,7 +52,7 @@
 {
 	struct node *node = arg;
 
-	view_share_changed(&node->share, id, changed_at, removed);
+	view_share_record_change(&node->share, id, changed_at, removed);
 }
 
 static const struct store_sync_ops sync_ops = {
@@ -348,7 +348,7 @@
 		answer_routes(node, &node->calls[topic]);
 	else
 		answer_servers(node, &node->calls[topic]);
-	view_share_read(&node->share);
+	view_share_publish(&node->share);
 }
 
 static bool is_due(const struct node *node, int topic)
@@ -371,7 +371,7 @@
 	int i;
 
 	if (store_sync_ready(&node->sync)) {
-		view_share_review(&node->share);
+		view_share_tick(&node->share);
 		return;
 	}
 	for (i = 0; i < world->n_nodes; i++) {
@@ -379,7 +379,7 @@
 
 		if (peer != node && !peer->dead && is_linked(node, peer) &&
 		    store_sync_ready(&peer->sync))
-			view_share_met(&node->share, peer->name);
+			view_share_member_reachable(&node->share, peer->name);
 	}
 }
 
--- a/upstream.c
+++ b/upstream.c
@@ -78,9 +78,9 @@
 		!result->code && result->message->parser.status_code <
 					 HTTP_STATUS_INTERNAL_SERVER_ERROR;
 
-	server_pace_result(conn->server,
-			   server_result_of(result->code, success),
-			   result->took, now);
+	server_timing_result(conn->server,
+			     server_result_of(result->code, success),
+			     result->took, now);
 }
 
 /* Ends the exchange but not the connection. */
--- a/upstream_limits.c
+++ b/upstream_limits.c
@@ -82,7 +82,7 @@
 		max = floor((double)connections_max * limits->share_local);
 	if (!server->remote && max < LOCAL_CONNS_MIN)
 		max = LOCAL_CONNS_MIN;
-	return registry_conns(server) < max;
+	return registry_count_conns(server) < max;
 }
 
 /*
--- a/view_pack.c
+++ b/view_pack.c
@@ -13,12 +13,12 @@
 	uint8_t *out;
 
 	peer__view_body__pack(body, raw);
-	out = pack_bytes(raw, size, len);
+	out = compress_bytes(raw, size, len);
 	free(raw);
 	return out;
 }
 
-uint8_t *view_pack(Peer__ViewUpdate *message)
+uint8_t *view_compress(Peer__ViewUpdate *message)
 {
 	Peer__ViewBody body = PEER__VIEW_BODY__INIT;
 	uint8_t *packed;
@@ -29,7 +29,7 @@
 	body.servers = message->servers;
 	body.n_servers = message->n_servers;
 	size = peer__view_body__get_packed_size(&body);
-	if (size < PACK_LEAST || size > VIEW_PACK_BODY_MAX)
+	if (size < COMPRESS_MIN_SIZE || size > VIEW_BODY_SIZE_MAX)
 		return NULL;
 	packed = deflate_body(&body, size, &len);
 	if (!packed)
@@ -42,7 +42,7 @@
 	return packed;
 }
 
-int view_unpack(const Peer__ViewUpdate *message, Peer__ViewBody **body)
+int view_decompress(const Peer__ViewUpdate *message, Peer__ViewBody **body)
 {
 	size_t size = message->packed_size;
 	uint8_t *raw;
@@ -50,9 +50,9 @@
 	*body = NULL;
 	if (!message->packed.len)
 		return 0;
-	if (size > VIEW_PACK_BODY_MAX)
+	if (size > VIEW_BODY_SIZE_MAX)
 		return ERR_PROTOCOL;
-	raw = unpack_bytes(message->packed.data, message->packed.len, size);
+	raw = decompress_bytes(message->packed.data, message->packed.len, size);
 	if (raw)
 		*body = peer__view_body__unpack(NULL, size, raw);
 	free(raw);
--- a/view_share.c
+++ b/view_share.c
@@ -88,8 +88,8 @@
 		if (!strcmp(share->members[i].instance, share->instance))
 			share->rank = i;
 	}
-	store_sync_set_patience(share->sync, patience_of(share->rank),
-				share->rank);
+	store_sync_set_max_view_age(share->sync, patience_of(share->rank),
+				    share->rank);
 }
 
 void view_share_set_members(struct view_share *share, const struct fleet *fleet)
@@ -145,8 +145,8 @@
 	return a > b ? a : b;
 }
 
-void view_share_changed(struct view_share *share, const char *id,
-			uint64_t changed_at, bool removed)
+void view_share_record_change(struct view_share *share, const char *id,
+			      uint64_t changed_at, bool removed)
 {
 	uint64_t at = share->sync->feeds[STORE_SERVERS].at;
 	struct view_change *change;
@@ -181,7 +181,7 @@
 	return share->told_at;
 }
 
-void view_share_read(struct view_share *share)
+void view_share_publish(struct view_share *share)
 {
 	const struct store_feed *feed = &share->sync->feeds[STORE_SERVERS];
 	const struct route_set *routes = share->sync->routes;
@@ -216,11 +216,11 @@
 	if (n > VIEW_CHANGES_MAX)
 		n = 0;
 	if (whole)
-		view_update_whole(share, &update);
+		view_update_snapshot(share, &update);
 	else
 		view_update_changes(share, &update, told_from(share, n), n);
 	view_update_add_state(share, &update, news);
-	view_tell_all(share, &update);
+	view_send_all(share, &update);
 	view_update_finish(&update);
 	mark_told(share);
 	share->told_time = now;
@@ -243,7 +243,7 @@
 
 static bool is_kept(const struct view_share *share)
 {
-	const struct view_whole *kept = &share->kept;
+	const struct view_snapshot *kept = &share->kept;
 
 	return kept->packed && kept->n_changes == share->n_changes &&
 	       kept->version == share->sync->routes->version;
@@ -252,7 +252,7 @@
 /* Takes the packed rows over from @update, to be told again. */
 static void keep_whole(struct view_share *share, struct view_update *update)
 {
-	struct view_whole *kept = &share->kept;
+	struct view_snapshot *kept = &share->kept;
 
 	free(kept->packed);
 	kept->packed = update->packed;
@@ -273,7 +273,7 @@
 	update.message.packed.data = share->kept.packed;
 	update.message.packed.len = share->kept.len;
 	update.message.packed_size = share->kept.size;
-	view_tell(share, member, &update);
+	view_send_member(share, member, &update);
 }
 
 static void tell_whole(struct view_share *share, const char *member)
@@ -288,9 +288,9 @@
 		tell_kept(share, member);
 		return;
 	}
-	view_update_whole(share, &update);
+	view_update_snapshot(share, &update);
 	view_update_add_state(share, &update, true);
-	view_tell(share, member, &update);
+	view_send_member(share, member, &update);
 	keep_whole(share, &update);
 	view_update_finish(&update);
 }
@@ -309,7 +309,7 @@
 	/* Who has a view has no use for one that is of no revision. */
 	if (message->servers_at && !feed->at)
 		return;
-	n = view_update_count(share, message->servers_at);
+	n = view_update_count_changes(share, message->servers_at);
 	if (!message->servers_at || message->store_era != share->sync->era ||
 	    n < 0) {
 		tell_whole(share, member);
@@ -320,7 +320,7 @@
 			      share->sync->routes &&
 				      share->sync->routes->version >
 					      message->routes_version);
-	view_tell(share, member, &update);
+	view_send_member(share, member, &update);
 	view_update_finish(&update);
 }
 
@@ -345,7 +345,7 @@
 	       clock_now(share->clock) - share->asked_at >= ASK_AGAIN;
 }
 
-void view_share_met(struct view_share *share, const char *member)
+void view_share_member_reachable(struct view_share *share, const char *member)
 {
 	if (!store_sync_ready(share->sync) && may_ask(share))
 		ask(share, member, false);
@@ -360,11 +360,11 @@
 	       feeds[STORE_SERVERS].fresh_at < limit;
 }
 
-void view_share_review(struct view_share *share)
+void view_share_tick(struct view_share *share)
 {
 	int i;
 
-	bool whole = server_view_wants_whole(&share->sync->servers);
+	bool whole = server_view_needs_full_list(&share->sync->servers);
 
 	if (!store_sync_ready(share->sync) || (!is_old(share) && !whole))
 		return;
@@ -387,9 +387,9 @@
 	struct view_update update = {.message = *message};
 	bool spread = message->spread;
 
-	view_tell_own(share, &update, member);
+	view_send_data_centre(share, &update, member);
 	if (spread)
-		view_tell_others(share, &update);
+		view_send_other_centres(share, &update);
 }
 
 int view_share_update(struct view_share *share, const char *member,
@@ -398,7 +398,7 @@
 	bool was_ready = store_sync_ready(share->sync);
 	uint64_t era = share->sync->era;
 	Peer__ViewBody *body;
-	int ret = view_unpack(message, &body);
+	int ret = view_decompress(message, &body);
 
 	if (ret) {
 		LOG_WARN("view_refused", LOG_TEXT("peer", member),
@@ -406,7 +406,7 @@
 		return ret;
 	}
 	share->updates_in++;
-	ret = view_take(share, member, message, body);
+	ret = view_apply(share, member, message, body);
 	if (body)
 		peer__view_body__free_unpacked(body, NULL);
 	/* A whole view that is no news here is none in this data centre. */
--- a/view_share.h
+++ b/view_share.h
@@ -49,12 +49,12 @@
 };
 
 /**
- * struct view_whole - a whole view as it was told last, packed
+ * struct view_snapshot - a whole view as it was told last, packed
  *
  * Hundreds that start ask for the same one: to pack it for each takes some
  * milliseconds of a core, which is a second on a small instance.
  */
-struct view_whole {
+struct view_snapshot {
 	uint8_t *packed;
 	size_t len;
 	uint32_t size;
@@ -101,7 +101,7 @@
 	unsigned int asked_next;
 	int64_t whole_since;
 	int n_whole;
-	struct view_whole kept;
+	struct view_snapshot kept;
 	struct view_change changes[VIEW_CHANGES_MAX];
 	uint64_t n_changes;
 	uint64_t last_change;
@@ -122,21 +122,21 @@
 			    const struct fleet *fleet);
 
 /**
- * view_share_review() - to be called some times a second: asks for a view that
+ * view_share_tick() - to be called some times a second: asks for a view that
  * grew old
  */
-void view_share_review(struct view_share *share);
+void view_share_tick(struct view_share *share);
 
 /**
- * view_share_changed() - a server's entry changed or went, in the view
+ * view_share_record_change() - a server's entry changed or went, in the view
  */
-void view_share_changed(struct view_share *share, const char *id,
-			uint64_t changed_at, bool removed);
+void view_share_record_change(struct view_share *share, const char *id,
+			      uint64_t changed_at, bool removed);
 
 /**
- * view_share_read() - the store answered this instance; tell the others
+ * view_share_publish() - the store answered this instance; tell the others
  */
-void view_share_read(struct view_share *share);
+void view_share_publish(struct view_share *share);
 
 /**
  * view_share_follow_era() - the store may be in a later era: what was kept and
@@ -145,12 +145,12 @@
 void view_share_follow_era(struct view_share *share);
 
 /**
- * view_share_met() - a member can be reached
+ * view_share_member_reachable() - a member can be reached
  *
  * An instance without a view asks one member for all of it, and another one if
  * that does not answer.
  */
-void view_share_met(struct view_share *share, const char *member);
+void view_share_member_reachable(struct view_share *share, const char *member);
 
 /**
  * view_share_update() - a member told what it knows
--- a/view_take.c
+++ b/view_take.c
@@ -51,10 +51,10 @@
 	if (message->routes_age_ms == UINT32_MAX)
 		return;
 	for (i = 0; i < message->n_cordons && i < CORDONS_MAX; i++)
-		cordons_put(&cordons,
-			    str_from(message->cordons[i]->data_centre),
-			    message->cordons[i]->changed_at);
-	cordon_sync_take(&share->sync->cordons, &cordons);
+		cordon_set_add(&cordons,
+			       str_from(message->cordons[i]->data_centre),
+			       message->cordons[i]->changed_at);
+	cordon_sync_apply_peer_set(&share->sync->cordons, &cordons);
 }
 
 static int take_document(struct view_share *share,
@@ -65,7 +65,7 @@
 
 	if (!text->len)
 		return 0;
-	ret = store_sync_take_routes(share->sync, document, "peer");
+	ret = store_sync_apply_routes(share->sync, document, "peer");
 	return ret == ERR_STALE ? 0 : ret;
 }
 
@@ -98,11 +98,11 @@
 	if (message->servers_age_ms == UINT32_MAX)
 		return 0;
 	if (message->whole)
-		store_sync_begin_whole(share->sync);
+		store_sync_begin_snapshot(share->sync);
 	for (i = 0; i < n; i++)
 		take_row(share, servers[i], message->whole);
 	if (message->whole)
-		store_sync_end_whole(share->sync, message->servers_at);
+		store_sync_end_snapshot(share->sync, message->servers_at);
 	else if (feed->fresh_at < 0 || feed->at < message->servers_from)
 		return ERR_VERSION;
 	store_sync_confirm(share->sync, STORE_SERVERS, message->servers_at,
@@ -111,8 +111,8 @@
 }
 
 /* Servers are taken also if the routes are not. */
-int view_take(struct view_share *share, const char *member,
-	      const Peer__ViewUpdate *message, const Peer__ViewBody *body)
+int view_apply(struct view_share *share, const char *member,
+	       const Peer__ViewUpdate *message, const Peer__ViewBody *body)
 {
 	const ProtobufCBinaryData *routes =
 		body ? &body->routes : &message->routes;
--- a/view_tell.c
+++ b/view_tell.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-bool view_tell(struct view_share *share, const char *member,
-	       struct view_update *update)
+bool view_send_member(struct view_share *share, const char *member,
+		      struct view_update *update)
 {
 	if (!share->ops->update(share->arg, member, &update->message))
 		return false;
@@ -11,8 +11,8 @@
 	return true;
 }
 
-void view_tell_own(struct view_share *share, struct view_update *update,
-		   const char *except)
+void view_send_data_centre(struct view_share *share, struct view_update *update,
+			   const char *except)
 {
 	int i;
 
@@ -25,7 +25,7 @@
 		    !strcmp(member->instance, share->instance) ||
 		    (except && !strcmp(member->instance, except)))
 			continue;
-		view_tell(share, member->instance, update);
+		view_send_member(share, member->instance, update);
 	}
 }
 
@@ -41,12 +41,13 @@
 		if (member->is_hub &&
 		    strcmp(member->instance, share->instance) &&
 		    !strcmp(member->data_centre, data_centre) &&
-		    view_tell(share, member->instance, update))
+		    view_send_member(share, member->instance, update))
 			return;
 	}
 }
 
-void view_tell_others(struct view_share *share, struct view_update *update)
+void view_send_other_centres(struct view_share *share,
+			     struct view_update *update)
 {
 	int i;
 
@@ -66,11 +67,11 @@
 	return !share->n_members || share->members[share->rank].is_hub;
 }
 
-void view_tell_all(struct view_share *share, struct view_update *update)
+void view_send_all(struct view_share *share, struct view_update *update)
 {
 	if (is_hub(share)) {
-		view_tell_own(share, update, NULL);
-		view_tell_others(share, update);
+		view_send_data_centre(share, update, NULL);
+		view_send_other_centres(share, update);
 		return;
 	}
 	update->message.forward = true;
--- a/view_tell.h
+++ b/view_tell.h
@@ -6,28 +6,30 @@
 #include "view_update.h"
 
 /**
- * view_tell() - one member
+ * view_send_member() - one member
  *
  * Return: whether there is a way to it.
  */
-bool view_tell(struct view_share *share, const char *member,
-	       struct view_update *update);
+bool view_send_member(struct view_share *share, const char *member,
+		      struct view_update *update);
 
 /**
- * view_tell_own() - the members of the own data centre
+ * view_send_data_centre() - the members of the own data centre
  * @except: one that knows it; may be NULL
  */
-void view_tell_own(struct view_share *share, struct view_update *update,
-		   const char *except);
+void view_send_data_centre(struct view_share *share, struct view_update *update,
+			   const char *except);
 
 /**
- * view_tell_others() - one hub of each other data centre, which passes it on
+ * view_send_other_centres() - one hub of each other data centre, which passes
+ * it on
  */
-void view_tell_others(struct view_share *share, struct view_update *update);
+void view_send_other_centres(struct view_share *share,
+			     struct view_update *update);
 
 /**
- * view_tell_all() - all, as a hub does, or by a hub of the own data centre
+ * view_send_all() - all, as a hub does, or by a hub of the own data centre
  */
-void view_tell_all(struct view_share *share, struct view_update *update);
+void view_send_all(struct view_share *share, struct view_update *update);
 
 #endif
--- a/view_update.c
+++ b/view_update.c
@@ -120,7 +120,7 @@
 		message->routes.data = (uint8_t *)routes->text;
 		message->routes.len = routes->text_len;
 	}
-	update->packed = view_pack(message);
+	update->packed = view_compress(message);
 }
 
 static void add_change(const struct view_share *share,
@@ -144,7 +144,7 @@
 	row->changed_at = change->changed_at;
 }
 
-int view_update_count(const struct view_share *share, uint64_t since)
+int view_update_count_changes(const struct view_share *share, uint64_t since)
 {
 	uint64_t i = share->n_changes;
 	int n = 0;
@@ -176,7 +176,7 @@
 	update->message.servers_from = since;
 }
 
-void view_update_whole(struct view_share *share, struct view_update *update)
+void view_update_snapshot(struct view_share *share, struct view_update *update)
 {
 	struct registry *registry = share->sync->registry;
 	struct registry_server *server;
--- a/view_update.h
+++ b/view_update.h
@@ -22,11 +22,11 @@
 };
 
 /**
- * view_update_count() - changes since a revision of the store
+ * view_update_count_changes() - changes since a revision of the store
  *
  * Return: how many; -1 if some of them are not kept.
  */
-int view_update_count(const struct view_share *share, uint64_t since);
+int view_update_count_changes(const struct view_share *share, uint64_t since);
 
 /**
  * view_update_changes() - begin a message with the last @n changes
@@ -36,9 +36,9 @@
 			 uint64_t since, int n);
 
 /**
- * view_update_whole() - begin a message with all servers
+ * view_update_snapshot() - begin a message with all servers
  */
-void view_update_whole(struct view_share *share, struct view_update *update);
+void view_update_snapshot(struct view_share *share, struct view_update *update);
 
 /**
  * view_update_fill_ages() - add what is short and told each time: versions,
