--- a/cmd_losses.c
+++ b/cmd_losses.c
@@ -85,9 +85,9 @@
 {
 	static const struct argp argp = {
 		options, parse, "LOG...",
-		"Say what callers of gateways lost, by second, route and "
-		"cause, "
-		"from the logs of all instances; - reads standard input."};
+		"Count failed and degraded gateway requests by second, route "
+		"and cause, from the logs of all instances; - reads standard "
+		"input."};
 	struct arguments args = {0};
 
 	losses_init(&args.losses);
--- a/search_trace.c
+++ b/search_trace.c
@@ -128,13 +128,13 @@
 
 static int count_logged(const struct search *search)
 {
-	return search->trace.n - search->trace.base;
+	return search->trace.n - search->trace.first_part;
 }
 
 static const struct trace_part *logged_part(const struct search *search,
 					    int index)
 {
-	return &search->trace.parts[search->trace.base + index];
+	return &search->trace.parts[search->trace.first_part + index];
 }
 
 static void blame_server(struct search *search, struct burn_service *service,
