--- a/bench/backend.c
+++ b/bench/backend.c
@@ -1,4 +1,4 @@
-/* bench-backend: backend server stand-ins, many in one process. */
+/* bench-backend: hosts many backend server stand-ins in one process. */
 #define LOG_MODULE "backend"
 
 #include <argp.h>
@@ -19,9 +19,9 @@
 #include "mem.h"
 
 #define HISTORY_FLUSH_MS 200
-#define HISTORY_BUFFER 1048576
+#define HISTORY_BUFFER_BYTES 1048576
 
-/* A data file, read once for all servers of a service. */
+/* A data file, loaded once and shared by all servers of a service. */
 struct data_file {
 	char *path;
 	struct records records;
@@ -29,10 +29,23 @@
 };
 
 /**
- * struct backend - the process
- * @only: names, separated by commas; NULL for all
- * @part: this one of @parts, from 1
- * @overrides: members that go before those of servers.json
+ * struct backend - state of the process
+ * @servers_path: path of servers.json
+ * @only: names of the servers to host, separated by commas; NULL for all
+ * @part: which of @parts is hosted here, from 1
+ * @parts: number of processes that share the servers; 0: no split
+ * @control_port: port of /control, 0 for an ephemeral port
+ * @history_path: file of the history, or NULL
+ * @seed: seed of service times and fault probabilities
+ * @overrides: members that take precedence over those of servers.json
+ * @base: event loop
+ * @servers: hosted servers, each using @base and a data file of @files
+ * @n_servers: number of hosted servers
+ * @files: loaded data files by path
+ * @history: open history file, or NULL
+ * @control: control port
+ * @flush_event: flushes @history periodically
+ * @signal_events: end the event loop on SIGTERM and SIGINT
  */
 struct backend {
 	const char *servers_path;
@@ -51,22 +64,27 @@
 	FILE *history;
 	struct fault_control control;
 	struct event *flush_event;
-	struct event *stop_events[2];
+	struct event *signal_events[2];
 };
 
 static const struct argp_option arguments[] = {
 	{"servers", 's', "FILE", 0, "servers.json of generate.py", 0},
-	{"only", 'o', "NAME,...", 0, "host these servers", 0},
+	{"only", 'o', "NAME,...", 0, "host only these servers", 0},
 	{"part", 'p', "I/N", 0, "host each N-th server, from the I-th (1..N)",
 	 0},
-	{"control-port", 'c', "PORT", 0, "of /control; default: ephemeral", 0},
-	{"history", 'H', "FILE", 0, "write JSON lines of each request", 0},
-	{"seed", 'S', "N", 0, "of service times and probabilities", 0},
-	{"service-us", 'u', "N", 0, "service time, fixed part", 0},
-	{"service-random-us", 'r', "N", 0, "mean of the exponential part", 0},
+	{"control-port", 'c', "PORT", 0,
+	 "port of /control (default: ephemeral)", 0},
+	{"history", 'H', "FILE", 0, "write a history of requests as JSON lines",
+	 0},
+	{"seed", 'S', "N", 0, "seed of service times and fault probabilities",
+	 0},
+	{"service-us", 'u', "N", 0, "fixed part of the service time", 0},
+	{"service-random-us", 'r', "N", 0,
+	 "mean of the exponential part of the service time", 0},
 	{"service-dist", 'd', "DIST", 0,
 	 "shifted (both parts, default), fixed, or exp (mean --service-us)", 0},
-	{"set", 'x', "NAME=VALUE", 0, "any member of all servers' entries", 0},
+	{"set", 'x', "NAME=VALUE", 0,
+	 "override a member in the entries of all servers", 0},
 	{0},
 };
 
@@ -139,7 +157,7 @@
 
 static const struct argp parser = {
 	arguments, parse_argument,
-	NULL,	   "Backend server stand-ins of docs/PROTOCOL.md.",
+	NULL,	   "Hosts backend server stand-ins as in docs/PROTOCOL.md.",
 	NULL,	   NULL,
 	NULL,
 };
@@ -176,8 +194,8 @@
 	return !backend->parts || i % backend->parts == backend->part - 1;
 }
 
-/* Data files lie beside servers.json. */
-static int find_records(struct backend *backend, const char *data,
+/* Data files are in the directory of servers.json. */
+static int load_records(struct backend *backend, const char *data,
 			struct records **out, struct error *err)
 {
 	char *copy = mem_dup(backend->servers_path);
@@ -212,12 +230,12 @@
 	struct records *records;
 	int ret;
 
-	ret = config_init(&config, entry, backend->overrides, err);
+	ret = server_config_init(&config, entry, backend->overrides, err);
 	if (ret)
 		return ret;
-	ret = find_records(backend, config.data, &records, err);
+	ret = load_records(backend, config.data, &records, err);
 	if (ret) {
-		config_finish(&config);
+		server_config_finish(&config);
 		return ret;
 	}
 	ret = server_init(&backend->servers[backend->n_servers], &config,
@@ -260,7 +278,7 @@
 	return 0;
 }
 
-static int load(struct backend *backend, struct error *err)
+static int load_servers(struct backend *backend, struct error *err)
 {
 	struct json_object *root = json_object_from_file(backend->servers_path);
 	int ret;
@@ -289,7 +307,7 @@
 	fflush(backend->history);
 }
 
-static void on_stop(evutil_socket_t fd, short what, void *arg)
+static void on_signal(evutil_socket_t fd, short what, void *arg)
 {
 	struct backend *backend = arg;
 
@@ -308,28 +326,28 @@
 	if (!backend->history)
 		return error_set(err, ERR_IO, backend->history_path, NULL,
 				 "a file to write");
-	setvbuf(backend->history, NULL, _IOFBF, HISTORY_BUFFER);
+	setvbuf(backend->history, NULL, _IOFBF, HISTORY_BUFFER_BYTES);
 	backend->flush_event =
 		event_new(backend->base, -1, EV_PERSIST, on_flush, backend);
 	event_add(backend->flush_event, &period);
 	return 0;
 }
 
-static void open_base(struct backend *backend)
+static void create_event_loop(struct backend *backend)
 {
 	struct event_config *config = event_config_new();
 	static const int signals[] = {SIGTERM, SIGINT};
 	int i;
 
-	/* Service times are shorter than the millisecond of epoll_wait(). */
+	/* Service times are below the 1 ms resolution of epoll_wait(). */
 	event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
 	backend->base = event_base_new_with_config(config);
 	event_config_free(config);
 	for (i = 0; i < 2; i++) {
-		backend->stop_events[i] =
-			evsignal_new(backend->base, signals[i], on_stop,
+		backend->signal_events[i] =
+			evsignal_new(backend->base, signals[i], on_signal,
 				     backend);
-		evsignal_add(backend->stop_events[i], NULL);
+		evsignal_add(backend->signal_events[i], NULL);
 	}
 }
 
@@ -368,7 +386,7 @@
 	if (backend->history)
 		fclose(backend->history);
 	for (i = 0; i < 2; i++)
-		event_free(backend->stop_events[i]);
+		event_free(backend->signal_events[i]);
 	json_object_put(backend->overrides);
 	event_base_free(backend->base);
 }
@@ -384,10 +402,10 @@
 		return 2;
 	signal(SIGPIPE, SIG_IGN);
 	log_init(LOG_LEVEL_WARN, NULL);
-	open_base(&backend);
+	create_event_loop(&backend);
 	ret = open_history(&backend, &err);
 	if (!ret)
-		ret = load(&backend, &err);
+		ret = load_servers(&backend, &err);
 	if (ret) {
 		LOG_ERROR("start_failed", LOG_TEXT("error", error_name(ret)),
 			  LOG_TEXT("subject", err.subject),
--- a/bench/backend_config.c
+++ b/bench/backend_config.c
@@ -7,17 +7,18 @@
 #include "option.h"
 
 #define DEFAULT_COLD_FACTOR 5
-#define TEXT_MAX_LEN 4096
+#define STRING_MAX_LEN 4096
 
-static const char *const dist_names[] = {"shifted", "fixed", "exp", NULL};
+static const char *const service_dist_names[] = {"shifted", "fixed", "exp",
+						 NULL};
 
-#define TEXT(member)                                                           \
+#define STRING_OPTION(member)                                                  \
 	{                                                                      \
 		.name = #member, .type = OPTION_STRING,                        \
 		.offset = offsetof(struct server_config, member), .min = 1,    \
-		.max = TEXT_MAX_LEN                                            \
+		.max = STRING_MAX_LEN                                          \
 	}
-#define COUNT(member, min_, max_, def_)                                        \
+#define INT_OPTION(member, min_, max_, def_)                                   \
 	{                                                                      \
 		.name = #member, .type = OPTION_INT,                           \
 		.offset = offsetof(struct server_config, member), .min = min_, \
@@ -25,33 +26,33 @@
 	}
 
 static const struct option_spec config_options[] = {
-	TEXT(server),
-	TEXT(service),
-	TEXT(data),
-	TEXT(data_centre),
-	COUNT(port, 0, 65535, 0),
-	COUNT(index, 0, 100000, 0),
-	COUNT(servers, 1, 100000, 1),
-	COUNT(replicas, 1, 100000, 1),
-	COUNT(shards, 1, RECORDS_POINTS, 1),
-	COUNT(slots, 1, 1000000, 2),
-	COUNT(queue, 0, 1000000, 0),
-	COUNT(connections, 1, 1000000, 25),
-	COUNT(connect_cost_us, 0, 60000000, 0),
-	COUNT(service_us, 0, 600000000, 0),
-	COUNT(service_random_us, 0, 600000000, 0),
+	STRING_OPTION(server),
+	STRING_OPTION(service),
+	STRING_OPTION(data),
+	STRING_OPTION(data_centre),
+	INT_OPTION(port, 0, 65535, 0),
+	INT_OPTION(index, 0, 100000, 0),
+	INT_OPTION(servers, 1, 100000, 1),
+	INT_OPTION(replicas, 1, 100000, 1),
+	INT_OPTION(shards, 1, RECORDS_POINTS, 1),
+	INT_OPTION(slots, 1, 1000000, 2),
+	INT_OPTION(queue, 0, 1000000, 0),
+	INT_OPTION(connections, 1, 1000000, 25),
+	INT_OPTION(connect_cost_us, 0, 60000000, 0),
+	INT_OPTION(service_us, 0, 600000000, 0),
+	INT_OPTION(service_random_us, 0, 600000000, 0),
 	{.name = "service_dist",
 	 .type = OPTION_ENUM,
 	 .offset = offsetof(struct server_config, service_dist),
-	 .names = dist_names},
-	COUNT(cold_ms, 0, 600000000, 0),
-	COUNT(cold_requests, 0, 1000000, 0),
+	 .names = service_dist_names},
+	INT_OPTION(cold_ms, 0, 600000000, 0),
+	INT_OPTION(cold_requests, 0, 1000000, 0),
 	{.name = "cold_factor",
 	 .type = OPTION_RATIO,
 	 .offset = offsetof(struct server_config, cold_factor),
 	 .max = 1000000,
 	 .def = DEFAULT_COLD_FACTOR},
-	COUNT(health_lag_ms, 0, 600000, 0),
+	INT_OPTION(health_lag_ms, 0, 600000, 0),
 };
 
 #define N_CONFIG_OPTIONS (int)(sizeof(config_options) / sizeof(*config_options))
@@ -84,8 +85,8 @@
 	return 0;
 }
 
-int config_init(struct server_config *config, struct json_object *entry,
-		struct json_object *overrides, struct error *err)
+int server_config_init(struct server_config *config, struct json_object *entry,
+		       struct json_object *overrides, struct error *err)
 {
 	int ret;
 
@@ -97,11 +98,11 @@
 	if (!ret)
 		ret = check_config(config, err);
 	if (ret)
-		config_finish(config);
+		server_config_finish(config);
 	return ret;
 }
 
-void config_finish(struct server_config *config)
+void server_config_finish(struct server_config *config)
 {
 	option_finish(config_options, N_CONFIG_OPTIONS, config);
 }
--- a/bench/backend_fault.c
+++ b/bench/backend_fault.c
@@ -15,7 +15,7 @@
 
 #define LOOPBACK "127.0.0.1"
 #define CONTROL_BACKLOG 64
-#define SHED_RETRY_MS 100
+#define DEFAULT_SHED_RETRY_MS 100
 
 struct control_conn {
 	struct fault_control *control;
@@ -24,7 +24,8 @@
 	struct control_conn *next;
 };
 
-static double number(struct json_object *command, const char *name, double def)
+static double get_number(struct json_object *command, const char *name,
+			 double def)
 {
 	struct json_object *value;
 
@@ -33,7 +34,7 @@
 	return json_object_get_double(value);
 }
 
-static const char *text(struct json_object *command, const char *name)
+static const char *get_text(struct json_object *command, const char *name)
 {
 	struct json_object *value;
 
@@ -46,105 +47,113 @@
 {
 	struct faults *faults = &server->faults;
 
-	faults->slow_factor = number(command, "factor", 1);
-	faults->slow_probability = number(command, "probability", 1);
-	faults->slow_lo = (uint32_t)number(command, "shard_lo", 0);
-	faults->slow_hi =
-		(uint32_t)number(command, "shard_hi", RECORDS_POINTS - 1);
+	faults->slow_factor = get_number(command, "factor", 1);
+	faults->slow_probability = get_number(command, "probability", 1);
+	faults->slow_shard_lo = (uint32_t)get_number(command, "shard_lo", 0);
+	faults->slow_shard_hi =
+		(uint32_t)get_number(command, "shard_hi", RECORDS_POINTS - 1);
 	return 0;
 }
 
-/* Without a marker no request crashes the server any more. */
+/* A command without a marker turns the fault off. */
 static int apply_crash_on(struct server *server, struct json_object *command)
 {
-	const char *marker = text(command, "marker");
+	const char *marker = get_text(command, "marker");
 
-	free(server->faults.marker);
-	server->faults.marker = marker && *marker ? mem_dup(marker) : NULL;
-	server->faults.restart_ms = (int64_t)number(command, "restart_ms", -1);
+	free(server->faults.crash_marker);
+	server->faults.crash_marker =
+		marker && *marker ? mem_dup(marker) : NULL;
+	server->faults.restart_ms =
+		(int64_t)get_number(command, "restart_ms", -1);
 	return 0;
 }
 
 static int apply_crash(struct server *server, struct json_object *command)
 {
-	server->faults.restart_ms = (int64_t)number(command, "restart_ms", -1);
+	server->faults.restart_ms =
+		(int64_t)get_number(command, "restart_ms", -1);
 	server_crash_soon(server);
 	return 0;
 }
 
 static int apply_silent(struct server *server, struct json_object *command)
 {
-	server_silence(server, (int64_t)number(command, "forget_ms", -1));
+	server_silence_conns(server,
+			     (int64_t)get_number(command, "forget_ms", -1));
 	return 0;
 }
 
 static int apply_pause(struct server *server, struct json_object *command)
 {
-	server_pause(server, (int64_t)number(command, "ms", 1000));
+	server_pause(server, (int64_t)get_number(command, "ms", 1000));
 	return 0;
 }
 
 static int apply_shed(struct server *server, struct json_object *command)
 {
-	server->faults.shed_ratio = number(command, "ratio", 0);
+	server->faults.shed_ratio = get_number(command, "ratio", 0);
 	server->faults.shed_retry_ms =
-		(int64_t)number(command, "retry_ms", SHED_RETRY_MS);
+		(int64_t)get_number(command, "retry_ms", DEFAULT_SHED_RETRY_MS);
 	return 0;
 }
 
 static int apply_drain(struct server *server, struct json_object *command)
 {
-	server_drain(server, number(command, "on", 1) != 0);
+	server_drain(server, get_number(command, "on", 1) != 0);
 	return 0;
 }
 
 static int apply_wrong_version(struct server *server,
 			       struct json_object *command)
 {
-	server->faults.wrong_version = number(command, "probability", 1);
+	server->faults.wrong_version_probability =
+		get_number(command, "probability", 1);
 	return 0;
 }
 
-static int apply_foreign(struct server *server, struct json_object *command)
+static int apply_wrong_id(struct server *server, struct json_object *command)
 {
-	server->faults.foreign = number(command, "probability", 1);
+	server->faults.wrong_id_probability =
+		get_number(command, "probability", 1);
 	return 0;
 }
 
 static int apply_truncate(struct server *server, struct json_object *command)
 {
-	server->faults.truncate = number(command, "probability", 1);
+	server->faults.truncate_probability =
+		get_number(command, "probability", 1);
 	return 0;
 }
 
 static int apply_version(struct server *server, struct json_object *command)
 {
-	double version = number(command, "version", 0);
+	double version = get_number(command, "version", 0);
 	double shards =
-		number(command, "shards", (double)server->config.shards);
+		get_number(command, "shards", (double)server->config.shards);
 
 	if (version < 1)
 		return ERR_RANGE;
-	return holdings_switch(server, (uint64_t)version, (int)shards,
-			       (int64_t)number(command, "keep_ms", 0));
+	return holdings_switch_version(server, (uint64_t)version, (int)shards,
+				       (int64_t)get_number(command, "keep_ms",
+							   0));
 }
 
 static int apply_cold(struct server *server, struct json_object *command)
 {
 	server->config.cold_factor =
-		number(command, "factor", server->config.cold_factor);
-	server_make_cold(server, (int64_t)number(command, "ms", 0),
-			 (int64_t)number(command, "requests", 0));
+		get_number(command, "factor", server->config.cold_factor);
+	server_make_cold(server, (int64_t)get_number(command, "ms", 0),
+			 (int64_t)get_number(command, "requests", 0));
 	return 0;
 }
 
-static int apply_lie_health(struct server *server, struct json_object *command)
+static int apply_fake_health(struct server *server, struct json_object *command)
 {
 	struct faults *faults = &server->faults;
 
-	faults->lie_health = number(command, "on", 1) != 0;
-	faults->lie_healthy = number(command, "healthy", 1) != 0;
-	faults->lie_load = number(command, "load", 0);
+	faults->fake_health = get_number(command, "on", 1) != 0;
+	faults->fake_healthy = get_number(command, "healthy", 1) != 0;
+	faults->fake_load = get_number(command, "load", 0);
 	return 0;
 }
 
@@ -160,15 +169,15 @@
 {
 	struct server_config *config = &server->config;
 
-	config->service_us = (int64_t)number(command, "service_us",
-					     (double)config->service_us);
+	config->service_us = (int64_t)get_number(command, "service_us",
+						 (double)config->service_us);
 	config->service_random_us =
-		(int64_t)number(command, "service_random_us",
-				(double)config->service_random_us);
+		(int64_t)get_number(command, "service_random_us",
+				    (double)config->service_random_us);
 	return 0;
 }
 
-/* Peaks begin anew from what is open and running now. */
+/* Peaks restart at the current number of connections and running requests. */
 static int apply_clear_counters(struct server *server,
 				struct json_object *command)
 {
@@ -179,12 +188,12 @@
 	return 0;
 }
 
-struct fault {
+struct fault_handler {
 	const char *name;
 	int (*apply)(struct server *server, struct json_object *command);
 };
 
-static const struct fault fault_table[] = {
+static const struct fault_handler fault_handlers[] = {
 	{"slow", apply_slow},
 	{"crash_on", apply_crash_on},
 	{"crash", apply_crash},
@@ -193,32 +202,34 @@
 	{"shed", apply_shed},
 	{"drain", apply_drain},
 	{"wrong_version", apply_wrong_version},
-	{"foreign", apply_foreign},
+	{"foreign", apply_wrong_id},
 	{"truncate", apply_truncate},
 	{"version", apply_version},
 	{"cold", apply_cold},
-	{"lie_health", apply_lie_health},
+	{"lie_health", apply_fake_health},
 	{"reset", apply_reset},
 	{"service_time", apply_service_time},
 	{"clear_counters", apply_clear_counters},
 };
 
-static const struct fault *find_fault(const char *name)
+static const struct fault_handler *find_fault_handler(const char *name)
 {
 	size_t i;
 
-	for (i = 0; name && i < sizeof(fault_table) / sizeof(*fault_table);
+	for (i = 0;
+	     name && i < sizeof(fault_handlers) / sizeof(*fault_handlers);
 	     i++) {
-		if (!strcmp(fault_table[i].name, name))
-			return &fault_table[i];
+		if (!strcmp(fault_handlers[i].name, name))
+			return &fault_handlers[i];
 	}
 	return NULL;
 }
 
-static bool is_meant(const struct server *server, struct json_object *command)
+static bool is_targeted(const struct server *server,
+			struct json_object *command)
 {
-	const char *name = text(command, "server");
-	const char *service = text(command, "service");
+	const char *name = get_text(command, "server");
+	const char *service = get_text(command, "service");
 
 	if (service)
 		return !strcmp(service, server->config.service);
@@ -233,11 +244,12 @@
 	evhtp_send_reply(request, EVHTP_RES_BADREQ);
 }
 
-static void take_command(struct fault_control *control,
-			 evhtp_request_t *request, struct json_object *command)
+static void apply_command(struct fault_control *control,
+			  evhtp_request_t *request, struct json_object *command)
 {
-	const struct fault *fault = find_fault(text(command, "fault"));
-	int met = 0;
+	const struct fault_handler *fault =
+		find_fault_handler(get_text(command, "fault"));
+	int n_targeted = 0;
 	int i;
 
 	if (!fault) {
@@ -248,17 +260,18 @@
 		struct server *server = &control->servers[i];
 		int ret;
 
-		if (!is_meant(server, command))
+		if (!is_targeted(server, command))
 			continue;
 		ret = fault->apply(server, command);
 		if (ret) {
 			reply_error(request, ret);
 			return;
 		}
-		history_fault(server, command);
-		met++;
+		history_record_fault(server, command);
+		n_targeted++;
 	}
-	evbuffer_add_printf(request->buffer_out, "{\"servers\":%d}\n", met);
+	evbuffer_add_printf(request->buffer_out, "{\"servers\":%d}\n",
+			    n_targeted);
 	evhtp_send_reply(request, EVHTP_RES_OK);
 }
 
@@ -310,11 +323,11 @@
 	struct json_object *versions = json_object_new_array();
 	int i;
 
-	for (i = 0; i < server->n_held; i++)
-		json_object_array_add(
-			versions,
-			json_object_new_int64(
-				(int64_t)server->held[i].snapshot->version));
+	for (i = 0; i < server->n_versions; i++)
+		json_object_array_add(versions,
+				      json_object_new_int64(
+					      (int64_t)server->versions[i]
+						      .snapshot->version));
 	json_object_object_add(out, "service",
 			       json_object_new_string(server->config.service));
 	add_int(out, "port", server->port);
@@ -336,7 +349,8 @@
 	return evhtp_kv_find(request->uri->query, name);
 }
 
-static void report(struct fault_control *control, evhtp_request_t *request)
+static void reply_counters(struct fault_control *control,
+			   evhtp_request_t *request)
 {
 	const char *name = query_value(request, "server");
 	bool with_tickets = query_value(request, "tickets");
@@ -367,19 +381,19 @@
 	struct json_object *command;
 
 	if (request->method == htp_method_GET) {
-		report(control, request);
+		reply_counters(control, request);
 		return;
 	}
 	evbuffer_add(in, "", 1);
 	command = json_tokener_parse((char *)evbuffer_pullup(in, -1));
 	if (json_object_is_type(command, json_type_object))
-		take_command(control, request, command);
+		apply_command(control, request, command);
 	else
 		reply_error(request, ERR_SYNTAX);
 	json_object_put(command);
 }
 
-static evhtp_res on_fini(evhtp_connection_t *evhtp, void *arg)
+static evhtp_res on_conn_closed(evhtp_connection_t *evhtp, void *arg)
 {
 	struct control_conn *conn = arg;
 
@@ -398,7 +412,7 @@
 	conn->evhtp = evhtp;
 	DL_APPEND(control->conns, conn);
 	evhtp_connection_set_hook(evhtp, evhtp_hook_on_connection_fini,
-				  (evhtp_hook)on_fini, conn);
+				  (evhtp_hook)on_conn_closed, conn);
 	return EVHTP_RES_OK;
 }
 
--- a/bench/backend_history.c
+++ b/bench/backend_history.c
@@ -7,8 +7,8 @@
 
 #include "backend_work.h"
 
-/* Request ids are the callers' choice, so they are quoted by the library. */
-static void put_text(FILE *out, const char *name, const char *text)
+/* Callers choose request ids, so json-c escapes them. */
+static void write_text_member(FILE *out, const char *name, const char *text)
 {
 	struct json_object *value = json_object_new_string(text);
 
@@ -16,7 +16,7 @@
 	json_object_put(value);
 }
 
-static void put_common(struct work *work, const char *event)
+static void write_common_members(struct work *work, const char *event)
 {
 	FILE *out = work->server->history;
 
@@ -26,18 +26,18 @@
 		event, clock_now(&work->server->clock),
 		work->server->config.server, work->conn_number,
 		request_kind_names[work->kind]);
-	put_text(out, "request_id", work->request_id);
+	write_text_member(out, "request_id", work->request_id);
 }
 
-void history_start(struct work *work)
+void history_record_start(struct work *work)
 {
 	FILE *out = work->server->history;
 	size_t i;
 
-	work->started = true;
+	work->recorded = true;
 	if (!out)
 		return;
-	put_common(work, "start");
+	write_common_members(work, "start");
 	if (work->search) {
 		fprintf(out, ",\"version\":%" PRIu64 ",\"shards\":[",
 			work->search->version);
@@ -48,11 +48,11 @@
 		fputs("]", out);
 	}
 	if (work->run)
-		put_text(out, "ticket", work->run->ticket);
+		write_text_member(out, "ticket", work->run->ticket);
 	fputs("}\n", out);
 }
 
-void history_fault(struct server *server, struct json_object *command)
+void history_record_fault(struct server *server, struct json_object *command)
 {
 	if (!server->history)
 		return;
@@ -64,15 +64,15 @@
 					       JSON_C_TO_STRING_PLAIN));
 }
 
-void history_end(struct work *work, enum answer_kind answer)
+void history_record_end(struct work *work, enum answer_kind answer)
 {
 	FILE *out = work->server->history;
 
 	work->server->counters.answers[answer]++;
-	if (!out || !work->started)
+	if (!out || !work->recorded)
 		return;
-	put_common(work, "end");
+	write_common_members(work, "end");
 	fprintf(out, ",\"answer\":\"%s\",\"ran\":%s,\"spoilt\":%s}\n",
 		answer_kind_names[answer], work->ran ? "true" : "false",
-		work->spoilt ? "true" : "false");
+		work->unusable ? "true" : "false");
 }
--- a/bench/backend_history.h
+++ b/bench/backend_history.h
@@ -1,4 +1,7 @@
-/* What befell each request at a stand-in, as JSON lines. */
+/*
+ * History of a stand-in as JSON lines: arrival and end of each request, and
+ * the faults injected.
+ */
 #ifndef BACKEND_HISTORY_H
 #define BACKEND_HISTORY_H
 
@@ -6,13 +9,16 @@
 
 struct json_object;
 
-/* A search or run that was understood has arrived. */
-void history_start(struct work *work);
+/* Records the arrival of a valid search or run. */
+void history_record_start(struct work *work);
 
-/* A fault was played on a server. */
-void history_fault(struct server *server, struct json_object *command);
+/* Records a fault command applied to a server. */
+void history_record_fault(struct server *server, struct json_object *command);
 
-/* It is answered, or never will be; counted also without a history. */
-void history_end(struct work *work, enum answer_kind answer);
+/*
+ * Records and counts the end of a request, answered or not. The counter is
+ * updated even when no history is written.
+ */
+void history_record_end(struct work *work, enum answer_kind answer);
 
 #endif
--- a/bench/backend_holdings.c
+++ b/bench/backend_holdings.c
@@ -10,15 +10,18 @@
 {
 	int i;
 
-	for (i = 0; i < server->n_held; i++) {
-		if (server->held[i].snapshot->version == version)
-			return server->held[i].snapshot;
+	for (i = 0; i < server->n_versions; i++) {
+		if (server->versions[i].snapshot->version == version)
+			return server->versions[i].snapshot;
 	}
 	return NULL;
 }
 
-/* Shard s is on the servers (s * replicas + r) % servers, r < replicas. */
-bool holdings_has(const struct server *server, int shard)
+/*
+ * Placement: replica r of shard s, with r < replicas, is on the server with
+ * index (s * replicas + r) % servers.
+ */
+bool holdings_has_shard(const struct server *server, int shard)
 {
 	const struct server_config *config = &server->config;
 	int64_t first = (int64_t)shard * config->replicas % config->servers;
@@ -29,10 +32,10 @@
 	return distance < config->replicas;
 }
 
-void holdings_changed(struct server *server)
+void holdings_invalidate(struct server *server)
 {
-	free(server->holdings);
-	server->holdings = NULL;
+	free(server->packed_holdings);
+	server->packed_holdings = NULL;
 }
 
 static void fill_snapshot(const struct server *server,
@@ -50,9 +53,9 @@
 	for (i = 0; i < n; i++) {
 		backend__shard_info__init(&infos[i]);
 		infos[i].shard = &from->ranges[i];
-		infos[i].held = snapshot_held(from, i);
+		infos[i].held = snapshot_shard_size(from, i);
 		out->map[i] = &infos[i];
-		if (holdings_has(server, i))
+		if (holdings_has_shard(server, i))
 			out->here[out->n_here++] = i;
 	}
 }
@@ -73,32 +76,35 @@
 	struct str packed;
 	int i;
 
-	if (server->holdings && server->holdings_cold == cold)
+	if (server->packed_holdings && server->packed_holdings_cold == cold)
 		return;
-	holdings_changed(server);
-	server->holdings_cold = cold;
+	holdings_invalidate(server);
+	server->packed_holdings_cold = cold;
 	holdings.server = server->config.server;
 	holdings.service = server->config.service;
 	holdings.draining = server->draining;
 	holdings.cold = cold;
 	holdings.snapshots = list;
-	holdings.n_snapshots = server->n_held;
-	for (i = 0; i < server->n_held; i++) {
-		fill_snapshot(server, server->held[i].snapshot, &snapshots[i]);
+	holdings.n_snapshots = server->n_versions;
+	for (i = 0; i < server->n_versions; i++) {
+		fill_snapshot(server, server->versions[i].snapshot,
+			      &snapshots[i]);
 		list[i] = &snapshots[i];
 	}
-	server->holdings_len = backend__holdings__get_packed_size(&holdings);
-	server->holdings = mem_zalloc(server->holdings_len);
-	backend__holdings__pack(&holdings, server->holdings);
-	for (i = 0; i < server->n_held; i++)
+	server->packed_holdings_len =
+		backend__holdings__get_packed_size(&holdings);
+	server->packed_holdings = mem_zalloc(server->packed_holdings_len);
+	backend__holdings__pack(&holdings, server->packed_holdings);
+	for (i = 0; i < server->n_versions; i++)
 		free_snapshot(&snapshots[i]);
-	packed = (struct str){(char *)server->holdings, server->holdings_len};
-	snprintf(server->etag, sizeof(server->etag), "\"%016llx\"",
-		 (unsigned long long)str_hash(packed));
+	packed = (struct str){(char *)server->packed_holdings,
+			      server->packed_holdings_len};
+	snprintf(server->holdings_etag, sizeof(server->holdings_etag),
+		 "\"%016llx\"", (unsigned long long)str_hash(packed));
 }
 
-/* Drops the versions whose time is over and waits for the next. */
-static void on_drop(evutil_socket_t fd, short what, void *arg)
+/* Drops expired versions and sets the timer for the next to expire. */
+static void on_versions_expired(evutil_socket_t fd, short what, void *arg)
 {
 	struct server *server = arg;
 	int64_t now = clock_now(&server->clock);
@@ -108,24 +114,24 @@
 
 	(void)fd;
 	(void)what;
-	for (i = 0; i < server->n_held; i++) {
-		struct held_version *held = &server->held[i];
+	for (i = 0; i < server->n_versions; i++) {
+		struct held_version *held = &server->versions[i];
 
-		if (held->drop_at && held->drop_at <= now)
+		if (held->expires_at && held->expires_at <= now)
 			continue;
-		if (held->drop_at && held->drop_at < next)
-			next = held->drop_at;
-		server->held[n++] = *held;
+		if (held->expires_at && held->expires_at < next)
+			next = held->expires_at;
+		server->versions[n++] = *held;
 	}
-	if (n != server->n_held)
-		holdings_changed(server);
-	server->n_held = n;
+	if (n != server->n_versions)
+		holdings_invalidate(server);
+	server->n_versions = n;
 	if (next != INT64_MAX)
-		server_arm(&server->drop_event, next - now);
+		server_set_timer(&server->expiry_event, next - now);
 }
 
-int holdings_switch(struct server *server, uint64_t version, int shards,
-		    int64_t keep_ms)
+int holdings_switch_version(struct server *server, uint64_t version, int shards,
+			    int64_t keep_ms)
 {
 	int64_t now = clock_now(&server->clock);
 	struct held_version held = {0};
@@ -133,29 +139,30 @@
 
 	if (shards < 1 || shards > RECORDS_POINTS)
 		return ERR_RANGE;
-	for (i = 0; i < server->n_held; i++) {
-		if (keep_ms >= 0 && !server->held[i].drop_at)
-			server->held[i].drop_at = now + MSEC(keep_ms);
-		/* Cut anew: a version has one partition map at a time. */
-		if (server->held[i].snapshot->version == version)
-			server->held[i].drop_at = now;
+	for (i = 0; i < server->n_versions; i++) {
+		if (keep_ms >= 0 && !server->versions[i].expires_at)
+			server->versions[i].expires_at = now + MSEC(keep_ms);
+		/* A version has a single partition map, so replace it. */
+		if (server->versions[i].snapshot->version == version)
+			server->versions[i].expires_at = now;
 	}
-	on_drop(-1, 0, server);
-	if (server->n_held == SERVER_VERSIONS_MAX)
+	on_versions_expired(-1, 0, server);
+	if (server->n_versions == SERVER_VERSIONS_MAX)
 		return ERR_RANGE;
 	held.snapshot = records_snapshot(server->records, version, shards);
-	server->held[server->n_held++] = held;
-	holdings_changed(server);
+	server->versions[server->n_versions++] = held;
+	holdings_invalidate(server);
 	return 0;
 }
 
 void holdings_init(struct server *server)
 {
-	evtimer_assign(&server->drop_event, server->base, on_drop, server);
+	evtimer_assign(&server->expiry_event, server->base, on_versions_expired,
+		       server);
 }
 
 void holdings_finish(struct server *server)
 {
-	event_del(&server->drop_event);
-	free(server->holdings);
+	event_del(&server->expiry_event);
+	free(server->packed_holdings);
 }
--- a/bench/backend_records.c
+++ b/bench/backend_records.c
@@ -13,39 +13,39 @@
 
 #define VALUE_TEXT_SIZE 512
 
-struct name_entry {
+struct interned_text {
 	char *name;
-	uint32_t number;
+	uint32_t id;
 	UT_hash_handle hh;
 };
 
-static uint32_t find_name(struct name_entry *head, const char *name)
+static uint32_t find_interned(struct interned_text *head, const char *name)
 {
-	struct name_entry *entry;
+	struct interned_text *entry;
 
 	HASH_FIND_STR(head, name, entry);
-	return entry ? entry->number : 0;
+	return entry ? entry->id : 0;
 }
 
-/* Numbers start at 1: 0 stands for a missing value. */
-static uint32_t intern_name(struct name_entry **head, const char *name)
+/* Ids start at 1: 0 stands for a missing value. */
+static uint32_t intern_text(struct interned_text **head, const char *name)
 {
-	struct name_entry *entry;
+	struct interned_text *entry;
 
 	HASH_FIND_STR(*head, name, entry);
 	if (entry)
-		return entry->number;
+		return entry->id;
 	entry = mem_zalloc(sizeof(*entry));
 	entry->name = mem_dup(name);
-	entry->number = HASH_COUNT(*head) + 1;
+	entry->id = HASH_COUNT(*head) + 1;
 	HASH_ADD_KEYPTR(hh, *head, entry->name, strlen(entry->name), entry);
-	return entry->number;
+	return entry->id;
 }
 
-static void free_names(struct name_entry **head)
+static void free_interned(struct interned_text **head)
 {
-	struct name_entry *entry;
-	struct name_entry *tmp;
+	struct interned_text *entry;
+	struct interned_text *tmp;
 
 	HASH_ITER (hh, *head, entry, tmp) {
 		HASH_DEL(*head, entry);
@@ -54,8 +54,8 @@
 	}
 }
 
-/* The type is part of the text, so that "3" and 3 are different values. */
-static void value_text(struct json_object *value, char *out, size_t size)
+/* The text starts with the type, so that "3" and 3 are different values. */
+static void format_value(struct json_object *value, char *out, size_t size)
 {
 	double number;
 
@@ -79,7 +79,7 @@
 	}
 }
 
-static ProtobufCBinaryData copy_bytes(struct json_object *value, int flags)
+static ProtobufCBinaryData copy_text(struct json_object *value, int flags)
 {
 	ProtobufCBinaryData out;
 	const char *text;
@@ -99,12 +99,12 @@
 	json_object_object_foreach(body, name, value)
 	{
 		char text[VALUE_TEXT_SIZE];
-		uint32_t field = intern_name(&records->fields, name);
+		uint32_t field = intern_text(&records->fields, name);
 
 		if (field > RECORDS_FIELDS_MAX)
 			return ERR_TOO_LARGE;
-		value_text(value, text, sizeof(text));
-		record->values[field - 1] = intern_name(&records->values, text);
+		format_value(value, text, sizeof(text));
+		record->values[field - 1] = intern_text(&records->values, text);
 	}
 	return 0;
 }
@@ -123,19 +123,19 @@
 	    !json_object_is_type(sort, json_type_string))
 		return ERR_TYPE;
 	record = mem_zalloc(sizeof(*record));
-	MEM_GROW(records->all, records->n, records->cap);
-	records->all[records->n++] = record;
-	backend__record__init(&record->wire);
-	record->wire.key = copy_bytes(key, 0);
-	record->wire.sort = copy_bytes(sort, 0);
-	record->wire.body =
-		copy_bytes(body, JSON_C_TO_STRING_PLAIN |
-					 JSON_C_TO_STRING_NOSLASHESCAPE);
-	record->from =
+	MEM_GROW(records->items, records->n, records->cap);
+	records->items[records->n++] = record;
+	backend__record__init(&record->pb_record);
+	record->pb_record.key = copy_text(key, 0);
+	record->pb_record.sort = copy_text(sort, 0);
+	record->pb_record.body =
+		copy_text(body, JSON_C_TO_STRING_PLAIN |
+					JSON_C_TO_STRING_NOSLASHESCAPE);
+	record->from_version =
 		json_object_get_uint64(json_object_object_get(line, "from"));
-	record->to = to ? json_object_get_uint64(to) : UINT64_MAX;
-	key_text.data = (const char *)record->wire.key.data;
-	key_text.len = record->wire.key.len;
+	record->to_version = to ? json_object_get_uint64(to) : UINT64_MAX;
+	key_text.data = (const char *)record->pb_record.key.data;
+	key_text.len = record->pb_record.key.len;
 	record->point = str_hash(key_text) % RECORDS_POINTS;
 	return read_fields(records, record, body);
 }
@@ -199,21 +199,21 @@
 		records->snapshots = next;
 	}
 	for (i = 0; i < records->n; i++) {
-		free(records->all[i]->wire.key.data);
-		free(records->all[i]->wire.sort.data);
-		free(records->all[i]->wire.body.data);
-		free(records->all[i]);
+		free(records->items[i]->pb_record.key.data);
+		free(records->items[i]->pb_record.sort.data);
+		free(records->items[i]->pb_record.body.data);
+		free(records->items[i]);
 	}
-	free(records->all);
+	free(records->items);
 	free(records->path);
-	free_names(&records->fields);
-	free_names(&records->values);
+	free_interned(&records->fields);
+	free_interned(&records->values);
 	memset(records, 0, sizeof(*records));
 }
 
 static int shard_of(uint32_t point, int n_shards)
 {
-	/* The last shard whose first point is not above this one. */
+	/* Find the last shard whose first point is not above this one. */
 	int shard = (int)((uint64_t)point * n_shards / RECORDS_POINTS);
 
 	if (shard + 1 < n_shards &&
@@ -242,13 +242,13 @@
 	      shard_of(right->point, n_shards);
 	if (cmp)
 		return cmp;
-	cmp = compare_bytes(&left->wire.sort, &right->wire.sort);
+	cmp = compare_bytes(&left->pb_record.sort, &right->pb_record.sort);
 	if (cmp)
 		return cmp;
-	return compare_bytes(&left->wire.key, &right->wire.key);
+	return compare_bytes(&left->pb_record.key, &right->pb_record.key);
 }
 
-static void cut_shards(struct snapshot *snapshot, size_t n)
+static void assign_shards(struct snapshot *snapshot, size_t n)
 {
 	int n_shards = snapshot->n_shards;
 	size_t i;
@@ -290,42 +290,43 @@
 		mem_zalloc((n_shards + 1) * sizeof(*snapshot->starts));
 	snapshot->records = mem_zalloc(records->n * sizeof(*snapshot->records));
 	for (i = 0; i < records->n; i++) {
-		const struct record *record = records->all[i];
+		const struct record *record = records->items[i];
 
-		if (record->from <= version && version < record->to)
+		if (record->from_version <= version &&
+		    version < record->to_version)
 			snapshot->records[n++] = record;
 	}
 	qsort_r(snapshot->records, n, sizeof(*snapshot->records),
 		compare_records, &n_shards);
-	cut_shards(snapshot, n);
+	assign_shards(snapshot, n);
 	snapshot->next = records->snapshots;
 	records->snapshots = snapshot;
 	return snapshot;
 }
 
 static void add_term(const struct records *records, const char *name,
-		     struct json_object *value, struct where *out)
+		     struct json_object *value, struct record_filter *out)
 {
 	char text[VALUE_TEXT_SIZE];
-	struct where_term term;
+	struct filter_term term;
 
-	value_text(value, text, sizeof(text));
-	term.field = find_name(records->fields, name);
-	term.value = find_name(records->values, text);
+	format_value(value, text, sizeof(text));
+	term.field = find_interned(records->fields, name);
+	term.value = find_interned(records->values, text);
 	if (!term.field || !term.value) {
-		out->nothing = true;
+		out->matches_none = true;
 		return;
 	}
 	term.field--;
 	out->terms[out->n++] = term;
 }
 
-int records_where(const struct records *records, const char *text,
-		  struct where *out)
+int records_compile_filter(const struct records *records, const char *text,
+			   struct record_filter *out)
 {
 	struct json_object *root;
 
-	out->nothing = false;
+	out->matches_none = false;
 	out->n = 0;
 	if (!*text)
 		return 0;
@@ -340,7 +341,8 @@
 	return 0;
 }
 
-int snapshot_shard(const struct snapshot *snapshot, uint32_t lo, uint32_t hi)
+int snapshot_find_shard(const struct snapshot *snapshot, uint32_t lo,
+			uint32_t hi)
 {
 	int shard;
 
@@ -353,29 +355,30 @@
 	return shard;
 }
 
-static bool matches(const struct record *record, const struct where *where)
+static bool matches(const struct record *record,
+		    const struct record_filter *filter)
 {
 	int i;
 
-	for (i = 0; i < where->n; i++) {
-		if (record->values[where->terms[i].field] !=
-		    where->terms[i].value)
+	for (i = 0; i < filter->n; i++) {
+		if (record->values[filter->terms[i].field] !=
+		    filter->terms[i].value)
 			return false;
 	}
 	return true;
 }
 
 void snapshot_search(const struct snapshot *snapshot, int shard,
-		     const struct where *where,
+		     const struct record_filter *filter,
 		     const Backend__SearchRequest *request,
 		     Backend__ShardPartial *out)
 {
-	uint32_t held = snapshot_held(snapshot, shard);
+	uint32_t held = snapshot_shard_size(snapshot, shard);
 	size_t limit = request->limit;
 	uint32_t i;
 
 	out->held = held;
-	if (where->nothing)
+	if (filter->matches_none)
 		return;
 	if (request->mode != BACKEND__MODE__RECORDS)
 		limit = 0;
@@ -387,11 +390,11 @@
 		const struct record *record =
 			snapshot->records[snapshot->starts[shard] + i];
 
-		if (!matches(record, where))
+		if (!matches(record, filter))
 			continue;
 		out->count++;
 		if (out->n_records < limit)
 			out->records[out->n_records++] =
-				(Backend__Record *)&record->wire;
+				(Backend__Record *)&record->pb_record;
 	}
 }
--- a/bench/backend_route.c
+++ b/bench/backend_route.c
@@ -38,22 +38,23 @@
 		backend__shard_partial__init(&partials[i]);
 		answer->shards[i] = &partials[i];
 		partials[i].shard = range;
-		shard = snapshot_shard(work->snapshot, range->lo, range->hi);
-		if (shard < 0 || !holdings_has(work->server, shard)) {
+		shard = snapshot_find_shard(work->snapshot, range->lo,
+					    range->hi);
+		if (shard < 0 || !holdings_has_shard(work->server, shard)) {
 			partials[i].status =
 				BACKEND__SHARD_STATUS__SHARD_NOT_HELD;
 			continue;
 		}
-		snapshot_search(work->snapshot, shard, &work->where, search,
+		snapshot_search(work->snapshot, shard, &work->filter, search,
 				&partials[i]);
 	}
 	if (!n)
 		free(partials);
 }
 
-static void put_packed(struct work *work, size_t len,
-		       size_t (*pack)(const void *message, uint8_t *out),
-		       const void *message)
+static void append_packed(struct work *work, size_t len,
+			  size_t (*pack)(const void *message, uint8_t *out),
+			  const void *message)
 {
 	struct evbuffer *out = work->request->buffer_out;
 	struct evbuffer_iovec space;
@@ -79,20 +80,20 @@
 {
 	Backend__SearchAnswer answer = BACKEND__SEARCH_ANSWER__INIT;
 	struct server *server = work->server;
-	char foreign_id[] = "another-request";
+	char wrong_id[] = "another-request";
 
 	answer.request_id = work->search->request_id;
 	answer.server = server->config.server;
 	answer.version = work->search->version;
-	if (server_random(server) < server->faults.wrong_version)
+	if (server_random(server) < server->faults.wrong_version_probability)
 		answer.version++;
-	if (server_random(server) < server->faults.foreign)
-		answer.request_id = foreign_id;
-	work->spoilt = answer.version != work->search->version ||
-		       answer.request_id == foreign_id;
+	if (server_random(server) < server->faults.wrong_id_probability)
+		answer.request_id = wrong_id;
+	work->unusable = answer.version != work->search->version ||
+			 answer.request_id == wrong_id;
 	fill_partials(work, &answer);
-	put_packed(work, backend__search_answer__get_packed_size(&answer),
-		   pack_search, &answer);
+	append_packed(work, backend__search_answer__get_packed_size(&answer),
+		      pack_search, &answer);
 	free_partials(&answer);
 	work_answer(work, ANSWER_DONE);
 }
@@ -106,8 +107,8 @@
 	answer.server = work->server->config.server;
 	answer.body.data = (uint8_t *)body;
 	answer.body.len = sizeof(body) - 1;
-	put_packed(work, backend__run_answer__get_packed_size(&answer),
-		   pack_run, &answer);
+	append_packed(work, backend__run_answer__get_packed_size(&answer),
+		      pack_run, &answer);
 	work_answer(work, ANSWER_DONE);
 }
 
@@ -117,18 +118,19 @@
 		work->deadline_at = work->arrived_at + MSEC(deadline_ms);
 }
 
-static bool is_for(const struct work *work, const char *service)
+static bool is_for_service(const struct work *work, const char *service)
 {
 	return !strcmp(service, work->server->config.service);
 }
 
-static void take_search(struct work *work, const uint8_t *body, size_t len)
+static void handle_search(struct work *work, const uint8_t *body, size_t len)
 {
 	struct server *server = work->server;
 
 	work->search = backend__search_request__unpack(NULL, len, body);
-	if (!work->search || !is_for(work, work->search->service) ||
-	    records_where(server->records, work->search->where, &work->where)) {
+	if (!work->search || !is_for_service(work, work->search->service) ||
+	    records_compile_filter(server->records, work->search->where,
+				   &work->filter)) {
 		work_answer(work, ANSWER_BAD_REQUEST);
 		return;
 	}
@@ -136,45 +138,45 @@
 	work->snapshot = holdings_snapshot(server, work->search->version);
 	server->counters.shards_asked += (int64_t)work->search->n_shards;
 	set_deadline(work, work->search->deadline_ms);
-	history_start(work);
+	history_record_start(work);
 	work_admit(work);
 }
 
-/* A run goes to whoever holds the key's shard in the newest version. */
-static bool holds_key(const struct server *server, const char *key)
+/* A run is accepted only if the newest version's shard of its key is held. */
+static bool holds_shard_of_key(const struct server *server, const char *key)
 {
 	uint32_t point = str_hash(str_from(key)) % RECORDS_POINTS;
 	const struct snapshot *snapshot;
 	int shard;
 
-	if (!server->n_held)
+	if (!server->n_versions)
 		return false;
-	snapshot = server->held[server->n_held - 1].snapshot;
+	snapshot = server->versions[server->n_versions - 1].snapshot;
 	for (shard = 0; shard < snapshot->n_shards; shard++) {
 		if (point <= snapshot->ranges[shard].hi)
-			return holdings_has(server, shard);
+			return holdings_has_shard(server, shard);
 	}
 	return false;
 }
 
-static void take_run(struct work *work, const uint8_t *body, size_t len)
+static void handle_run(struct work *work, const uint8_t *body, size_t len)
 {
 	struct server *server = work->server;
 
 	work->run = backend__run_request__unpack(NULL, len, body);
-	if (!work->run || !is_for(work, work->run->service) ||
+	if (!work->run || !is_for_service(work, work->run->service) ||
 	    !*work->run->ticket) {
 		work_answer(work, ANSWER_BAD_REQUEST);
 		return;
 	}
 	work->request_id = work->run->request_id;
 	set_deadline(work, work->run->deadline_ms);
-	history_start(work);
-	if (!holds_key(server, work->run->key)) {
+	history_record_start(work);
+	if (!holds_shard_of_key(server, work->run->key)) {
 		work_answer(work, ANSWER_NOT_HELD);
 		return;
 	}
-	work->snapshot = server->held[server->n_held - 1].snapshot;
+	work->snapshot = server->versions[server->n_versions - 1].snapshot;
 	work_admit(work);
 }
 
@@ -193,7 +195,7 @@
 	cancel_matching(server, request_id);
 }
 
-static void take_cancel(struct work *work, const uint8_t *body, size_t len)
+static void handle_cancel(struct work *work, const uint8_t *body, size_t len)
 {
 	Backend__CancelRequest *cancel;
 
@@ -207,7 +209,7 @@
 	work_answer(work, ANSWER_NO_CONTENT);
 }
 
-static void take_holdings(struct work *work, const uint8_t *body, size_t len)
+static void handle_holdings(struct work *work, const uint8_t *body, size_t len)
 {
 	struct server *server = work->server;
 	const char *known;
@@ -215,19 +217,19 @@
 	(void)body;
 	(void)len;
 	holdings_pack(server);
-	work_add_header(work, "ETag", server->etag);
+	work_add_header(work, "ETag", server->holdings_etag);
 	known = evhtp_header_find(work->request->headers_in, "If-None-Match");
-	if (known && !strcmp(known, server->etag)) {
+	if (known && !strcmp(known, server->holdings_etag)) {
 		work_answer(work, ANSWER_NOT_MODIFIED);
 		return;
 	}
 	work_add_header(work, "Content-Type", "application/x-protobuf");
-	evbuffer_add(work->request->buffer_out, server->holdings,
-		     server->holdings_len);
+	evbuffer_add(work->request->buffer_out, server->packed_holdings,
+		     server->packed_holdings_len);
 	work_answer(work, ANSWER_DONE);
 }
 
-static void take_health(struct work *work, const uint8_t *body, size_t len)
+static void handle_health(struct work *work, const uint8_t *body, size_t len)
 {
 	struct server *server = work->server;
 	const struct faults *faults = &server->faults;
@@ -243,9 +245,9 @@
 			(double)server->running / (double)server->config.slots;
 	}
 	load = server->health_load;
-	if (faults->lie_health) {
-		healthy = faults->lie_healthy;
-		load = faults->lie_load;
+	if (faults->fake_health) {
+		healthy = faults->fake_healthy;
+		load = faults->fake_load;
 	}
 	work_add_header(work, "Content-Type", "application/json");
 	evbuffer_add_printf(work->request->buffer_out,
@@ -254,7 +256,7 @@
 	work_answer(work, ANSWER_DONE);
 }
 
-static void take_other(struct work *work, const uint8_t *body, size_t len)
+static void handle_other(struct work *work, const uint8_t *body, size_t len)
 {
 	(void)body;
 	(void)len;
@@ -264,16 +266,16 @@
 struct route {
 	const char *path;
 	htp_method method;
-	void (*take)(struct work *work, const uint8_t *body, size_t len);
+	void (*handle)(struct work *work, const uint8_t *body, size_t len);
 };
 
 static const struct route routes[KIND_COUNT] = {
-	[KIND_HOLDINGS] = {"/v1/holdings", htp_method_GET, take_holdings},
-	[KIND_SEARCH] = {"/v1/search", htp_method_POST, take_search},
-	[KIND_RUN] = {"/v1/run", htp_method_POST, take_run},
-	[KIND_CANCEL] = {"/v1/cancel", htp_method_POST, take_cancel},
-	[KIND_HEALTH] = {"/v1/health", htp_method_GET, take_health},
-	[KIND_OTHER] = {"", htp_method_UNKNOWN, take_other},
+	[KIND_HOLDINGS] = {"/v1/holdings", htp_method_GET, handle_holdings},
+	[KIND_SEARCH] = {"/v1/search", htp_method_POST, handle_search},
+	[KIND_RUN] = {"/v1/run", htp_method_POST, handle_run},
+	[KIND_CANCEL] = {"/v1/cancel", htp_method_POST, handle_cancel},
+	[KIND_HEALTH] = {"/v1/health", htp_method_GET, handle_health},
+	[KIND_OTHER] = {"", htp_method_UNKNOWN, handle_other},
 };
 
 enum request_kind route_kind(const evhtp_request_t *request)
@@ -308,5 +310,5 @@
 	size_t len = evbuffer_get_length(in);
 
 	count_received(work);
-	routes[work->kind].take(work, evbuffer_pullup(in, -1), len);
+	routes[work->kind].handle(work, evbuffer_pullup(in, -1), len);
 }
--- a/bench/backend_server.c
+++ b/bench/backend_server.c
@@ -19,7 +19,7 @@
 
 #define LISTEN_BACKLOG 512
 #define LOOPBACK "127.0.0.1"
-#define REBIND_MS 20
+#define REBIND_RETRY_MS 20
 
 const char *const request_kind_names[KIND_COUNT] = {
 	"holdings", "search", "run", "cancel", "health", "other",
@@ -31,7 +31,7 @@
 	"draining", "too_late",	     "cancelled",    "none",
 };
 
-void server_arm(struct event *event, int64_t usec)
+void server_set_timer(struct event *event, int64_t usec)
 {
 	struct timeval tv;
 
@@ -47,8 +47,8 @@
 	uint64_t z;
 
 	/* splitmix64 */
-	server->random += 0x9e3779b97f4a7c15;
-	z = server->random;
+	server->random_state += 0x9e3779b97f4a7c15;
+	z = server->random_state;
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9;
 	z = (z ^ (z >> 27)) * 0x94d049bb133111eb;
 	z ^= z >> 31;
@@ -57,21 +57,21 @@
 
 bool server_is_cold(const struct server *server)
 {
-	return server->cold_left > 0 ||
+	return server->cold_requests_left > 0 ||
 	       clock_now(&server->clock) < server->cold_until;
 }
 
 void server_make_cold(struct server *server, int64_t ms, int64_t requests)
 {
 	server->cold_until = clock_now(&server->clock) + MSEC(ms);
-	server->cold_left = requests;
-	holdings_changed(server);
+	server->cold_requests_left = requests;
+	holdings_invalidate(server);
 }
 
-static void stop_watching(struct conn *conn)
+static void stop_close_event(struct conn *conn)
 {
-	if (event_initialized(&conn->watch))
-		event_del(&conn->watch);
+	if (event_initialized(&conn->close_event))
+		event_del(&conn->close_event);
 }
 
 static evhtp_res on_conn_fini(evhtp_connection_t *evhtp, void *arg)
@@ -80,10 +80,10 @@
 	struct server *server = conn->server;
 
 	(void)evhtp;
-	stop_watching(conn);
+	stop_close_event(conn);
 	if (conn->work)
 		work_detach(conn->work);
-	HASH_DEL(server->conn_table, conn);
+	HASH_DEL(server->conns_by_evhtp, conn);
 	DL_DELETE(server->conns, conn);
 	server->n_conns--;
 	free(conn);
@@ -101,11 +101,12 @@
 }
 
 /*
- * While a request is worked on its connection is not read, so that the other
- * end closing it would go unseen. A silent one swallows what comes. Once the
- * answer is out the library reads again, and the watch ends at the next data.
+ * The library does not read a connection while its request is processed and
+ * would miss that the client closes it. This event detects it by peeking. On a
+ * silent connection it discards all input. After the answer the library reads
+ * again, and the event removes itself at the next input.
  */
-static void on_watch(evutil_socket_t fd, short what, void *arg)
+static void on_peer_readable(evutil_socket_t fd, short what, void *arg)
 {
 	struct conn *conn = arg;
 	char bytes[4096];
@@ -113,7 +114,7 @@
 
 	(void)what;
 	if (!conn->silent && !conn->work) {
-		event_del(&conn->watch);
+		event_del(&conn->close_event);
 		return;
 	}
 	n = recv(fd, bytes, sizeof(bytes),
@@ -125,7 +126,7 @@
 		return;
 	}
 	if (!conn->silent)
-		event_del(&conn->watch);
+		event_del(&conn->close_event);
 }
 
 static evhtp_res on_pre_accept(evhtp_connection_t *evhtp, void *arg)
@@ -147,17 +148,17 @@
 	int one = 1;
 
 	setsockopt(evhtp->sock, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-	if (server->setup_until < now)
-		server->setup_until = now;
-	server->setup_until += server->config.connect_cost_us;
+	if (server->setup_done_at < now)
+		server->setup_done_at = now;
+	server->setup_done_at += server->config.connect_cost_us;
 	conn->evhtp = evhtp;
 	conn->server = server;
-	conn->number = ++server->next_number;
-	conn->ready_at = server->setup_until;
-	event_assign(&conn->watch, server->base, evhtp->sock,
-		     EV_READ | EV_PERSIST, on_watch, conn);
+	conn->number = ++server->last_conn_number;
+	conn->ready_at = server->setup_done_at;
+	event_assign(&conn->close_event, server->base, evhtp->sock,
+		     EV_READ | EV_PERSIST, on_peer_readable, conn);
 	DL_APPEND(server->conns, conn);
-	HASH_ADD_PTR(server->conn_table, evhtp, conn);
+	HASH_ADD_PTR(server->conns_by_evhtp, evhtp, conn);
 	server->counters.opened++;
 	if (++server->n_conns > server->counters.peak_open)
 		server->counters.peak_open = server->n_conns;
@@ -171,7 +172,7 @@
 	struct server *server = arg;
 	struct conn *conn;
 
-	HASH_FIND_PTR(server->conn_table, &request->conn, conn);
+	HASH_FIND_PTR(server->conns_by_evhtp, &request->conn, conn);
 	if (conn)
 		work_begin(server, conn, request);
 }
@@ -200,7 +201,7 @@
 		server_close_conn(conn, true);
 }
 
-static void unbind(struct server *server)
+static void stop_listening(struct server *server)
 {
 	if (server->htp->server)
 		evhtp_unbind_socket(server->htp);
@@ -212,14 +213,14 @@
 
 	(void)fd;
 	(void)what;
-	unbind(server);
+	stop_listening(server);
 	server_reset_all(server);
 	work_drop_all(server);
 	event_del(&server->resume_event);
 	server->paused_until = 0;
 	if (server->faults.restart_ms >= 0)
-		server_arm(&server->restart_event,
-			   MSEC(server->faults.restart_ms));
+		server_set_timer(&server->restart_event,
+				 MSEC(server->faults.restart_ms));
 }
 
 static void on_restart(evutil_socket_t fd, short what, void *arg)
@@ -229,18 +230,18 @@
 	(void)fd;
 	(void)what;
 	if (bind_port(server)) {
-		/* The port may still be taken for a moment: try again. */
-		unbind(server);
-		server_arm(&server->restart_event, MSEC(REBIND_MS));
+		/* The port may still be in use for a moment: retry. */
+		stop_listening(server);
+		server_set_timer(&server->restart_event, MSEC(REBIND_RETRY_MS));
 		return;
 	}
 	server->down = false;
-	server->setup_until = 0;
+	server->setup_done_at = 0;
 	server_make_cold(server, server->config.cold_ms,
 			 server->config.cold_requests);
 }
 
-/* Not at once: a connection cannot be freed in a callback of its own. */
+/* Deferred: a connection must not be freed in one of its own callbacks. */
 void server_crash_soon(struct server *server)
 {
 	if (server->down)
@@ -248,7 +249,7 @@
 	server->down = true;
 	server->counters.crashes++;
 	LOG_INFO("server_crashed", LOG_TEXT("server", server->config.server));
-	server_arm(&server->crash_event, 0);
+	server_set_timer(&server->crash_event, 0);
 }
 
 static void set_reading(struct server *server, bool on)
@@ -283,7 +284,7 @@
 	server->paused_until = clock_now(&server->clock) + MSEC(ms);
 	evconnlistener_disable(server->htp->server);
 	set_reading(server, false);
-	server_arm(&server->resume_event, MSEC(ms));
+	server_set_timer(&server->resume_event, MSEC(ms));
 }
 
 void server_drain(struct server *server, bool on)
@@ -292,10 +293,10 @@
 	server->counters.drain_at = on ? clock_now(&server->clock) : 0;
 	server->counters.received_after_drain = 0;
 	server->counters.last_after_drain_us = 0;
-	holdings_changed(server);
+	holdings_invalidate(server);
 }
 
-static void on_forget(evutil_socket_t fd, short what, void *arg)
+static void on_silent_end(evutil_socket_t fd, short what, void *arg)
 {
 	struct server *server = arg;
 	struct conn *conn;
@@ -309,30 +310,31 @@
 	}
 }
 
-void server_silence(struct server *server, int64_t forget_ms)
+void server_silence_conns(struct server *server, int64_t close_after_ms)
 {
 	struct conn *conn;
 
 	DL_FOREACH (server->conns, conn) {
 		conn->silent = true;
 		bufferevent_disable(conn->evhtp->bev, EV_READ | EV_WRITE);
-		if (forget_ms < 0)
-			event_add(&conn->watch, NULL);
+		if (close_after_ms < 0)
+			event_add(&conn->close_event, NULL);
 		else
-			event_del(&conn->watch);
+			event_del(&conn->close_event);
 	}
-	if (forget_ms >= 0)
-		server_arm(&server->silent_event, MSEC(forget_ms));
+	if (close_after_ms >= 0)
+		server_set_timer(&server->silent_end_event,
+				 MSEC(close_after_ms));
 }
 
-static void assign_events(struct server *server)
+static void init_timers(struct server *server)
 {
 	struct event_base *base = server->base;
 
 	evtimer_assign(&server->crash_event, base, on_crash, server);
 	evtimer_assign(&server->restart_event, base, on_restart, server);
 	evtimer_assign(&server->resume_event, base, on_resume, server);
-	evtimer_assign(&server->silent_event, base, on_forget, server);
+	evtimer_assign(&server->silent_end_event, base, on_silent_end, server);
 }
 
 int server_init(struct server *server, const struct server_config *config,
@@ -347,16 +349,16 @@
 	server->records = records;
 	server->history = history;
 	server->port = (uint16_t)config->port;
-	server->random = str_hash_mix(str_hash(name), seed);
+	server->random_state = str_hash_mix(str_hash(name), seed);
 	server->faults.restart_ms = -1;
 	clock_init(&server->clock);
-	assign_events(server);
+	init_timers(server);
 	server->htp = evhtp_new(base, NULL);
 	evhtp_set_pre_accept_cb(server->htp, on_pre_accept, server);
 	evhtp_set_post_accept_cb(server->htp, on_post_accept, server);
 	evhtp_set_gencb(server->htp, on_request, server);
 	holdings_init(server);
-	holdings_switch(server, version, (int)config->shards, -1);
+	holdings_switch_version(server, version, (int)config->shards, -1);
 	server_make_cold(server, config->cold_ms, config->cold_requests);
 	if (bind_port(server)) {
 		server_finish(server);
@@ -365,7 +367,7 @@
 	return 0;
 }
 
-static void free_tickets(struct server *server)
+static void free_ticket_counts(struct server *server)
 {
 	struct ticket_count *entry;
 	struct ticket_count *tmp;
@@ -379,16 +381,16 @@
 
 void server_finish(struct server *server)
 {
-	unbind(server);
+	stop_listening(server);
 	server_reset_all(server);
 	work_drop_all(server);
 	evhtp_free(server->htp);
 	event_del(&server->crash_event);
 	event_del(&server->restart_event);
 	event_del(&server->resume_event);
-	event_del(&server->silent_event);
-	free_tickets(server);
+	event_del(&server->silent_end_event);
+	free_ticket_counts(server);
 	holdings_finish(server);
-	free(server->faults.marker);
-	config_finish(&server->config);
+	free(server->faults.crash_marker);
+	server_config_finish(&server->config);
 }
--- a/bench/backend_work.c
+++ b/bench/backend_work.c
@@ -13,7 +13,7 @@
 #include "backend_route.h"
 #include "mem.h"
 
-#define DRAIN_RETRY_MS 1000
+#define DRAINING_RETRY_MS 1000
 #define HEADER_NUMBER_SIZE 24
 
 static const evhtp_res answer_status[ANSWER_COUNT] = {
@@ -25,11 +25,11 @@
 	[ANSWER_CANCELLED] = 499,
 };
 
-static void start_next(struct server *server);
+static void start_next_queued(struct server *server);
 
-static void arm(struct work *work, int64_t at)
+static void set_work_timer(struct work *work, int64_t at)
 {
-	server_arm(&work->timer, at - clock_now(&work->server->clock));
+	server_set_timer(&work->timer, at - clock_now(&work->server->clock));
 }
 
 static void work_free(struct work *work)
@@ -55,7 +55,7 @@
 {
 	work->conn = NULL;
 	work->request = NULL;
-	/* Not begun: a server that reads nothing more never runs it. */
+	/* Not admitted: the server no longer reads it, so it never runs. */
 	if (work->state == WORK_CONNECTING)
 		work_free(work);
 }
@@ -66,19 +66,22 @@
 	struct work *tmp;
 
 	DL_FOREACH_SAFE (server->works, work, tmp) {
-		history_end(work, ANSWER_NONE);
+		history_record_end(work, ANSWER_NONE);
 		work_free(work);
 	}
 }
 
-static void suspend(struct work *work)
+static void pause_request(struct work *work)
 {
-	if (work->suspended)
+	if (work->paused)
 		return;
-	work->suspended = true;
-	/* In this order the kernel's interest in the socket never changes. */
-	event_del(&work->conn->watch);
-	event_add(&work->conn->watch, NULL);
+	work->paused = true;
+	/*
+	 * Adding the event before the library stops reading leaves the
+	 * socket's registration in the kernel unchanged.
+	 */
+	event_del(&work->conn->close_event);
+	event_add(&work->conn->close_event, NULL);
 	evhtp_request_pause(work->request);
 }
 
@@ -103,7 +106,7 @@
 	return config->service_us;
 }
 
-static void add_refusal(struct work *work, enum answer_kind answer)
+static void add_retry_headers(struct work *work, enum answer_kind answer)
 {
 	struct server *server = work->server;
 	int64_t ms = mean_service_us(&server->config) / USEC_PER_MSEC;
@@ -111,13 +114,13 @@
 	if (answer == ANSWER_SHED)
 		ms = server->faults.shed_retry_ms;
 	if (answer == ANSWER_DRAINING) {
-		ms = DRAIN_RETRY_MS;
+		ms = DRAINING_RETRY_MS;
 		work_add_header(work, "X-Draining", "1");
 	}
 	add_number(work, "Retry-After-Ms", ms > 0 ? ms : 1);
 }
 
-/* Half of the body that Content-Length promises. */
+/* Keeps the full Content-Length but sends only half of the body. */
 static void truncate_answer(struct work *work)
 {
 	struct evbuffer *out = work->request->buffer_out;
@@ -131,7 +134,7 @@
 	evbuffer_free(half);
 }
 
-static evhtp_res on_cut_written(evhtp_connection_t *conn, void *arg)
+static evhtp_res on_truncated_written(evhtp_connection_t *conn, void *arg)
 {
 	(void)arg;
 	shutdown(conn->sock, SHUT_WR);
@@ -143,35 +146,36 @@
 	struct server *server = work->server;
 	evhtp_request_t *request = work->request;
 	struct conn *conn = work->conn;
-	bool suspended = work->suspended;
-	bool held = work->state != WORK_CONNECTING;
-	bool cut;
+	bool paused = work->paused;
+	bool was_admitted = work->state != WORK_CONNECTING;
+	bool truncated;
 
 	if (!conn || conn->silent) {
-		history_end(work, ANSWER_NONE);
+		history_record_end(work, ANSWER_NONE);
 		work_free(work);
-		if (held)
-			start_next(server);
+		if (was_admitted)
+			start_next_queued(server);
 		return;
 	}
 	if (answer == ANSWER_NO_SLOT || answer == ANSWER_SHED ||
 	    answer == ANSWER_DRAINING)
-		add_refusal(work, answer);
-	cut = answer == ANSWER_DONE && work->kind == KIND_SEARCH &&
-	      server_random(server) < server->faults.truncate;
-	if (cut)
+		add_retry_headers(work, answer);
+	truncated = answer == ANSWER_DONE && work->kind == KIND_SEARCH &&
+		    server_random(server) < server->faults.truncate_probability;
+	if (truncated)
 		truncate_answer(work);
-	work->spoilt |= cut;
-	history_end(work, answer);
+	work->unusable |= truncated;
+	history_record_end(work, answer);
 	work_free(work);
-	if (cut)
+	if (truncated)
 		evhtp_connection_set_hook(conn->evhtp, evhtp_hook_on_write,
-					  (evhtp_hook)on_cut_written, NULL);
+					  (evhtp_hook)on_truncated_written,
+					  NULL);
 	evhtp_send_reply(request, answer_status[answer]);
-	if (suspended)
+	if (paused)
 		evhtp_request_resume(request);
-	if (held)
-		start_next(server);
+	if (was_admitted)
+		start_next_queued(server);
 }
 
 static void finish_running(struct work *work)
@@ -205,7 +209,7 @@
 	for (i = 0; i < work->search->n_shards; i++) {
 		uint32_t lo = work->search->shards[i]->lo;
 
-		if (lo >= faults->slow_lo && lo <= faults->slow_hi)
+		if (lo >= faults->slow_shard_lo && lo <= faults->slow_shard_hi)
 			return faults->slow_factor;
 	}
 	return 1;
@@ -224,8 +228,8 @@
 	usec *= slow_factor(work);
 	if (server_is_cold(server))
 		usec *= config->cold_factor;
-	if (server->cold_left > 0)
-		server->cold_left--;
+	if (server->cold_requests_left > 0)
+		server->cold_requests_left--;
 	return (int64_t)usec;
 }
 
@@ -246,9 +250,9 @@
 	entry->n++;
 }
 
-static bool is_marked(const struct work *work)
+static bool has_crash_marker(const struct work *work)
 {
-	const char *marker = work->server->faults.marker;
+	const char *marker = work->server->faults.crash_marker;
 
 	if (!marker)
 		return false;
@@ -258,8 +262,8 @@
 		      strlen(marker));
 }
 
-/* Takes a slot. A run counts as having run from here on. */
-static void work_start(struct work *work)
+/* Occupies a slot. A run counts as executed from here on. */
+static void run_work(struct work *work)
 {
 	struct server *server = work->server;
 	int64_t now = clock_now(&server->clock);
@@ -271,9 +275,9 @@
 		server->counters.peak_running = server->running;
 	if (work->run)
 		count_run(work);
-	if (is_marked(work)) {
+	if (has_crash_marker(work)) {
 		if (work->request)
-			suspend(work);
+			pause_request(work);
 		server_crash_soon(server);
 		return;
 	}
@@ -283,11 +287,11 @@
 		return;
 	}
 	if (work->request)
-		suspend(work);
+		pause_request(work);
 	until = work->done_at;
 	if (work->deadline_at && work->deadline_at < until)
 		until = work->deadline_at;
-	arm(work, until);
+	set_work_timer(work, until);
 }
 
 static struct work *first_queued(struct server *server)
@@ -301,7 +305,7 @@
 	return NULL;
 }
 
-static void start_next(struct server *server)
+static void start_next_queued(struct server *server)
 {
 	struct work *work;
 
@@ -311,40 +315,43 @@
 	work = first_queued(server);
 	server->queued--;
 	evtimer_del(&work->timer);
-	work_start(work);
+	run_work(work);
 }
 
-static void work_queue(struct work *work)
+static void queue_work(struct work *work)
 {
 	struct server *server = work->server;
 
 	work->state = WORK_QUEUED;
 	if (++server->queued > server->counters.peak_queued)
 		server->counters.peak_queued = server->queued;
-	suspend(work);
+	pause_request(work);
 	if (work->deadline_at)
-		arm(work, work->deadline_at);
+		set_work_timer(work, work->deadline_at);
 }
 
-static bool is_late(const struct work *work)
+static bool is_past_deadline(const struct work *work)
 {
 	return work->deadline_at &&
 	       work->deadline_at <= clock_now(&work->server->clock);
 }
 
-/* 504 says nothing of whether a run ran, and this one surely did not. */
-static void answer_late(struct work *work)
+/*
+ * A 504 leaves open whether a run was executed. This one was not, so it is
+ * answered as shed.
+ */
+static void answer_past_deadline(struct work *work)
 {
 	work_answer(work, work->run ? ANSWER_SHED : ANSWER_TOO_LATE);
 }
 
-/* Slots last: what is refused for another reason needs none. */
+/* Slots are checked last: a request refused for another reason needs none. */
 void work_admit(struct work *work)
 {
 	struct server *server = work->server;
 
-	if (is_late(work))
-		answer_late(work);
+	if (is_past_deadline(work))
+		answer_past_deadline(work);
 	else if (server->draining)
 		work_answer(work, ANSWER_DRAINING);
 	else if (server_random(server) < server->faults.shed_ratio)
@@ -352,9 +359,9 @@
 	else if (!work->snapshot)
 		work_answer(work, ANSWER_WRONG_VERSION);
 	else if (server->running < server->config.slots)
-		work_start(work);
+		run_work(work);
 	else if (server->queued < server->config.queue)
-		work_queue(work);
+		queue_work(work);
 	else
 		work_answer(work, ANSWER_NO_SLOT);
 }
@@ -367,7 +374,7 @@
 	(void)fd;
 	(void)what;
 	if (clock_now(&server->clock) < server->paused_until) {
-		arm(work, server->paused_until);
+		set_work_timer(work, server->paused_until);
 		return;
 	}
 	switch (work->state) {
@@ -376,7 +383,7 @@
 			route_dispatch(work);
 		break;
 	case WORK_QUEUED:
-		answer_late(work);
+		answer_past_deadline(work);
 		break;
 	case WORK_RUNNING:
 		finish_running(work);
@@ -401,13 +408,13 @@
 	conn->work = work;
 	DL_APPEND(server->works, work);
 	if (server->down || conn->silent) {
-		suspend(work);
+		pause_request(work);
 		return;
 	}
 	if (work->arrived_at >= conn->ready_at) {
 		route_dispatch(work);
 		return;
 	}
-	suspend(work);
-	arm(work, conn->ready_at);
+	pause_request(work);
+	set_work_timer(work, conn->ready_at);
 }
