--- a/bench/common.c
+++ b/bench/common.c
@@ -16,7 +16,7 @@
 
 #define IDLE_TIMEOUT_SECONDS 600
 
-static void stop(evutil_socket_t fd, short what, void *arg)
+static void on_signal(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
@@ -45,11 +45,12 @@
 		return ERR_SYSTEM;
 	server->http = evhttp_new(server->base);
 	evhttp_set_timeout(server->http, IDLE_TIMEOUT_SECONDS);
-	server->term = evsignal_new(server->base, SIGTERM, stop, server->base);
-	server->interrupt =
-		evsignal_new(server->base, SIGINT, stop, server->base);
-	event_add(server->term, NULL);
-	event_add(server->interrupt, NULL);
+	server->sigterm_event =
+		evsignal_new(server->base, SIGTERM, on_signal, server->base);
+	server->sigint_event =
+		evsignal_new(server->base, SIGINT, on_signal, server->base);
+	event_add(server->sigterm_event, NULL);
+	event_add(server->sigint_event, NULL);
 	socket = evhttp_bind_socket_with_handle(server->http, COMMON_HOST,
 						(uint16_t)port);
 	if (!socket) {
@@ -70,13 +71,13 @@
 void common_server_finish(struct common_server *server)
 {
 	evhttp_free(server->http);
-	event_free(server->term);
-	event_free(server->interrupt);
+	event_free(server->sigterm_event);
+	event_free(server->sigint_event);
 	event_base_free(server->base);
 	memset(server, 0, sizeof(*server));
 }
 
-struct str common_body(struct evhttp_request *req)
+struct str common_request_body(struct evhttp_request *req)
 {
 	struct evbuffer *buf = evhttp_request_get_input_buffer(req);
 	size_t len = evbuffer_get_length(buf);
@@ -86,9 +87,9 @@
 	return (struct str){(const char *)evbuffer_pullup(buf, -1), len};
 }
 
-struct json_object *common_body_json(struct evhttp_request *req)
+struct json_object *common_request_json(struct evhttp_request *req)
 {
-	struct str body = common_body(req);
+	struct str body = common_request_body(req);
 	struct json_tokener *tok = json_tokener_new();
 	struct json_object *root;
 
@@ -127,13 +128,13 @@
 }
 
 uint64_t common_query_u64(const struct evkeyvalq *query, const char *name,
-			  uint64_t missing)
+			  uint64_t default_value)
 {
 	const char *text = evhttp_find_header(query, name);
 	uint64_t n;
 
 	if (!text || str_parse_u64(str_from(text), &n))
-		return missing;
+		return default_value;
 	return n;
 }
 
--- a/bench/platform.c
+++ b/bench/platform.c
@@ -1,7 +1,7 @@
 /*
  * Stand-in for the platform's configuration service and instance list. Values
- * keep a short history of revisions, so that faults of the service (stale,
- * restored from a backup, replicas that disagree) can be played.
+ * keep a short history of revisions to simulate faults of the service: stale
+ * data, a restore from a backup, replicas that disagree.
  */
 #include "platform.h"
 
@@ -26,45 +26,52 @@
 
 #define WAIT_MAX_MS 30000
 #define HTTP_NOT_MODIFIED 304
-#define HTTP_TOO_MANY 429
+#define HTTP_TOO_MANY_REQUESTS 429
 
 #define VALUES_PREFIX "/v1/values/"
 #define CONTROL_VALUES_PREFIX "/control/values/"
 
 /**
- * struct call - one call of a reader that has not been answered
- * @after: 0 if it does not wait
+ * struct call - an unanswered call of a reader
+ * @platform: the stand-in
+ * @req: its request
+ * @timer: end of the latency, then of the wait
+ * @close_event: detects that the reader closes the connection
+ * @key: key of the value
+ * @after: only a revision above this is answered at once; 0: any revision
  * @until: end of its wait, monotonic microseconds
- * @flap_side: which of the two flapping revisions it sees
- * @waiting: past the latency, and waiting for a change
+ * @alternating_index: which of the two alternating revisions it sees
+ * @waiting: the latency is over and it waits for a change
+ * @prev: previous call
+ * @next: next call
  */
 struct call {
 	struct platform *platform;
 	struct evhttp_request *req;
 	struct event *timer;
-	struct event *closed;
+	struct event *close_event;
 	char key[STORE_KEY_SIZE];
 	uint64_t after;
 	int64_t until;
-	int flap_side;
+	int alternating_index;
 	bool waiting;
 	struct call *prev;
 	struct call *next;
 };
 
-/* The revision up to which a call sees the store. */
-static uint64_t view_of(const struct call *call)
+/* Highest revision of the store that is visible to a call. */
+static uint64_t visible_revision(const struct call *call)
 {
 	const struct platform_state *state = &call->platform->state;
 
-	if (state->flap[0] != STORE_NEWEST)
-		return state->flap[call->flap_side];
-	if (state->old != STORE_NEWEST)
-		return state->old;
-	return state->stale_at;
+	if (state->alternating[0] != STORE_NEWEST)
+		return state->alternating[call->alternating_index];
+	if (state->old_revision != STORE_NEWEST)
+		return state->old_revision;
+	return state->stale_revision;
 }
 
-static void count(struct platform *platform, const char *key, int status)
+static void count_answer(struct platform *platform, const char *key, int status)
 {
 	struct platform_counter *counter;
 
@@ -84,18 +91,19 @@
 	struct platform *platform = call->platform;
 
 	if (call->waiting)
-		platform->waiting--;
+		platform->n_waiting--;
 	DL_DELETE(platform->calls, call);
 	event_free(call->timer);
-	event_free(call->closed);
+	event_free(call->close_event);
 	free(call);
 }
 
 /*
- * A reader that goes away while it waits: evhttp has either taken the request
- * from the connection, and it is ours to free, or frees it with the connection.
+ * The reader closed the connection while it waited. Either evhttp has detached
+ * the request from the connection, and it must be freed here, or evhttp frees
+ * it with the connection.
  */
-static void reader_gone(struct evhttp_connection *conn, void *arg)
+static void on_connection_closed(struct evhttp_connection *conn, void *arg)
 {
 	struct call *call = arg;
 
@@ -106,10 +114,10 @@
 }
 
 /*
- * evhttp does not read while a request is being answered, and so would see
- * the end of the connection only when the wait is over.
+ * evhttp does not read while a request is unanswered and would detect a closed
+ * connection only at the end of the wait.
  */
-static void peer_closed(evutil_socket_t fd, short what, void *arg)
+static void on_peer_closed(evutil_socket_t fd, short what, void *arg)
 {
 	struct call *call = arg;
 
@@ -125,7 +133,7 @@
 
 	if (conn)
 		evhttp_connection_set_closecb(conn, NULL, NULL);
-	count(call->platform, call->key, status);
+	count_answer(call->platform, call->key, status);
 	common_reply(call->req, status, "text/plain", body);
 	free_call(call);
 }
@@ -147,12 +155,12 @@
 
 	if (!call->waiting) {
 		call->waiting = true;
-		call->platform->waiting++;
+		call->platform->n_waiting++;
 	}
 	evtimer_add(call->timer, &tv);
 }
 
-static void try_answer(struct call *call)
+static void answer_or_wait(struct call *call)
 {
 	const struct store_version *version;
 
@@ -160,7 +168,8 @@
 		answer(call, HTTP_SERVUNAVAIL, STR(""));
 		return;
 	}
-	version = store_get(&call->platform->store, call->key, view_of(call));
+	version = store_get(&call->platform->store, call->key,
+			    visible_revision(call));
 	if (!version) {
 		answer(call, HTTP_NOTFOUND, STR(""));
 		return;
@@ -176,33 +185,33 @@
 	wait_for_change(call);
 }
 
-static void call_timer(evutil_socket_t fd, short what, void *arg)
+static void on_call_timer(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
-	try_answer(arg);
+	answer_or_wait(arg);
 }
 
-void platform_wake(struct platform *platform)
+void platform_answer_waiting(struct platform *platform)
 {
 	struct call *call;
 	struct call *next;
 
 	DL_FOREACH_SAFE (platform->calls, call, next) {
 		if (call->waiting)
-			try_answer(call);
+			answer_or_wait(call);
 	}
 }
 
-/* A full bucket holds the calls of --burst. */
+/* Token bucket whose capacity is --burst. */
 static bool take_token(struct platform *platform)
 {
 	int64_t now = clock_now(&platform->clock);
 	double rate = platform->options.rate;
 
 	platform->tokens +=
-		rate * (double)(now - platform->tokens_at) / USEC_PER_SEC;
-	platform->tokens_at = now;
+		rate * (double)(now - platform->refilled_at) / USEC_PER_SEC;
+	platform->refilled_at = now;
 	if (platform->tokens > platform->options.burst)
 		platform->tokens = platform->options.burst;
 	if (platform->tokens < 1)
@@ -211,7 +220,7 @@
 	return true;
 }
 
-static void refuse_over_rate(struct platform *platform,
+static void reject_over_rate(struct platform *platform,
 			     struct evhttp_request *req, const char *key)
 {
 	double missing = 1 - platform->tokens;
@@ -221,8 +230,8 @@
 		 missing / platform->options.rate * 1000 + 1);
 	evhttp_add_header(evhttp_request_get_output_headers(req),
 			  "Retry-After-Ms", text);
-	count(platform, key, HTTP_TOO_MANY);
-	common_reply_empty(req, HTTP_TOO_MANY);
+	count_answer(platform, key, HTTP_TOO_MANY_REQUESTS);
+	common_reply_empty(req, HTTP_TOO_MANY_REQUESTS);
 }
 
 static void read_query(struct call *call, const struct evhttp_uri *uri)
@@ -250,16 +259,18 @@
 
 	call->platform = platform;
 	call->req = req;
-	call->timer = evtimer_new(platform->server.base, call_timer, call);
-	call->closed = event_new(platform->server.base, bufferevent_getfd(bev),
-				 EV_CLOSED, peer_closed, call);
-	event_add(call->closed, NULL);
+	call->timer = evtimer_new(platform->server.base, on_call_timer, call);
+	call->close_event =
+		event_new(platform->server.base, bufferevent_getfd(bev),
+			  EV_CLOSED, on_peer_closed, call);
+	event_add(call->close_event, NULL);
 	snprintf(call->key, sizeof(call->key), "%s", key);
-	if (platform->state.flap[0] != STORE_NEWEST)
-		call->flap_side = (int)(platform->state.n_flap++ % 2);
+	if (platform->state.alternating[0] != STORE_NEWEST)
+		call->alternating_index =
+			(int)(platform->state.n_alternating_calls++ % 2);
 	read_query(call, evhttp_request_get_evhttp_uri(req));
 	DL_APPEND(platform->calls, call);
-	evhttp_connection_set_closecb(conn, reader_gone, call);
+	evhttp_connection_set_closecb(conn, on_connection_closed, call);
 	return call;
 }
 
@@ -275,14 +286,14 @@
 	}
 	platform->n_calls++;
 	if (!take_token(platform)) {
-		refuse_over_rate(platform, req, key);
+		reject_over_rate(platform, req, key);
 		return;
 	}
 	call = add_call(platform, req, key);
 	if (platform->options.latency_ms)
 		evtimer_add(call->timer, &tv);
 	else
-		try_answer(call);
+		answer_or_wait(call);
 }
 
 static void serve(struct evhttp_request *req, void *arg)
@@ -307,14 +318,14 @@
 
 	memset(platform, 0, sizeof(*platform));
 	platform->options = *options;
-	platform->state.stale_at = STORE_NEWEST;
-	platform->state.old = STORE_NEWEST;
-	platform->state.flap[0] = STORE_NEWEST;
-	platform->state.flap[1] = STORE_NEWEST;
+	platform->state.stale_revision = STORE_NEWEST;
+	platform->state.old_revision = STORE_NEWEST;
+	platform->state.alternating[0] = STORE_NEWEST;
+	platform->state.alternating[1] = STORE_NEWEST;
 	store_init(&platform->store);
 	clock_init(&platform->clock);
 	platform->tokens = options->burst;
-	platform->tokens_at = clock_now(&platform->clock);
+	platform->refilled_at = clock_now(&platform->clock);
 	ret = common_server_init(&platform->server, options->port);
 	if (ret)
 		return ret;
@@ -351,11 +362,12 @@
 static const struct argp_option argp_options[] = {
 	{"port", KEY_PORT, "N", 0, "port on loopback, 0 for any (0)", 0},
 	{"rate", KEY_RATE, "N", 0, "calls a second over all readers (2000)", 0},
-	{"burst", KEY_BURST, "N", 0, "calls at once (as --rate)", 0},
+	{"burst", KEY_BURST, "N", 0, "calls that may come at once (as --rate)",
+	 0},
 	{"part-bytes", KEY_PART_BYTES, "N", 0,
-	 "a larger table is split in parts of this size (1048576)", 0},
+	 "a larger table is split into parts of this size (1048576)", 0},
 	{"list-lag-ms", KEY_LIST_LAG, "N", 0,
-	 "how late the instance list is published (0)", 0},
+	 "delay until the instance list is published (0)", 0},
 	{"latency-ms", KEY_LATENCY, "N", 0, "delay of each answer (0)", 0},
 	{0},
 };
--- a/bench/platform_control.c
+++ b/bench/platform_control.c
@@ -11,11 +11,11 @@
 
 #include "mem.h"
 
-/* An instance list that lags. */
+/* An instance list to be published after the lag; owns its data. */
 struct pending_list {
 	struct platform *platform;
 	struct event *timer;
-	uint64_t order;
+	uint64_t number;
 	char *data;
 	size_t len;
 	struct pending_list *prev;
@@ -36,7 +36,7 @@
 void platform_control_value(struct platform *platform,
 			    struct evhttp_request *req, const char *key)
 {
-	struct str body = common_body(req);
+	struct str body = common_request_body(req);
 
 	if (evhttp_request_get_command(req) != EVHTTP_REQ_PUT) {
 		common_reply_empty(req, HTTP_BADMETHOD);
@@ -47,11 +47,11 @@
 		return;
 	}
 	if (body.len > STORE_VALUE_MAX_BYTES) {
-		common_reply_empty(req, PLATFORM_TOO_LARGE);
+		common_reply_empty(req, PLATFORM_HTTP_TOO_LARGE);
 		return;
 	}
 	store_put(&platform->store, key, body);
-	platform_wake(platform);
+	platform_answer_waiting(platform);
 	reply_revision(platform, req);
 }
 
@@ -59,7 +59,7 @@
 {
 	store_publish_table(&platform->store, text,
 			    (size_t)platform->options.part_bytes);
-	platform_wake(platform);
+	platform_answer_waiting(platform);
 }
 
 static char *read_file(const char *path, size_t *len)
@@ -95,11 +95,11 @@
 static void control_publish(struct evhttp_request *req, void *arg)
 {
 	struct platform *platform = arg;
-	struct json_object *root = common_body_json(req);
+	struct json_object *root = common_request_json(req);
 	struct json_object *path;
 
 	if (!root || !json_object_object_get_ex(root, "table_file", &path)) {
-		publish_table(platform, common_body(req));
+		publish_table(platform, common_request_body(req));
 		reply_revision(platform, req);
 	} else if (publish_file(platform, json_object_get_string(path))) {
 		reply_revision(platform, req);
@@ -110,25 +110,26 @@
 }
 
 /* A missing, null, false or zero revision takes the fault away. */
-static uint64_t cap_from(struct json_object *value)
+static uint64_t read_revision(struct json_object *value)
 {
 	uint64_t revision = json_object_get_uint64(value);
 
 	return revision ? revision : STORE_NEWEST;
 }
 
-static void set_flap(struct platform_state *state, struct json_object *value)
+static void set_alternating(struct platform_state *state,
+			    struct json_object *value)
 {
 	int i;
 
-	state->flap[0] = STORE_NEWEST;
-	state->flap[1] = STORE_NEWEST;
-	state->n_flap = 0;
+	state->alternating[0] = STORE_NEWEST;
+	state->alternating[1] = STORE_NEWEST;
+	state->n_alternating_calls = 0;
 	if (!json_object_is_type(value, json_type_array) ||
 	    json_object_array_length(value) != 2)
 		return;
 	for (i = 0; i < 2; i++)
-		state->flap[i] = json_object_get_uint64(
+		state->alternating[i] = json_object_get_uint64(
 			json_object_array_get_idx(value, i));
 }
 
@@ -140,13 +141,13 @@
 	if (!strcmp(key, "down"))
 		state->down = json_object_get_boolean(value);
 	else if (!strcmp(key, "stale"))
-		state->stale_at = json_object_get_boolean(value)
-					  ? platform->store.revision
-					  : STORE_NEWEST;
+		state->stale_revision = json_object_get_boolean(value)
+						? platform->store.revision
+						: STORE_NEWEST;
 	else if (!strcmp(key, "serve_old"))
-		state->old = cap_from(value);
+		state->old_revision = read_revision(value);
 	else if (!strcmp(key, "flap"))
-		set_flap(state, value);
+		set_alternating(state, value);
 	else if (!strcmp(key, "latency_ms"))
 		platform->options.latency_ms = json_object_get_int64(value);
 	else if (!strcmp(key, "list_lag_ms"))
@@ -159,7 +160,7 @@
 static void control_state(struct evhttp_request *req, void *arg)
 {
 	struct platform *platform = arg;
-	struct json_object *root = common_body_json(req);
+	struct json_object *root = common_request_json(req);
 	bool known = !!root;
 
 	if (root) {
@@ -169,7 +170,7 @@
 		}
 	}
 	json_object_put(root);
-	platform_wake(platform);
+	platform_answer_waiting(platform);
 	if (known)
 		reply_revision(platform, req);
 	else
@@ -209,60 +210,61 @@
 			       json_object_new_uint64(platform->n_calls));
 	json_object_object_add(body, "by_key", by_key);
 	json_object_object_add(body, "waiting",
-			       json_object_new_int(platform->waiting));
+			       json_object_new_int(platform->n_waiting));
 	json_object_object_add(body, "revision",
 			       json_object_new_uint64(
 				       platform->store.revision));
 	common_reply_json(req, HTTP_OK, body);
 }
 
-static void free_list(struct pending_list *list)
+static void free_pending_list(struct pending_list *list)
 {
-	DL_DELETE(list->platform->lists, list);
+	DL_DELETE(list->platform->pending_lists, list);
 	event_free(list->timer);
 	free(list->data);
 	free(list);
 }
 
-static void publish_list(evutil_socket_t fd, short what, void *arg)
+static void on_list_lag_over(evutil_socket_t fd, short what, void *arg)
 {
 	struct pending_list *list = arg;
 	struct platform *platform = list->platform;
 
 	(void)fd;
 	(void)what;
-	/* The lag may have been shortened: an older list never comes last. */
-	if (list->order > platform->list_published) {
-		platform->list_published = list->order;
+	/* If the lag was shortened, an older list must not replace a newer. */
+	if (list->number > platform->last_published_number) {
+		platform->last_published_number = list->number;
 		store_put(&platform->store, "instances",
 			  (struct str){list->data, list->len});
-		platform_wake(platform);
+		platform_answer_waiting(platform);
 	}
-	free_list(list);
+	free_pending_list(list);
 }
 
 static void control_instances(struct evhttp_request *req, void *arg)
 {
 	struct platform *platform = arg;
-	struct str body = common_body(req);
+	struct str body = common_request_body(req);
 	struct pending_list *list;
 	struct timeval tv = common_timeval(MSEC(platform->options.list_lag_ms));
 
 	if (body.len > STORE_VALUE_MAX_BYTES) {
-		common_reply_empty(req, PLATFORM_TOO_LARGE);
+		common_reply_empty(req, PLATFORM_HTTP_TOO_LARGE);
 		return;
 	}
 	list = mem_zalloc(sizeof(*list));
 	list->platform = platform;
-	list->order = ++platform->list_asked;
+	list->number = ++platform->last_list_number;
 	list->data = mem_dup_len(body.data, body.len);
 	list->len = body.len;
-	list->timer = evtimer_new(platform->server.base, publish_list, list);
-	DL_APPEND(platform->lists, list);
+	list->timer =
+		evtimer_new(platform->server.base, on_list_lag_over, list);
+	DL_APPEND(platform->pending_lists, list);
 	if (platform->options.list_lag_ms)
 		evtimer_add(list->timer, &tv);
 	else
-		publish_list(-1, 0, list);
+		on_list_lag_over(-1, 0, list);
 	reply_revision(platform, req);
 }
 
@@ -280,6 +282,6 @@
 
 void platform_control_finish(struct platform *platform)
 {
-	while (platform->lists)
-		free_list(platform->lists);
+	while (platform->pending_lists)
+		free_pending_list(platform->pending_lists);
 }
--- a/bench/store.c
+++ b/bench/store.c
@@ -34,7 +34,7 @@
 	}
 }
 
-static void cut_history(struct store_value *value)
+static void trim_history(struct store_value *value)
 {
 	struct store_version *version = value->versions;
 	int i;
@@ -63,7 +63,7 @@
 	version->len = data.len;
 	version->next = value->versions;
 	value->versions = version;
-	cut_history(value);
+	trim_history(value);
 }
 
 static void drop_value(struct store *store, struct store_value *value)
@@ -79,7 +79,7 @@
 }
 
 static void drop_parts(struct store *store,
-		       const struct store_published *published)
+		       const struct store_publication *published)
 {
 	int part;
 
@@ -94,10 +94,10 @@
 	}
 }
 
-static void remember_published(struct store *store, uint64_t revision,
+static void record_publication(struct store *store, uint64_t revision,
 			       int n_parts)
 {
-	struct store_published *slot =
+	struct store_publication *slot =
 		&store->published[store->n_published++ % STORE_HISTORY_LEN];
 
 	drop_parts(store, slot);
@@ -169,11 +169,11 @@
 		put_value(store, "table", revision, text);
 	else
 		n_parts = put_parts(store, revision, text, part_bytes);
-	remember_published(store, revision, n_parts);
+	record_publication(store, revision, n_parts);
 }
 
 const struct store_version *store_get(const struct store *store,
-				      const char *key, uint64_t view)
+				      const char *key, uint64_t max_revision)
 {
 	struct store_value *value = find_value(store, key);
 	const struct store_version *version;
@@ -181,7 +181,7 @@
 	if (!value)
 		return NULL;
 	for (version = value->versions; version; version = version->next) {
-		if (version->revision <= view)
+		if (version->revision <= max_revision)
 			return version;
 	}
 	return NULL;
--- a/bench/store.h
+++ b/bench/store.h
@@ -1,4 +1,4 @@
-/* A store of named values with revisions and a short history. */
+/* Key-value store with revisions and a short history of each value. */
 #ifndef BENCH_STORE_H
 #define BENCH_STORE_H
 
@@ -10,11 +10,13 @@
 
 #define STORE_VALUE_MAX_BYTES (1024 * 1024)
 #define STORE_KEY_SIZE 128
+/* Versions kept of a value, and tables whose parts are kept. */
 #define STORE_HISTORY_LEN 32
 
-/* A view that hides nothing. */
+/* Revision limit that includes every revision. */
 #define STORE_NEWEST UINT64_MAX
 
+/* A version of a value; owns its data. */
 struct store_version {
 	uint64_t revision;
 	char *data;
@@ -22,53 +24,72 @@
 	struct store_version *next; /* older */
 };
 
+/* A value with its versions, the newest first. */
 struct store_value {
 	char key[STORE_KEY_SIZE];
 	struct store_version *versions;
 	UT_hash_handle hh;
 };
 
-/* The parts of one published table, dropped when it leaves the history. */
-struct store_published {
+/* A published table; its parts are dropped when it leaves the history. */
+struct store_publication {
 	uint64_t revision;
 	int n_parts;
 };
 
 /**
  * struct store - all values
- * @revision: grows with every change
- * @published: the last tables, a ring
+ * @values: values by key
+ * @revision: incremented by every change
+ * @published: ring buffer of the latest tables
+ * @n_published: number of tables published so far
  */
 struct store {
 	struct store_value *values;
 	uint64_t revision;
-	struct store_published published[STORE_HISTORY_LEN];
+	struct store_publication published[STORE_HISTORY_LEN];
 	int n_published;
 };
 
+/**
+ * store_init() - create an empty store
+ * @store: free with store_finish()
+ */
 void store_init(struct store *store);
+
+/**
+ * store_finish() - free all values
+ * @store: the store
+ */
 void store_finish(struct store *store);
 
 /**
- * store_put() - a new version of a value, at the next revision
+ * store_put() - add a new version of a value, at the next revision
+ * @store: the store
+ * @key: key, shorter than STORE_KEY_SIZE
  * @data: copied
  */
 void store_put(struct store *store, const char *key, struct str data);
 
 /**
- * store_publish_table() - a new table, all of it at one revision
- * @part_bytes: a longer text is split in parts under a manifest
+ * store_publish_table() - publish a new table at a single revision
+ * @store: the store
+ * @text: the table; copied
+ * @part_bytes: maximum size of a value; a longer table is split into parts
+ *	that a manifest lists
  */
 void store_publish_table(struct store *store, struct str text,
 			 size_t part_bytes);
 
 /**
- * store_get() - the newest version of a value up to a revision
- * @view: that revision, or STORE_NEWEST
+ * store_get() - get the newest version of a value up to a revision
+ * @store: the store
+ * @key: key of the value
+ * @max_revision: highest revision to consider, or STORE_NEWEST
  *
- * Return: the version, or NULL if there was none.
+ * Return: the version, owned by the store; NULL if there is none.
  */
 const struct store_version *store_get(const struct store *store,
-				      const char *key, uint64_t view);
+				      const char *key, uint64_t max_revision);
 
 #endif
