--- a/bench/floor.c
+++ b/bench/floor.c
@@ -1,6 +1,7 @@
 /*
- * What the libraries cost alone: a bare evhttp client on kept connections, and
- * packing and unpacking the bodies that backend servers take and give.
+ * Measures the CPU time of the libraries alone: a plain evhttp client on
+ * persistent connections, and packing and unpacking the protocol buffers that
+ * are exchanged with backend servers.
  */
 #include "common.h"
 
@@ -21,7 +22,7 @@
 #include "error.h"
 #include "mem.h"
 
-#define PATH "/v1/search"
+#define REQUEST_PATH "/v1/search"
 #define PROTOBUF_TYPE "application/x-protobuf"
 #define RECORD_BYTES 200
 
@@ -44,24 +45,24 @@
 	int64_t failed;
 };
 
-/* One connection of a client. */
-struct lane {
+/* A connection of a client. */
+struct connection {
 	struct client *client;
-	struct evhttp_connection *conn;
+	struct evhttp_connection *evhttp;
 };
 
-/* Where the time of a job began. */
-struct meter {
+/* Wall clock and CPU time at the start of a job, microseconds. */
+struct stopwatch {
 	struct clock clock;
-	int64_t wall;
-	int64_t cpu;
+	int64_t wall_start;
+	int64_t cpu_start;
 };
 
-static void meter_start(struct meter *meter)
+static void stopwatch_start(struct stopwatch *stopwatch)
 {
-	clock_init(&meter->clock);
-	meter->wall = clock_now(&meter->clock);
-	meter->cpu = common_cpu_usec();
+	clock_init(&stopwatch->clock);
+	stopwatch->wall_start = clock_now(&stopwatch->clock);
+	stopwatch->cpu_start = common_cpu_usec();
 }
 
 static void put_int(struct json_object *line, const char *key, int64_t value)
@@ -69,17 +70,19 @@
 	json_object_object_add(line, key, json_object_new_int64(value));
 }
 
-/* One line: the job's own numbers, and the time it took. */
-static void meter_print(const struct meter *meter, struct json_object *line)
+/* Adds the elapsed times to the results in @line, prints and releases it. */
+static void print_results(const struct stopwatch *stopwatch,
+			  struct json_object *line)
 {
-	put_int(line, "cpu_us", common_cpu_usec() - meter->cpu);
-	put_int(line, "wall_us", clock_now(&meter->clock) - meter->wall);
+	put_int(line, "cpu_us", common_cpu_usec() - stopwatch->cpu_start);
+	put_int(line, "wall_us",
+		clock_now(&stopwatch->clock) - stopwatch->wall_start);
 	puts(json_object_to_json_string_ext(line, JSON_C_TO_STRING_PLAIN));
 	fflush(stdout);
 	json_object_put(line);
 }
 
-static void echo(struct evhttp_request *req, void *arg)
+static void on_request(struct evhttp_request *req, void *arg)
 {
 	const struct options *options = arg;
 	char *body = mem_zalloc((size_t)options->body_bytes);
@@ -96,33 +99,34 @@
 
 	if (ret)
 		return ret;
-	evhttp_set_gencb(server.http, echo, (void *)options);
+	evhttp_set_gencb(server.http, on_request, (void *)options);
 	common_server_run(&server);
 	common_server_finish(&server);
 	return 0;
 }
 
-static void send_next(struct lane *lane);
+static void send_request(struct connection *connection);
 
-static void answered(struct evhttp_request *req, void *arg)
+static void on_response(struct evhttp_request *req, void *arg)
 {
-	struct lane *lane = arg;
-	struct client *client = lane->client;
+	struct connection *connection = arg;
+	struct client *client = connection->client;
 
 	if (req && evhttp_request_get_response_code(req) == HTTP_OK)
 		client->answered++;
 	else
 		client->failed++;
 	if (client->sent < client->options->requests)
-		send_next(lane);
+		send_request(connection);
 	else if (client->answered + client->failed == client->sent)
 		event_base_loopbreak(client->base);
 }
 
-static void send_next(struct lane *lane)
+static void send_request(struct connection *connection)
 {
-	struct client *client = lane->client;
-	struct evhttp_request *req = evhttp_request_new(answered, lane);
+	struct client *client = connection->client;
+	struct evhttp_request *req =
+		evhttp_request_new(on_response, connection);
 	struct evkeyvalq *headers = evhttp_request_get_output_headers(req);
 
 	evhttp_add_header(headers, "Host", COMMON_HOST);
@@ -130,45 +134,47 @@
 	evbuffer_add(evhttp_request_get_output_buffer(req), client->body,
 		     (size_t)client->options->body_bytes);
 	client->sent++;
-	evhttp_make_request(lane->conn, req, EVHTTP_REQ_POST, PATH);
+	evhttp_make_request(connection->evhttp, req, EVHTTP_REQ_POST,
+			    REQUEST_PATH);
 }
 
-/* A closed loop: each connection has one request under way. */
+/* Closed loop: each connection has one request in flight. */
 static int run_client(const struct options *options)
 {
-	struct lane *lanes =
-		mem_zalloc((size_t)options->connections * sizeof(*lanes));
+	struct connection *connections =
+		mem_zalloc((size_t)options->connections * sizeof(*connections));
 	struct client client = {
 		.options = options,
 		.base = event_base_new(),
 		.body = mem_zalloc((size_t)options->body_bytes),
 	};
 	struct json_object *line = json_object_new_object();
-	struct meter meter;
+	struct stopwatch stopwatch;
 	int i;
 
-	meter_start(&meter);
+	stopwatch_start(&stopwatch);
 	for (i = 0; i < options->connections; i++) {
-		lanes[i].client = &client;
-		lanes[i].conn =
+		connections[i].client = &client;
+		connections[i].evhttp =
 			evhttp_connection_base_new(client.base, NULL,
 						   COMMON_HOST,
 						   (uint16_t)options->port);
-		send_next(&lanes[i]);
+		send_request(&connections[i]);
 	}
 	event_base_dispatch(client.base);
 	put_int(line, "connections", options->connections);
 	put_int(line, "answered", client.answered);
 	put_int(line, "failed", client.failed);
-	meter_print(&meter, line);
+	print_results(&stopwatch, line);
 	for (i = 0; i < options->connections; i++)
-		evhttp_connection_free(lanes[i].conn);
+		evhttp_connection_free(connections[i].evhttp);
 	event_base_free(client.base);
 	free(client.body);
-	free(lanes);
+	free(connections);
 	return client.failed ? ERR_IO : 0;
 }
 
+/* Sample request and answer; the arrays are owned. */
 struct bodies {
 	Backend__SearchRequest request;
 	Backend__SearchAnswer answer;
@@ -237,12 +243,12 @@
 	free(bodies->ranges);
 }
 
-/* As an instance does it: the request is packed, the answer unpacked. */
+/* Packs requests and unpacks answers, as an instance does. */
 static int run_codec(const struct options *options)
 {
 	struct json_object *line = json_object_new_object();
 	struct bodies bodies;
-	struct meter meter;
+	struct stopwatch stopwatch;
 	uint8_t *request;
 	uint8_t *answer;
 	size_t request_len;
@@ -255,7 +261,7 @@
 	request = mem_zalloc(request_len);
 	answer = mem_zalloc(answer_len);
 	backend__search_answer__pack(&bodies.answer, answer);
-	meter_start(&meter);
+	stopwatch_start(&stopwatch);
 	for (i = 0; i < options->requests; i++) {
 		backend__search_request__pack(&bodies.request, request);
 		backend__search_answer__free_unpacked(
@@ -268,7 +274,7 @@
 	put_int(line, "request_bytes", (int64_t)request_len);
 	put_int(line, "answer_bytes", (int64_t)answer_len);
 	put_int(line, "answered", options->requests);
-	meter_print(&meter, line);
+	print_results(&stopwatch, line);
 	free(request);
 	free(answer);
 	bodies_finish(&bodies);
@@ -296,12 +302,14 @@
 };
 
 static const struct argp_option argp_options[] = {
-	{"port", KEY_PORT, "N", 0, "of the server; 0 for any (0)", 0},
-	{"connections", KEY_CONNECTIONS, "N", 0, "kept, of the client (1)", 0},
-	{"requests", KEY_REQUESTS, "N", 0, "in all (100000)", 0},
-	{"body-bytes", KEY_BODY_BYTES, "N", 0, "of each body (200)", 0},
-	{"shards", KEY_SHARDS, "N", 0, "in a body, codec (1)", 0},
-	{"records", KEY_RECORDS, "N", 0, "for each shard, codec (0)", 0},
+	{"port", KEY_PORT, "N", 0, "port of the server; 0 for any (0)", 0},
+	{"connections", KEY_CONNECTIONS, "N", 0,
+	 "persistent connections of the client (1)", 0},
+	{"requests", KEY_REQUESTS, "N", 0, "number of requests (100000)", 0},
+	{"body-bytes", KEY_BODY_BYTES, "N", 0, "size of each body (200)", 0},
+	{"shards", KEY_SHARDS, "N", 0, "shards in a message of codec (1)", 0},
+	{"records", KEY_RECORDS, "N", 0, "records of each shard in codec (0)",
+	 0},
 	{0},
 };
 
@@ -339,10 +347,11 @@
 	.options = argp_options,
 	.parser = parse_option,
 	.args_doc = "server|client|codec",
-	.doc = "Processor time of the libraries alone. Prints a JSON line.",
+	.doc = "Measures the CPU time of the libraries alone. Prints a JSON "
+	       "line.",
 };
 
-static bool options_good(const struct options *options)
+static bool options_valid(const struct options *options)
 {
 	return options->job && options->connections > 0 &&
 	       options->requests >= options->connections &&
@@ -362,12 +371,13 @@
 
 	argp_parse(&argp, argc, argv, 0, NULL, &options);
 	signal(SIGPIPE, SIG_IGN);
-	if (options_good(&options)) {
+	if (options_valid(&options)) {
 		for (i = 0; i < sizeof(jobs) / sizeof(jobs[0]); i++) {
 			if (!strcmp(jobs[i].name, options.job))
 				return jobs[i].run(&options) ? 1 : 0;
 		}
 	}
-	fprintf(stderr, "server, client or codec, with numbers in range\n");
+	fprintf(stderr, "the mode must be server, client or codec, "
+			"and every number in range\n");
 	return 2;
 }
