--- a/bench/load.c
+++ b/bench/load.c
@@ -1,6 +1,6 @@
 /*
- * Open-loop load: requests start when they are due, whatever became of those
- * before, and latency counts from the time a request was due.
+ * Open-loop load generator: each request starts at its scheduled time, even if
+ * earlier ones are still in flight. Latency is measured from that time.
  */
 #include "common.h"
 
@@ -21,10 +21,22 @@
 #include "load_request.h"
 #include "mem.h"
 
-#define READY_LIMIT_SECONDS 10
+#define READY_TIMEOUT_SECONDS 10
 #define TICK_MS 20
-#define DRAIN_EXTRA_MS 1000
-
+#define DRAIN_MARGIN_MS 1000
+
+/**
+ * struct load - state of one run
+ * @arrival: timer of the next scheduled request
+ * @tick: periodic timer: address refresh, start and end of the run
+ * @interval: periodic timer of the timeline
+ * @arrival_seed: state of erand48() for interarrival times
+ * @initialised_at: start of the process; times are monotonic microseconds
+ * @started_at: start of the arrivals; 0 until all callers are ready
+ * @arrivals_end: no request is scheduled from then on
+ * @next_arrival: scheduled time of the next request
+ * @drain_until: the run ends then, even with requests in flight
+ */
 struct load {
 	struct load_options options;
 	struct clock clock;
@@ -32,7 +44,7 @@
 	struct event *arrival;
 	struct event *tick;
 	struct event *interval;
-	struct event *term;
+	struct event *sigterm;
 	struct load_pool pool;
 	struct load_callers callers;
 	struct load_direct direct;
@@ -40,14 +52,15 @@
 	struct load_report report;
 	struct load_requests requests;
 	unsigned short arrival_seed[3];
-	int64_t begun;
-	int64_t started;
-	int64_t end;
-	int64_t next;
-	int64_t drain_end;
+	int64_t initialised_at;
+	int64_t started_at;
+	int64_t arrivals_end;
+	int64_t next_arrival;
+	int64_t drain_until;
 };
 
-static int64_t gap(struct load *load)
+/* Time to the next arrival, microseconds. */
+static int64_t interarrival_time(struct load *load)
 {
 	double mean = USEC_PER_SEC / load->options.rate;
 
@@ -56,23 +69,23 @@
 	return (int64_t)(-log(1 - erand48(load->arrival_seed)) * mean);
 }
 
-static void arrive(evutil_socket_t fd, short what, void *arg)
+static void start_due_requests(evutil_socket_t fd, short what, void *arg)
 {
 	struct load *load = arg;
 	struct timeval tv;
 
 	(void)fd;
 	(void)what;
-	while (load->next < load->end &&
-	       load->next <= clock_now(&load->clock)) {
-		int64_t due = load->next;
+	while (load->next_arrival < load->arrivals_end &&
+	       load->next_arrival <= clock_now(&load->clock)) {
+		int64_t due = load->next_arrival;
 
-		load->next += gap(load);
+		load->next_arrival += interarrival_time(load);
 		load_requests_start(&load->requests, due);
 	}
-	if (load->next >= load->end)
+	if (load->next_arrival >= load->arrivals_end)
 		return;
-	tv = common_timeval(load->next - clock_now(&load->clock));
+	tv = common_timeval(load->next_arrival - clock_now(&load->clock));
 	evtimer_add(load->arrival, &tv);
 }
 
@@ -97,40 +110,42 @@
 	(void)what;
 	json_object_object_add(line, "t",
 			       json_object_new_double(
-				       seconds_since(load, load->started)));
+				       seconds_since(load, load->started_at)));
 	json_object_object_add(line, "in_flight",
 			       json_object_new_uint64(
 				       load->requests.in_flight));
 	print_line(line);
 }
 
-static void start(struct load *load)
+static void start_arrivals(struct load *load)
 {
 	struct timeval every = common_timeval(
 		(int64_t)(load->options.timeline * USEC_PER_SEC));
 	int64_t length = (int64_t)(load->options.seconds * USEC_PER_SEC);
 
-	load->started = clock_now(&load->clock);
-	load->next = load->started + gap(load);
-	load->end = load->started + length;
-	load->drain_end = load->end + MSEC(load->options.timeout_ms) +
-			  MSEC(DRAIN_EXTRA_MS);
+	load->started_at = clock_now(&load->clock);
+	load->next_arrival = load->started_at + interarrival_time(load);
+	load->arrivals_end = load->started_at + length;
+	load->drain_until = load->arrivals_end +
+			    MSEC(load->options.timeout_ms) +
+			    MSEC(DRAIN_MARGIN_MS);
 	if (load->options.resend_not_run)
-		load->drain_end += MSEC(load->options.patience_ms);
+		load->drain_until += MSEC(load->options.patience_ms);
 	if (load->options.timeline > 0)
 		event_add(load->interval, &every);
-	arrive(-1, 0, load);
+	start_due_requests(-1, 0, load);
 }
 
-static bool is_over(const struct load *load)
+static bool is_finished(const struct load *load)
 {
 	int64_t now = clock_now(&load->clock);
 
-	if (!load->started)
-		return now > load->begun + MSEC(READY_LIMIT_SECONDS * 1000);
-	if (now < load->end)
+	if (!load->started_at)
+		return now > load->initialised_at +
+				     MSEC(READY_TIMEOUT_SECONDS * 1000);
+	if (now < load->arrivals_end)
 		return false;
-	return !load->requests.in_flight || now > load->drain_end;
+	return !load->requests.in_flight || now > load->drain_until;
 }
 
 static bool is_ready(const struct load *load)
@@ -147,23 +162,24 @@
 	(void)fd;
 	(void)what;
 	load_callers_refresh(&load->callers);
-	if (!load->started && is_ready(load))
-		start(load);
-	if (is_over(load))
+	if (!load->started_at && is_ready(load))
+		start_arrivals(load);
+	if (is_finished(load))
 		event_base_loopbreak(load->base);
 }
 
-/* A signal ends the arrivals; what is in flight is waited for. */
-static void end_early(evutil_socket_t fd, short what, void *arg)
+/* SIGTERM stops new requests; those in flight may still finish. */
+static void stop_arrivals(evutil_socket_t fd, short what, void *arg)
 {
 	struct load *load = arg;
 
 	(void)fd;
 	(void)what;
-	load->end = 0;
-	load->drain_end = clock_now(&load->clock) +
-			  MSEC(load->options.timeout_ms) + MSEC(DRAIN_EXTRA_MS);
-	if (!load->started)
+	load->arrivals_end = 0;
+	load->drain_until = clock_now(&load->clock) +
+			    MSEC(load->options.timeout_ms) +
+			    MSEC(DRAIN_MARGIN_MS);
+	if (!load->started_at)
 		event_base_loopbreak(load->base);
 }
 
@@ -203,17 +219,17 @@
 static void print_summary(struct load *load)
 {
 	struct json_object *line;
-	struct load_totals *whole = &load->report.whole;
+	struct load_totals *overall = &load->report.overall;
 
-	whole->by_outcome[LOAD_UNFINISHED] = load->requests.in_flight;
-	line = load_report_whole(&load->report);
+	overall->by_outcome[LOAD_UNFINISHED] = load->requests.in_flight;
+	line = load_report_overall(&load->report);
 	json_object_object_add(line, "summary", json_object_new_boolean(1));
 	json_object_object_add(line, "rate",
 			       json_object_new_double(load->options.rate));
 	json_object_object_add(line, "seconds",
 			       json_object_new_double(load->options.seconds));
 	json_object_object_add(line, "started_us",
-			       json_object_new_int64(load->started));
+			       json_object_new_int64(load->started_at));
 	json_object_object_add(line, "cpu_us",
 			       json_object_new_int64(common_cpu_usec()));
 	json_object_object_add(line, "addresses", targets_json(load));
@@ -235,8 +251,8 @@
 				       json_object_new_string(value));
 }
 
-/* The search of the command line, if it names one. */
-static int add_search(struct load *load)
+/* Adds the search described by --service and related options, if any. */
+static int add_option_search(struct load *load)
 {
 	const struct load_options *options = &load->options;
 	struct json_object *body;
@@ -270,7 +286,7 @@
 	if (load->options.queries)
 		ret = load_queries_read(&load->queries, load->options.queries);
 	if (!ret)
-		ret = add_search(load);
+		ret = add_option_search(load);
 	if (!ret && load->options.deadline_ms)
 		load_queries_set(&load->queries, "deadline_ms",
 				 json_object_new_int64(
@@ -286,23 +302,24 @@
 	event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
 	load->base = event_base_new_with_config(config);
 	event_config_free(config);
-	load->arrival = evtimer_new(load->base, arrive, load);
+	load->arrival = evtimer_new(load->base, start_due_requests, load);
 	load->tick = event_new(load->base, -1, EV_PERSIST, tick, load);
 	load->interval =
 		event_new(load->base, -1, EV_PERSIST, print_interval, load);
-	load->term = evsignal_new(load->base, SIGTERM, end_early, load);
+	load->sigterm = evsignal_new(load->base, SIGTERM, stop_arrivals, load);
 	event_add(load->tick, &every);
-	event_add(load->term, NULL);
+	event_add(load->sigterm, NULL);
 }
 
-enum stream {
+enum random_stream {
 	STREAM_ARRIVALS,
 	STREAM_REQUESTS,
 	STREAM_REPLICAS,
 };
 
-/* Streams of neighbouring seeds must not resemble each other. */
-static void set_seed(unsigned short *seed, int64_t option, enum stream stream)
+/* Mixes seed and stream, so that adjacent seeds give unrelated sequences. */
+static void set_seed(unsigned short *seed, int64_t option,
+		     enum random_stream stream)
 {
 	uint64_t from = str_hash_mix((uint64_t)option, stream);
 
@@ -328,13 +345,13 @@
 	requests->run_ratio = options->runs;
 	requests->repeat_ratio = options->repeat_runs;
 	requests->resend_not_run = options->resend_not_run;
-	requests->with_answers = options->history_answers;
-	requests->patience = MSEC(options->patience_ms);
+	requests->history_answers = options->history_answers;
+	requests->resend_time = MSEC(options->patience_ms);
 	set_seed(requests->seed, options->seed, STREAM_REQUESTS);
 	set_seed(load->direct.seed, options->seed, STREAM_REPLICAS);
 	set_seed(load->arrival_seed, options->seed, STREAM_ARRIVALS);
-	snprintf(requests->name, sizeof(requests->name), "l%d-%" PRId64,
-		 (int)getpid(), options->seed);
+	snprintf(requests->id_prefix, sizeof(requests->id_prefix),
+		 "l%d-%" PRId64, (int)getpid(), options->seed);
 	if (!options->history)
 		return 0;
 	requests->history = fopen(options->history, "w");
@@ -349,7 +366,7 @@
 	load->options = *options;
 	signal(SIGPIPE, SIG_IGN);
 	clock_init(&load->clock);
-	load->begun = clock_now(&load->clock);
+	load->initialised_at = clock_now(&load->clock);
 	init_events(load);
 	load_report_init(&load->report, options->timeline > 0);
 	load_pool_init(&load->pool, load->base, options->connections,
@@ -381,7 +398,7 @@
 	event_free(load->arrival);
 	event_free(load->tick);
 	event_free(load->interval);
-	event_free(load->term);
+	event_free(load->sigterm);
 	event_base_free(load->base);
 }
 
@@ -399,7 +416,7 @@
 		return 1;
 	}
 	event_base_dispatch(load.base);
-	ret = load.started ? 0 : 1;
+	ret = load.started_at ? 0 : 1;
 	print_summary(&load);
 	load_finish(&load);
 	return ret;
--- a/bench/load_answer.c
+++ b/bench/load_answer.c
@@ -17,7 +17,7 @@
 	return outcome_names[outcome];
 }
 
-static struct json_object *parse(struct str body)
+static struct json_object *parse_object(struct str body)
 {
 	struct json_tokener *tok = json_tokener_new();
 	struct json_object *root;
@@ -30,7 +30,7 @@
 	return NULL;
 }
 
-static uint64_t number(struct json_object *object, const char *key)
+static uint64_t member_uint64(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
@@ -39,8 +39,8 @@
 	return json_object_get_uint64(value);
 }
 
-static void text(struct json_object *object, const char *key, char *out,
-		 size_t size)
+static void copy_member_text(struct json_object *object, const char *key,
+			     char *out, size_t size)
 {
 	struct json_object *value;
 
@@ -50,12 +50,12 @@
 	snprintf(out, size, "%s", json_object_get_string(value));
 }
 
-static enum load_outcome outcome_from(struct json_object *root, int status)
+static enum load_outcome read_outcome(struct json_object *root, int status)
 {
 	char name[16];
 	int i;
 
-	text(root, "outcome", name, sizeof(name));
+	copy_member_text(root, "outcome", name, sizeof(name));
 	for (i = 0; i < N_PROTOCOL_OUTCOMES; i++) {
 		if (!strcmp(name, outcome_names[i]))
 			break;
@@ -79,8 +79,8 @@
 	if (!json_object_object_get_ex(root, "coverage", &coverage))
 		return;
 	answer->has_coverage = true;
-	answer->covered = number(coverage, "covered");
-	answer->total = number(coverage, "total");
+	answer->covered = member_uint64(coverage, "covered");
+	answer->total = member_uint64(coverage, "total");
 	answer->sufficient = json_object_object_get_ex(coverage, "sufficient",
 						       &sufficient) &&
 			     json_object_get_boolean(sufficient);
@@ -92,27 +92,27 @@
 
 	if (!json_object_object_get_ex(root, "work", &object))
 		return;
-	work->homes = number(object, "homes");
-	work->requests = number(object, "requests");
-	work->hedges = number(object, "hedges");
-	work->retries = number(object, "retries");
-	work->restarts = number(object, "restarts");
+	work->homes = member_uint64(object, "homes");
+	work->requests = member_uint64(object, "requests");
+	work->hedges = member_uint64(object, "hedges");
+	work->retries = member_uint64(object, "retries");
+	work->restarts = member_uint64(object, "restarts");
 }
 
-static void read_members(struct load_answer *answer, struct json_object *root)
+static void read_fields(struct load_answer *answer, struct json_object *root)
 {
 	struct json_object *object;
 
-	text(root, "request_id", answer->request_id,
-	     sizeof(answer->request_id));
-	text(root, "error", answer->error, sizeof(answer->error));
-	answer->retry_after_ms = (int64_t)number(root, "retry_after_ms");
-	answer->snapshot = number(root, "snapshot");
-	answer->count = number(root, "count");
+	copy_member_text(root, "request_id", answer->request_id,
+			 sizeof(answer->request_id));
+	copy_member_text(root, "error", answer->error, sizeof(answer->error));
+	answer->retry_after_ms = (int64_t)member_uint64(root, "retry_after_ms");
+	answer->snapshot = member_uint64(root, "snapshot");
+	answer->count = member_uint64(root, "count");
 	if (json_object_object_get_ex(root, "records", &object))
 		answer->n_records = (int64_t)json_object_array_length(object);
 	if (json_object_object_get_ex(root, "table", &object))
-		answer->table_revision = number(object, "revision");
+		answer->table_revision = member_uint64(object, "revision");
 	if (json_object_object_get_ex(root, "result", &object))
 		answer->result_hash =
 			str_hash(str_from(json_object_to_json_string(object)));
@@ -122,15 +122,15 @@
 
 void load_answer_read(struct load_answer *answer, int status, struct str body)
 {
-	struct json_object *root = parse(body);
+	struct json_object *root = parse_object(body);
 
 	memset(answer, 0, sizeof(*answer));
 	answer->n_records = -1;
 	answer->outcome = LOAD_MALFORMED;
 	if (!root)
 		return;
-	answer->outcome = outcome_from(root, status);
-	read_members(answer, root);
+	answer->outcome = read_outcome(root, status);
+	read_fields(answer, root);
 	json_object_put(root);
 }
 
@@ -145,41 +145,44 @@
 	}
 	memset(answer, 0, sizeof(*answer));
 	answer->outcome = LOAD_MALFORMED;
-	root = parse(body);
+	root = parse_object(body);
 	if (!root)
 		return;
-	text(root, "ticket", answer->ticket, sizeof(answer->ticket));
+	copy_member_text(root, "ticket", answer->ticket,
+			 sizeof(answer->ticket));
 	if (*answer->ticket)
 		answer->outcome = LOAD_DONE;
 	json_object_put(root);
 }
 
-static struct json_object *truth_of(struct json_object *expect,
-				    uint64_t snapshot)
+static struct json_object *expected_at(struct json_object *expect,
+				       uint64_t snapshot)
 {
 	struct json_object *by_snapshot;
-	struct json_object *truth;
+	struct json_object *expected;
 	char key[24];
 
 	if (!json_object_object_get_ex(expect, "by_snapshot", &by_snapshot))
 		return expect;
 	snprintf(key, sizeof(key), "%" PRIu64, snapshot);
-	if (!json_object_object_get_ex(by_snapshot, key, &truth))
+	if (!json_object_object_get_ex(by_snapshot, key, &expected))
 		return NULL;
-	return truth;
+	return expected;
 }
 
-static const char *wrong_count(const struct load_answer *answer, uint64_t truth)
+static const char *check_count(const struct load_answer *answer,
+			       uint64_t expected)
 {
-	if (answer->count > truth)
+	if (answer->count > expected)
 		return "count_above_truth";
-	if (answer->covered == answer->total && answer->count != truth)
+	if (answer->covered == answer->total && answer->count != expected)
 		return "count_below_truth";
 	return NULL;
 }
 
-/* Numbers that disagree with each other, whatever the truth is. */
-static const char *inconsistent(const struct load_answer *answer, int64_t limit)
+/* Checks that need no expected result. */
+static const char *check_consistency(const struct load_answer *answer,
+				     int64_t limit)
 {
 	if (!answer->has_coverage)
 		return "no_coverage";
@@ -196,24 +199,24 @@
 	return NULL;
 }
 
-const char *load_answer_wrong(const struct load_answer *answer,
+const char *load_answer_check(const struct load_answer *answer,
 			      struct json_object *expect, int64_t limit)
 {
-	const char *wrong = inconsistent(answer, limit);
-	struct json_object *truth;
+	const char *wrong = check_consistency(answer, limit);
+	struct json_object *expected;
 	struct json_object *count = NULL;
 
 	if (wrong || !expect)
 		return wrong;
-	truth = truth_of(expect, answer->snapshot);
-	if (!truth)
+	expected = expected_at(expect, answer->snapshot);
+	if (!expected)
 		return "snapshot_unknown";
-	if (json_object_is_type(truth, json_type_int))
-		return wrong_count(answer, json_object_get_uint64(truth));
-	if (json_object_object_get_ex(truth, "total", NULL) &&
-	    number(truth, "total") != answer->total)
+	if (json_object_is_type(expected, json_type_int))
+		return check_count(answer, json_object_get_uint64(expected));
+	if (json_object_object_get_ex(expected, "total", NULL) &&
+	    member_uint64(expected, "total") != answer->total)
 		return "total";
-	if (!json_object_object_get_ex(truth, "count", &count))
+	if (!json_object_object_get_ex(expected, "count", &count))
 		return NULL;
-	return wrong_count(answer, json_object_get_uint64(count));
+	return check_count(answer, json_object_get_uint64(count));
 }
--- a/bench/load_answer.h
+++ b/bench/load_answer.h
@@ -1,4 +1,4 @@
-/* Answers to callers: reading them, and checking them against the truth. */
+/* Parses answers to callers and checks them against expected results. */
 #ifndef BENCH_LOAD_ANSWER_H
 #define BENCH_LOAD_ANSWER_H
 
@@ -12,7 +12,7 @@
 #define LOAD_ID_SIZE 65
 #define LOAD_TICKET_SIZE 256
 
-/* X(symbol, name): the outcomes of the protocol, then those seen here. */
+/* X(symbol, name): outcomes of the protocol, then those set by the client. */
 #define LOAD_OUTCOMES(X)                                                       \
 	X(LOAD_DONE, "done")                                                   \
 	X(LOAD_BAD_REQUEST, "bad_request")                                     \
@@ -34,7 +34,12 @@
 const char *load_outcome_name(enum load_outcome outcome);
 
 /**
- * struct load_work - what the instance says it spent on a search
+ * struct load_work - what an instance reports to have spent on a search
+ * @homes: home instances of the servers that were searched
+ * @requests: requests to backend servers
+ * @hedges: those sent as hedges
+ * @retries: those sent as retries
+ * @restarts: times the search started again on another map
  */
 struct load_work {
 	uint64_t homes;
@@ -45,13 +50,22 @@
 };
 
 /**
- * struct load_answer - one answer
- * @outcome: LOAD_MALFORMED if the body breaks the protocol
- * @error: as named by the instance, "" if there is none
- * @retry_after_ms: 0 if not given
- * @has_coverage: the members from @covered to @sufficient are set
- * @n_records: -1 if the answer has none
- * @result_hash: of the result of a run
+ * struct load_answer - one parsed answer
+ * @outcome: LOAD_MALFORMED if the answer violates the protocol
+ * @request_id: as echoed by the instance, "" if missing
+ * @error: error name, "" if missing
+ * @retry_after_ms: 0 if missing
+ * @snapshot: version of the data that was searched
+ * @count: matching records
+ * @n_records: length of the record list, -1 if there is none
+ * @has_coverage: @covered, @total and @sufficient are set
+ * @covered: records held by the shards that answered
+ * @total: records held by all shards
+ * @sufficient: the coverage meets the service's requirement
+ * @table_revision: configuration table used by the instance
+ * @work: resources spent
+ * @result_hash: hash of the result of a run
+ * @ticket: "" unless it answers a ticket request
  */
 struct load_answer {
 	enum load_outcome outcome;
@@ -72,25 +86,32 @@
 };
 
 /**
- * load_answer_read() - read the body of an answer to a search or run
- * @status: HTTP status, which must fit the outcome
+ * load_answer_read() - parse the answer to a search or run
+ * @answer: overwritten
+ * @status: HTTP status, which must match the outcome
+ * @body: JSON text; anything else gives LOAD_MALFORMED
  */
 void load_answer_read(struct load_answer *answer, int status, struct str body);
 
 /**
- * load_answer_read_ticket() - read the answer to a ticket request
+ * load_answer_read_ticket() - parse the answer to a ticket request
+ * @answer: overwritten; LOAD_DONE if it has a ticket
+ * @status: HTTP status; unless 200, parsed as load_answer_read() does
+ * @body: JSON text
  */
 void load_answer_read_ticket(struct load_answer *answer, int status,
 			     struct str body);
 
 /**
- * load_answer_wrong() - check a search answer against the truth
- * @expect: {"count":N,"total":N}, or {"by_snapshot":{"41":{...}}}, or NULL
- * @limit: of the request
+ * load_answer_check() - check a search answer for consistency and correctness
+ * @answer: of a search with the outcome LOAD_DONE
+ * @expect: {"count":N,"total":N}, or {"by_snapshot":{"41":{...}}}, or NULL if
+ *	the expected result is unknown
+ * @limit: "limit" of the request
  *
- * Return: NULL if nothing is wrong, else a constant text naming what.
+ * Return: NULL if it is correct, else a constant name of the mismatch.
  */
-const char *load_answer_wrong(const struct load_answer *answer,
+const char *load_answer_check(const struct load_answer *answer,
 			      struct json_object *expect, int64_t limit);
 
 #endif
--- a/bench/load_caller.c
+++ b/bench/load_caller.c
@@ -10,12 +10,13 @@
 #include "error.h"
 #include "mem.h"
 
-/* An answer that failed is asked for again after this. */
-#define RETRY_MS 200
+/* Delay before a failed fetch of the address list is retried. */
+#define REFRESH_RETRY_MS 200
 
-static int read_given(struct load_callers *callers, const char *given)
+static int parse_initial_targets(struct load_callers *callers,
+				 const char *initial_targets)
 {
-	char *copy = mem_dup(given);
+	char *copy = mem_dup(initial_targets);
 	char *rest = copy;
 	char *name;
 	int cap = 0;
@@ -29,15 +30,15 @@
 			ret = ERR_ADDRESS;
 			break;
 		}
-		MEM_GROW(callers->given, callers->n_given, cap);
-		callers->given[callers->n_given++] = target;
+		MEM_GROW(callers->initial_targets, callers->n_initial, cap);
+		callers->initial_targets[callers->n_initial++] = target;
 	}
 	free(copy);
 	return ret;
 }
 
 int load_callers_init(struct load_callers *callers, struct load_pool *pool,
-		      const struct clock *clock, const char *given,
+		      const struct clock *clock, const char *initial_targets,
 		      const char *data_centre, int n)
 {
 	int i;
@@ -53,9 +54,9 @@
 	callers->items = mem_zalloc((size_t)n * sizeof(*callers->items));
 	for (i = 0; i < n; i++) {
 		callers->items[i].callers = callers;
-		callers->items[i].ask_from = i;
+		callers->items[i].next_source = i;
 	}
-	return read_given(callers, given);
+	return parse_initial_targets(callers, initial_targets);
 }
 
 void load_callers_finish(struct load_callers *callers)
@@ -63,33 +64,36 @@
 	int i;
 
 	for (i = 0; i < callers->n; i++)
-		free(callers->items[i].places);
+		free(callers->items[i].endpoints);
 	free(callers->items);
-	free(callers->given);
+	free(callers->initial_targets);
 }
 
-static bool read_place(struct load_caller *caller, struct load_place *place,
-		       struct json_object *row)
+static bool read_endpoint(struct load_caller *caller,
+			  struct load_endpoint *endpoint,
+			  struct json_object *row)
 {
-	const char *own = caller->callers->data_centre;
+	const char *own_data_centre = caller->callers->data_centre;
 	struct json_object *value;
 
 	if (!json_object_object_get_ex(row, "address", &value))
 		return false;
-	place->target = load_pool_target(caller->callers->pool,
-					 json_object_get_string(value));
-	place->failed = false;
-	place->local = !own;
-	if (own && json_object_object_get_ex(row, "data_centre", &value))
-		place->local = !strcmp(json_object_get_string(value), own);
-	return !!place->target;
+	endpoint->target = load_pool_target(caller->callers->pool,
+					    json_object_get_string(value));
+	endpoint->failed = false;
+	endpoint->local = !own_data_centre;
+	if (own_data_centre &&
+	    json_object_object_get_ex(row, "data_centre", &value))
+		endpoint->local =
+			!strcmp(json_object_get_string(value), own_data_centre);
+	return !!endpoint->target;
 }
 
 static bool read_addresses(struct load_caller *caller, struct json_object *root)
 {
 	struct json_object *list;
 	struct json_object *lifetime;
-	struct load_place *places;
+	struct load_endpoint *endpoints;
 	int n;
 	int i;
 
@@ -100,30 +104,30 @@
 	n = (int)json_object_array_length(list);
 	if (!n)
 		return false;
-	places = mem_zalloc((size_t)n * sizeof(*places));
+	endpoints = mem_zalloc((size_t)n * sizeof(*endpoints));
 	for (i = 0; i < n; i++) {
-		if (read_place(caller, &places[i],
-			       json_object_array_get_idx(list, (size_t)i)))
+		if (read_endpoint(caller, &endpoints[i],
+				  json_object_array_get_idx(list, (size_t)i)))
 			continue;
-		free(places);
+		free(endpoints);
 		return false;
 	}
-	free(caller->places);
-	caller->places = places;
-	caller->n = n;
+	free(caller->endpoints);
+	caller->endpoints = endpoints;
+	caller->n_endpoints = n;
 	caller->expires = clock_now(caller->callers->clock) +
 			  MSEC(json_object_get_int64(lifetime));
 	return true;
 }
 
-static bool take_answer(struct load_caller *caller,
-			const struct load_reply *reply)
+static bool read_reply(struct load_caller *caller,
+		       const struct load_reply *reply)
 {
 	struct json_tokener *tok;
 	struct json_object *root;
 	bool good = false;
 
-	if (reply->end != LOAD_END_ANSWER || reply->status != 200)
+	if (reply->result != LOAD_RESULT_REPLY || reply->status != 200)
 		return false;
 	tok = json_tokener_new();
 	root = json_tokener_parse_ex(tok, reply->body.data,
@@ -135,34 +139,35 @@
 	return good;
 }
 
-static void answered(void *arg, const struct load_reply *reply)
+static void addresses_received(void *arg, const struct load_reply *reply)
 {
 	struct load_caller *caller = arg;
 	struct load_callers *callers = caller->callers;
 
-	caller->asking = false;
-	if (take_answer(caller, reply)) {
+	caller->is_refreshing = false;
+	if (read_reply(caller, reply)) {
 		caller->ready = true;
 		callers->refreshes++;
 		return;
 	}
 	callers->refresh_failures++;
-	caller->ask_from++;
-	caller->expires = clock_now(callers->clock) + MSEC(RETRY_MS);
+	caller->next_source++;
+	caller->expires = clock_now(callers->clock) + MSEC(REFRESH_RETRY_MS);
 }
 
-/* Addresses of the last answer first, then those given at the start. */
-static struct load_target *whom_to_ask(struct load_caller *caller)
+/* Cycles through the endpoints of the last list, then the initial targets. */
+static struct load_target *refresh_source(struct load_caller *caller)
 {
 	struct load_callers *callers = caller->callers;
-	int i = caller->ask_from % (caller->n + callers->n_given);
+	int i = caller->next_source %
+		(caller->n_endpoints + callers->n_initial);
 
-	if (i < caller->n)
-		return caller->places[i].target;
-	return callers->given[i - caller->n];
+	if (i < caller->n_endpoints)
+		return caller->endpoints[i].target;
+	return callers->initial_targets[i - caller->n_endpoints];
 }
 
-static void ask(struct load_caller *caller)
+static void request_addresses(struct load_caller *caller)
 {
 	struct load_message message = {
 		.method = EVHTTP_REQ_GET,
@@ -170,38 +175,39 @@
 		.body = STR(""),
 	};
 
-	caller->asking = true;
-	load_pool_send(whom_to_ask(caller), &message, answered, caller);
+	caller->is_refreshing = true;
+	load_pool_send(refresh_source(caller), &message, addresses_received,
+		       caller);
 }
 
-/* With fixed addresses each caller has them all, as one lasting answer. */
-static void use_given(struct load_caller *caller)
+/* With fixed addresses, the initial targets are the list of every caller. */
+static void use_initial_targets(struct load_caller *caller)
 {
 	struct load_callers *callers = caller->callers;
 	int i;
 
-	caller->n = callers->n_given;
-	caller->places =
-		mem_realloc(caller->places,
-			    (size_t)caller->n * sizeof(*caller->places));
-	for (i = 0; i < caller->n; i++)
-		caller->places[i] =
-			(struct load_place){.target = callers->given[i],
-					    .local = true};
+	caller->n_endpoints = callers->n_initial;
+	caller->endpoints = mem_realloc(caller->endpoints,
+					(size_t)caller->n_endpoints *
+						sizeof(*caller->endpoints));
+	for (i = 0; i < caller->n_endpoints; i++)
+		caller->endpoints[i] = (struct load_endpoint){
+			.target = callers->initial_targets[i], .local = true};
 	caller->ready = true;
-	caller->expires = clock_now(callers->clock) + MSEC(RETRY_MS);
+	caller->expires = clock_now(callers->clock) + MSEC(REFRESH_RETRY_MS);
 }
 
 static void refresh(struct load_caller *caller)
 {
 	struct load_callers *callers = caller->callers;
 
-	if (caller->asking || clock_now(callers->clock) < caller->expires)
+	if (caller->is_refreshing ||
+	    clock_now(callers->clock) < caller->expires)
 		return;
 	if (callers->fixed)
-		use_given(caller);
+		use_initial_targets(caller);
 	else
-		ask(caller);
+		request_addresses(caller);
 }
 
 void load_callers_refresh(struct load_callers *callers)
@@ -223,28 +229,28 @@
 	return true;
 }
 
-static bool usable(const struct load_place *place, bool only_local,
-		   const struct load_target *avoid)
+static bool is_candidate(const struct load_endpoint *endpoint, bool only_local,
+			 const struct load_target *avoid)
 {
-	return !place->failed && place->target != avoid &&
-	       (place->local || !only_local);
+	return !endpoint->failed && endpoint->target != avoid &&
+	       (endpoint->local || !only_local);
 }
 
-static struct load_target *pick(struct load_caller *caller, double random,
-				bool only_local,
-				const struct load_target *avoid)
+static struct load_target *pick_endpoint(struct load_caller *caller,
+					 double random, bool only_local,
+					 const struct load_target *avoid)
 {
 	int n = 0;
 	int i;
 
-	for (i = 0; i < caller->n; i++)
-		n += usable(&caller->places[i], only_local, avoid);
+	for (i = 0; i < caller->n_endpoints; i++)
+		n += is_candidate(&caller->endpoints[i], only_local, avoid);
 	n = (int)(random * n);
-	for (i = 0; i < caller->n; i++) {
-		if (!usable(&caller->places[i], only_local, avoid))
+	for (i = 0; i < caller->n_endpoints; i++) {
+		if (!is_candidate(&caller->endpoints[i], only_local, avoid))
 			continue;
 		if (!n--)
-			return caller->places[i].target;
+			return caller->endpoints[i].target;
 	}
 	return NULL;
 }
@@ -252,29 +258,30 @@
 struct load_target *load_caller_pick(struct load_caller *caller, double random,
 				     const struct load_target *avoid)
 {
-	struct load_target *target = pick(caller, random, true, avoid);
+	struct load_target *target = pick_endpoint(caller, random, true, avoid);
 
 	if (!target)
-		target = pick(caller, random, false, avoid);
+		target = pick_endpoint(caller, random, false, avoid);
 	if (!target && avoid)
 		target = load_caller_pick(caller, random, NULL);
 	if (!target)
-		target = caller->callers->given[0];
+		target = caller->callers->initial_targets[0];
 	return target;
 }
 
-void load_caller_failed(struct load_caller *caller,
-			const struct load_target *target)
+void load_caller_connect_failed(struct load_caller *caller,
+				const struct load_target *target)
 {
 	int i;
 
-	for (i = 0; i < caller->n; i++) {
-		if (caller->places[i].target == target)
-			caller->places[i].failed = true;
+	for (i = 0; i < caller->n_endpoints; i++) {
+		if (caller->endpoints[i].target == target)
+			caller->endpoints[i].failed = true;
 	}
-	/* Whoever is asked next must not be the one that failed. */
-	for (i = 0; i < caller->n && whom_to_ask(caller) == target; i++)
-		caller->ask_from++;
+	/* Do not fetch the list from the target that failed. */
+	for (i = 0; i < caller->n_endpoints && refresh_source(caller) == target;
+	     i++)
+		caller->next_source++;
 	caller->expires = clock_now(caller->callers->clock);
 	refresh(caller);
 }
--- a/bench/load_direct.c
+++ b/bench/load_direct.c
@@ -14,25 +14,30 @@
 #define PROTOBUF_TYPE "application/x-protobuf"
 #define DEFAULT_LIMIT 20
 
-struct load_holder {
+struct load_server {
 	struct load_direct *direct;
 	struct load_target *target;
 	Backend__Holdings *holdings;
 };
 
-/* Who holds one shard. */
+/* One shard and the servers that hold it. */
 struct shard {
 	Backend__KeyRange range;
-	struct load_holder **holders;
+	struct load_server **servers;
 	int n;
 	int cap;
 };
 
 /**
- * struct load_plan - a service's newest version
- * @total: records in it
+ * struct load_shard_map - the shards of a service's newest version
+ * @service: name, borrowed from the body of its first search
+ * @version: of the snapshot
+ * @total: number of records in this version
+ * @shards: in the order of the map
+ * @n: number of @shards
+ * @hh: in @shard_maps of struct load_direct
  */
-struct load_plan {
+struct load_shard_map {
 	const char *service;
 	uint64_t version;
 	uint64_t total;
@@ -41,32 +46,41 @@
 	UT_hash_handle hh;
 };
 
-/* A search whose parts are under way. */
+/**
+ * struct search - a search with requests in flight
+ * @answer: sum of the replies so far
+ * @version: that is searched
+ * @limit: maximum number of records
+ * @pending: requests in flight, plus one while they are being sent
+ * @has_result: at least one shard was searched
+ * @done: called at the end
+ * @arg: passed to @done
+ */
 struct search {
 	struct load_answer answer;
 	uint64_t version;
 	int64_t limit;
 	int pending;
-	bool any;
+	bool has_result;
 	load_direct_done_fn done;
 	void *arg;
 };
 
-static void take_holdings(void *arg, const struct load_reply *reply)
+static void holdings_received(void *arg, const struct load_reply *reply)
 {
-	struct load_holder *holder = arg;
-	struct load_direct *direct = holder->direct;
+	struct load_server *server = arg;
+	struct load_direct *direct = server->direct;
 
 	direct->n_answered++;
 	if (reply->status == 200)
-		holder->holdings = backend__holdings__unpack(
+		server->holdings = backend__holdings__unpack(
 			NULL, reply->body.len,
 			(const uint8_t *)reply->body.data);
-	if (!holder->holdings)
+	if (!server->holdings)
 		direct->n_failed++;
 }
 
-static void ask_holdings(struct load_holder *holder)
+static void request_holdings(struct load_server *server)
 {
 	struct load_message message = {
 		.method = EVHTTP_REQ_GET,
@@ -74,7 +88,7 @@
 		.body = STR(""),
 	};
 
-	load_pool_send(holder->target, &message, take_holdings, holder);
+	load_pool_send(server->target, &message, holdings_received, server);
 }
 
 static int count_addresses(const char *addresses)
@@ -86,16 +100,16 @@
 	return n;
 }
 
-static int add_holders(struct load_direct *direct, char *addresses)
+static int add_servers(struct load_direct *direct, char *addresses)
 {
 	char *name;
 
 	while ((name = strsep(&addresses, ","))) {
-		struct load_holder *holder = &direct->holders[direct->n];
+		struct load_server *server = &direct->servers[direct->n];
 
-		holder->direct = direct;
-		holder->target = load_pool_target(direct->pool, name);
-		if (!holder->target)
+		server->direct = direct;
+		server->target = load_pool_target(direct->pool, name);
+		if (!server->target)
 			return ERR_ADDRESS;
 		direct->n++;
 	}
@@ -111,43 +125,43 @@
 
 	memset(direct, 0, sizeof(*direct));
 	direct->pool = pool;
-	direct->holders = mem_zalloc((size_t)count_addresses(addresses) *
-				     sizeof(*direct->holders));
-	ret = add_holders(direct, copy);
+	direct->servers = mem_zalloc((size_t)count_addresses(addresses) *
+				     sizeof(*direct->servers));
+	ret = add_servers(direct, copy);
 	free(copy);
 	if (ret)
 		return ret;
 	for (i = 0; i < direct->n; i++)
-		ask_holdings(&direct->holders[i]);
+		request_holdings(&direct->servers[i]);
 	return 0;
 }
 
-static void free_plan(struct load_plan *plan)
+static void free_shard_map(struct load_shard_map *map)
 {
 	int i;
 
-	for (i = 0; i < plan->n; i++)
-		free(plan->shards[i].holders);
-	free(plan->shards);
-	free(plan);
+	for (i = 0; i < map->n; i++)
+		free(map->shards[i].servers);
+	free(map->shards);
+	free(map);
 }
 
 void load_direct_finish(struct load_direct *direct)
 {
-	struct load_plan *plan;
-	struct load_plan *next;
+	struct load_shard_map *map;
+	struct load_shard_map *next;
 	int i;
 
-	HASH_ITER (hh, direct->plans, plan, next) {
-		HASH_DEL(direct->plans, plan);
-		free_plan(plan);
+	HASH_ITER (hh, direct->shard_maps, map, next) {
+		HASH_DEL(direct->shard_maps, map);
+		free_shard_map(map);
 	}
 	for (i = 0; i < direct->n; i++) {
-		if (direct->holders[i].holdings)
+		if (direct->servers[i].holdings)
 			backend__holdings__free_unpacked(
-				direct->holders[i].holdings, NULL);
+				direct->servers[i].holdings, NULL);
 	}
-	free(direct->holders);
+	free(direct->servers);
 }
 
 bool load_direct_ready(const struct load_direct *direct)
@@ -155,26 +169,26 @@
 	return direct->n_answered == direct->n && !direct->n_failed;
 }
 
-static bool serves(const struct load_holder *holder, const char *service)
+static bool serves(const struct load_server *server, const char *service)
 {
-	return holder->holdings && !strcmp(holder->holdings->service, service);
+	return server->holdings && !strcmp(server->holdings->service, service);
 }
 
-static const Backend__Snapshot *newest(const struct load_direct *direct,
-				       const char *service)
+static const Backend__Snapshot *
+newest_snapshot(const struct load_direct *direct, const char *service)
 {
 	const Backend__Snapshot *found = NULL;
 	int i;
 
 	for (i = 0; i < direct->n; i++) {
-		const struct load_holder *holder = &direct->holders[i];
+		const struct load_server *server = &direct->servers[i];
 		size_t k;
 
-		if (!serves(holder, service))
+		if (!serves(server, service))
 			continue;
-		for (k = 0; k < holder->holdings->n_snapshots; k++) {
+		for (k = 0; k < server->holdings->n_snapshots; k++) {
 			const Backend__Snapshot *snapshot =
-				holder->holdings->snapshots[k];
+				server->holdings->snapshots[k];
 
 			if (!found || snapshot->version > found->version)
 				found = snapshot;
@@ -183,58 +197,59 @@
 	return found;
 }
 
-static void add_holder(struct load_plan *plan, struct load_holder *holder)
+static void add_server_shards(struct load_shard_map *map,
+			      struct load_server *server)
 {
 	size_t i;
 	size_t k;
 
-	for (i = 0; i < holder->holdings->n_snapshots; i++) {
-		Backend__Snapshot *snapshot = holder->holdings->snapshots[i];
+	for (i = 0; i < server->holdings->n_snapshots; i++) {
+		Backend__Snapshot *snapshot = server->holdings->snapshots[i];
 
-		if (snapshot->version != plan->version)
+		if (snapshot->version != map->version)
 			continue;
 		for (k = 0; k < snapshot->n_here; k++) {
-			struct shard *shard = &plan->shards[snapshot->here[k]];
+			struct shard *shard = &map->shards[snapshot->here[k]];
 
-			MEM_GROW(shard->holders, shard->n, shard->cap);
-			shard->holders[shard->n++] = holder;
+			MEM_GROW(shard->servers, shard->n, shard->cap);
+			shard->servers[shard->n++] = server;
 		}
 	}
 }
 
-static struct load_plan *make_plan(struct load_direct *direct,
-				   const char *service)
+static struct load_shard_map *build_shard_map(struct load_direct *direct,
+					      const char *service)
 {
-	const Backend__Snapshot *snapshot = newest(direct, service);
-	struct load_plan *plan;
+	const Backend__Snapshot *snapshot = newest_snapshot(direct, service);
+	struct load_shard_map *map;
 	int i;
 
 	if (!snapshot)
 		return NULL;
-	plan = mem_zalloc(sizeof(*plan));
-	plan->service = service;
-	plan->version = snapshot->version;
-	plan->n = (int)snapshot->n_map;
-	plan->shards = mem_zalloc(snapshot->n_map * sizeof(*plan->shards));
-	for (i = 0; i < plan->n; i++) {
-		backend__key_range__init(&plan->shards[i].range);
-		plan->shards[i].range.lo = snapshot->map[i]->shard->lo;
-		plan->shards[i].range.hi = snapshot->map[i]->shard->hi;
-		plan->total += snapshot->map[i]->held;
+	map = mem_zalloc(sizeof(*map));
+	map->service = service;
+	map->version = snapshot->version;
+	map->n = (int)snapshot->n_map;
+	map->shards = mem_zalloc(snapshot->n_map * sizeof(*map->shards));
+	for (i = 0; i < map->n; i++) {
+		backend__key_range__init(&map->shards[i].range);
+		map->shards[i].range.lo = snapshot->map[i]->shard->lo;
+		map->shards[i].range.hi = snapshot->map[i]->shard->hi;
+		map->total += snapshot->map[i]->held;
 	}
 	for (i = 0; i < direct->n; i++) {
-		if (serves(&direct->holders[i], service))
-			add_holder(plan, &direct->holders[i]);
+		if (serves(&direct->servers[i], service))
+			add_server_shards(map, &direct->servers[i]);
 	}
-	HASH_ADD_KEYPTR(hh, direct->plans, service, strlen(service), plan);
-	return plan;
+	HASH_ADD_KEYPTR(hh, direct->shard_maps, service, strlen(service), map);
+	return map;
 }
 
 static void finish_search(struct search *search)
 {
 	struct load_answer *answer = &search->answer;
 
-	answer->outcome = search->any ? LOAD_DONE : LOAD_TOO_LATE;
+	answer->outcome = search->has_result ? LOAD_DONE : LOAD_TOO_LATE;
 	answer->sufficient = answer->covered == answer->total;
 	if (answer->n_records > search->limit)
 		answer->n_records = search->limit;
@@ -247,13 +262,13 @@
 {
 	if (partial->status != BACKEND__SHARD_STATUS__SHARD_OK)
 		return;
-	search->any = true;
+	search->has_result = true;
 	search->answer.covered += partial->held;
 	search->answer.count += partial->count;
 	search->answer.n_records += (int64_t)partial->n_records;
 }
 
-static void take_part(void *arg, const struct load_reply *reply)
+static void server_replied(void *arg, const struct load_reply *reply)
 {
 	struct search *search = arg;
 	Backend__SearchAnswer *answer = NULL;
@@ -274,9 +289,9 @@
 		finish_search(search);
 }
 
-static void send_part(struct load_holder *holder,
-		      const Backend__SearchRequest *request,
-		      struct search *search)
+static void send_request(struct load_server *server,
+			 const Backend__SearchRequest *request,
+			 struct search *search)
 {
 	size_t len = backend__search_request__get_packed_size(request);
 	uint8_t *data = mem_zalloc(len);
@@ -290,56 +305,57 @@
 	backend__search_request__pack(request, data);
 	search->pending++;
 	search->answer.work.requests++;
-	load_pool_send(holder->target, &message, take_part, search);
+	load_pool_send(server->target, &message, server_replied, search);
 	free(data);
 }
 
-static bool holds(const struct shard *shard, const struct load_holder *holder)
+static bool shard_has_server(const struct shard *shard,
+			     const struct load_server *server)
 {
 	int i;
 
 	for (i = 0; i < shard->n; i++) {
-		if (shard->holders[i] == holder)
+		if (shard->servers[i] == server)
 			return true;
 	}
 	return false;
 }
 
-/* All shards from @from on that the holder has and nobody was asked for. */
-static void send_shards(struct load_plan *plan, int from, bool *asked,
-			struct load_holder *holder,
-			Backend__SearchRequest *request, struct search *search)
+/* Requests the shards from @from on that @server has, each only once. */
+static void send_to_server(struct load_shard_map *map, int from,
+			   bool *requested, struct load_server *server,
+			   Backend__SearchRequest *request,
+			   struct search *search)
 {
 	int i;
 
 	request->n_shards = 0;
-	for (i = from; i < plan->n; i++) {
-		if (asked[i] || !holds(&plan->shards[i], holder))
+	for (i = from; i < map->n; i++) {
+		if (requested[i] || !shard_has_server(&map->shards[i], server))
 			continue;
-		asked[i] = true;
-		request->shards[request->n_shards++] = &plan->shards[i].range;
+		requested[i] = true;
+		request->shards[request->n_shards++] = &map->shards[i].range;
 	}
-	send_part(holder, request, search);
+	send_request(server, request, search);
 }
 
-static void send_all(struct load_direct *direct, struct load_plan *plan,
-		     Backend__SearchRequest *request, struct search *search)
+static void send_to_all(struct load_direct *direct, struct load_shard_map *map,
+			Backend__SearchRequest *request, struct search *search)
 {
-	bool *asked = mem_zalloc((size_t)plan->n * sizeof(*asked));
+	bool *requested = mem_zalloc((size_t)map->n * sizeof(*requested));
 	int i;
 
-	request->shards =
-		mem_zalloc((size_t)plan->n * sizeof(*request->shards));
-	for (i = 0; i < plan->n; i++) {
-		struct shard *shard = &plan->shards[i];
+	request->shards = mem_zalloc((size_t)map->n * sizeof(*request->shards));
+	for (i = 0; i < map->n; i++) {
+		struct shard *shard = &map->shards[i];
 		int k = (int)(erand48(direct->seed) * shard->n);
 
-		if (!asked[i] && shard->n)
-			send_shards(plan, i, asked, shard->holders[k], request,
-				    search);
+		if (!requested[i] && shard->n)
+			send_to_server(map, i, requested, shard->servers[k],
+				       request, search);
 	}
 	free(request->shards);
-	free(asked);
+	free(requested);
 }
 
 static const char *member_text(struct json_object *body, const char *key)
@@ -354,12 +370,12 @@
 }
 
 static int64_t member_int(struct json_object *body, const char *key,
-			  int64_t missing)
+			  int64_t fallback)
 {
 	struct json_object *value;
 
 	if (!json_object_object_get_ex(body, key, &value))
-		return missing;
+		return fallback;
 	return json_object_get_int64(value);
 }
 
@@ -378,21 +394,21 @@
 	request->deadline_ms = (uint32_t)member_int(body, "deadline_ms", 0);
 }
 
-static struct load_plan *plan_for(struct load_direct *direct,
-				  struct json_object *body)
+static struct load_shard_map *get_shard_map(struct load_direct *direct,
+					    struct json_object *body)
 {
 	const char *service = member_text(body, "service");
-	struct load_plan *plan;
+	struct load_shard_map *map;
 
-	HASH_FIND_STR(direct->plans, service, plan);
-	return plan ? plan : make_plan(direct, service);
+	HASH_FIND_STR(direct->shard_maps, service, map);
+	return map ? map : build_shard_map(direct, service);
 }
 
 void load_direct_search(struct load_direct *direct, struct json_object *body,
 			const char *request_id, load_direct_done_fn done,
 			void *arg)
 {
-	struct load_plan *plan = plan_for(direct, body);
+	struct load_shard_map *map = get_shard_map(direct, body);
 	struct search *search = mem_zalloc(sizeof(*search));
 	Backend__SearchRequest request;
 
@@ -402,14 +418,14 @@
 	search->answer.has_coverage = true;
 	snprintf(search->answer.request_id, sizeof(search->answer.request_id),
 		 "%s", request_id);
-	/* Counts itself as a part, so that the last of the others ends it. */
+	/* Held while sending, as replies may arrive before all are sent. */
 	search->pending = 1;
-	if (plan) {
-		search->version = plan->version;
-		search->answer.snapshot = plan->version;
-		search->answer.total = plan->total;
+	if (map) {
+		search->version = map->version;
+		search->answer.snapshot = map->version;
+		search->answer.total = map->total;
 		fill_request(&request, body, search);
-		send_all(direct, plan, &request, search);
+		send_to_all(direct, map, &request, search);
 	}
 	if (!--search->pending)
 		finish_search(search);
--- a/bench/load_option.c
+++ b/bench/load_option.c
@@ -36,44 +36,53 @@
 
 static const struct argp_option argp_options[] = {
 	{"addresses", KEY_ADDRESSES, "LIST", 0,
-	 "IP:PORT,... to ask for the addresses to use", 0},
-	{"data-centre", KEY_DATA_CENTRE, "NAME", 0, "that of the callers", 0},
-	{"rate", KEY_RATE, "N", 0, "requests a second (100)", 0},
-	{"seconds", KEY_SECONDS, "N", 0, "how long requests start (5)", 0},
-	{"even", KEY_EVEN, NULL, 0, "start evenly, not as a Poisson process",
+	 "IP:PORT,... of instances to fetch the address list from", 0},
+	{"data-centre", KEY_DATA_CENTRE, "NAME", 0,
+	 "data centre of the callers", 0},
+	{"rate", KEY_RATE, "N", 0, "requests per second (100)", 0},
+	{"seconds", KEY_SECONDS, "N", 0, "how long to start requests (5)", 0},
+	{"even", KEY_EVEN, NULL, 0,
+	 "use a fixed interval between requests instead of a Poisson process",
 	 0},
 	{"queries", KEY_QUERIES, "FILE", 0,
-	 "JSON lines: search bodies, each may have \"expect\"", 0},
-	{"service", KEY_SERVICE, "NAME", 0, "one more search: its service", 0},
-	{"where", KEY_WHERE, "JSON", 0, "of that search", 0},
-	{"mode", KEY_MODE, "NAME", 0, "of that search", 0},
-	{"limit", KEY_LIMIT, "N", 0, "of that search", 0},
+	 "JSON lines of search bodies, each with an optional \"expect\"", 0},
+	{"service", KEY_SERVICE, "NAME", 0, "add a search of this service", 0},
+	{"where", KEY_WHERE, "JSON", 0, "\"where\" of the --service search", 0},
+	{"mode", KEY_MODE, "NAME", 0, "\"mode\" of the --service search", 0},
+	{"limit", KEY_LIMIT, "N", 0, "\"limit\" of the --service search", 0},
 	{"deadline-ms", KEY_DEADLINE, "N", 0,
-	 "of bodies without one, and of runs", 0},
+	 "deadline of runs, and of searches that set none", 0},
 	{"runs", KEY_RUNS, "RATIO", 0,
-	 "part of the requests that must not be repeated (0)", 0},
-	{"run-service", KEY_RUN_SERVICE, "NAME", 0, "of those (as --service)",
-	 0},
+	 "fraction of requests that are runs, which are not idempotent (0)", 0},
+	{"run-service", KEY_RUN_SERVICE, "NAME", 0,
+	 "service of the runs (as --service)", 0},
 	{"repeat-runs", KEY_REPEAT_RUNS, "RATIO", 0,
-	 "part of those whose ticket is sent again to another instance (0)", 0},
-	{"resend-not-run", KEY_RESEND, NULL, 0,
-	 "send again what was refused as not run, when told to", 0},
-	{"patience-ms", KEY_PATIENCE, "N", 0, "how long to send again (5000)",
+	 "fraction of runs whose ticket is sent again to another instance (0)",
 	 0},
-	{"history", KEY_HISTORY, "FILE", 0, "JSON lines, one an attempt", 0},
+	{"resend-not-run", KEY_RESEND, NULL, 0,
+	 "resend requests answered not_run, after their retry_after_ms", 0},
+	{"patience-ms", KEY_PATIENCE, "N", 0,
+	 "how long to resend a request (5000)", 0},
+	{"history", KEY_HISTORY, "FILE", 0,
+	 "write a JSON line for each attempt", 0},
 	{"history-answers", KEY_HISTORY_ANSWERS, NULL, 0,
-	 "with the whole answers in it", 0},
-	{"timeline", KEY_TIMELINE, "SECONDS", 0, "a line for each interval", 0},
-	{"seed", KEY_SEED, "N", 0, "of arrivals and choices (1)", 0},
-	{"callers", KEY_CALLERS, "N", 0, "each keeps its own addresses (16)",
+	 "include complete answers in the history", 0},
+	{"timeline", KEY_TIMELINE, "SECONDS", 0,
+	 "print a JSON line for each interval", 0},
+	{"seed", KEY_SEED, "N", 0, "seed of arrivals and random choices (1)",
 	 0},
+	{"callers", KEY_CALLERS, "N", 0,
+	 "number of callers, each with its own address list (16)", 0},
 	{"connections", KEY_CONNECTIONS, "N", 0,
-	 "most connections to an address (256)", 0},
+	 "maximum number of connections to an address (256)", 0},
 	{"timeout-ms", KEY_TIMEOUT, "N", 0,
-	 "silence after which an answer is given up (3000)", 0},
-	{"fixed", KEY_FIXED, NULL, 0, "use --addresses as they are", 0},
+	 "inactivity after which an exchange fails (3000)", 0},
+	{"fixed", KEY_FIXED, NULL, 0,
+	 "use --addresses as they are, without fetching a list", 0},
 	{"direct", KEY_DIRECT, NULL, 0,
-	 "--addresses are backend servers: search them without an instance", 0},
+	 "--addresses are backend servers: search them directly, without an "
+	 "instance",
+	 0},
 	{0},
 };
 
@@ -178,11 +187,11 @@
 static const struct argp argp = {
 	.options = argp_options,
 	.parser = parse_option,
-	.doc = "Open-loop load on the callers' protocol. Prints JSON lines; "
-	       "the last one has \"summary\".",
+	.doc = "Open-loop load generator for the callers' protocol. Prints "
+	       "JSON lines; the last one has \"summary\".",
 };
 
-static bool options_good(const struct load_options *options)
+static bool options_valid(const struct load_options *options)
 {
 	return options->addresses && options->rate > 0 &&
 	       options->seconds > 0 && options->callers > 0 &&
@@ -202,7 +211,7 @@
 		.timeout_ms = 3000,
 	};
 	argp_parse(&argp, argc, argv, 0, NULL, options);
-	if (options_good(options))
+	if (options_valid(options))
 		return 0;
 	fprintf(stderr, "--addresses and --queries, --service or "
 			"--run-service are needed\n");
--- a/bench/load_option.h
+++ b/bench/load_option.h
@@ -1,11 +1,13 @@
-/* The command line of the load tool. */
+/* Command line options of the load generator. */
 #ifndef BENCH_LOAD_OPTION_H
 #define BENCH_LOAD_OPTION_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Each member is the option of that name; texts are borrowed from argv. */
+/*
+ * Each field holds the option of the same name. Strings are borrowed from argv.
+ */
 struct load_options {
 	const char *addresses;
 	const char *data_centre;
@@ -35,9 +37,12 @@
 };
 
 /**
- * load_options_parse() - read the command line, from defaults on
+ * load_options_parse() - parse the command line, starting from the defaults
+ * @options: overwritten
+ * @argc: as passed to main()
+ * @argv: as passed to main(); must outlive @options
  *
- * Return: 0, or ERR_USAGE with a line on standard error.
+ * Return: 0, or ERR_USAGE after printing a message to standard error.
  */
 int load_options_parse(struct load_options *options, int argc, char **argv);
 
--- a/bench/load_pool.c
+++ b/bench/load_pool.c
@@ -16,7 +16,7 @@
 	struct load_target *target;
 	struct evhttp_connection *http;
 	struct load_exchange *exchange;
-	bool answered_before;
+	bool has_replied;
 	struct load_conn *prev;
 	struct load_conn *next;
 };
@@ -26,7 +26,7 @@
 	char *body;
 	load_done_fn done;
 	void *arg;
-	enum load_end end;
+	enum load_result result;
 	struct load_exchange *prev;
 	struct load_exchange *next;
 };
@@ -131,21 +131,21 @@
 	return open_conn(target);
 }
 
-static void count_end(struct load_target *target,
-		      const struct load_reply *reply)
+static void count_result(struct load_target *target,
+			 const struct load_reply *reply)
 {
-	switch (reply->end) {
-	case LOAD_END_ANSWER:
+	switch (reply->result) {
+	case LOAD_RESULT_REPLY:
 		target->counts.answers++;
 		break;
-	case LOAD_END_CONNECT:
+	case LOAD_RESULT_CONNECT_FAILED:
 		target->counts.connect_failures++;
 		break;
-	case LOAD_END_CUT:
+	case LOAD_RESULT_DISCONNECTED:
 		target->counts.cut_off++;
 		target->counts.cut_off_reused += reply->reused;
 		break;
-	case LOAD_END_SILENT:
+	case LOAD_RESULT_TIMEOUT:
 		target->counts.silent++;
 		break;
 	}
@@ -154,31 +154,31 @@
 static void start_next(struct load_target *target);
 
 /*
- * evhttp tells a failed connect by a request without a status, and any other
- * failure by no request, after the error callback.
+ * evhttp reports a failed connect by a request without a status, and any other
+ * failure by a NULL request, after calling the error callback.
  */
 static void http_done(struct evhttp_request *req, void *arg)
 {
 	struct load_conn *conn = arg;
 	struct load_target *target = conn->target;
 	struct load_exchange *exchange = conn->exchange;
-	struct load_reply reply = {.end = exchange->end,
-				   .reused = conn->answered_before};
+	struct load_reply reply = {.result = exchange->result,
+				   .reused = conn->has_replied};
 
 	if (req && !evhttp_request_get_response_code(req)) {
-		reply.end = LOAD_END_CONNECT;
+		reply.result = LOAD_RESULT_CONNECT_FAILED;
 	} else if (req) {
 		struct evbuffer *buf = evhttp_request_get_input_buffer(req);
 
-		reply.end = LOAD_END_ANSWER;
+		reply.result = LOAD_RESULT_REPLY;
 		reply.status = evhttp_request_get_response_code(req);
 		reply.body.len = evbuffer_get_length(buf);
 		reply.body.data = (const char *)evbuffer_pullup(buf, -1);
 	}
 	if (!reply.body.data)
 		reply.body = STR("");
-	count_end(target, &reply);
-	conn->answered_before = reply.end == LOAD_END_ANSWER;
+	count_result(target, &reply);
+	conn->has_replied = reply.result == LOAD_RESULT_REPLY;
 	conn->exchange = NULL;
 	DL_DELETE(target->busy, conn);
 	DL_PREPEND(target->idle, conn);
@@ -191,8 +191,9 @@
 {
 	struct load_conn *conn = arg;
 
-	conn->exchange->end =
-		error == EVREQ_HTTP_TIMEOUT ? LOAD_END_SILENT : LOAD_END_CUT;
+	conn->exchange->result = error == EVREQ_HTTP_TIMEOUT
+					 ? LOAD_RESULT_TIMEOUT
+					 : LOAD_RESULT_DISCONNECTED;
 }
 
 static struct evhttp_request *make_request(struct load_conn *conn)
@@ -210,13 +211,14 @@
 	return req;
 }
 
-static void start_on(struct load_conn *conn, struct load_exchange *exchange)
+static void start_exchange(struct load_conn *conn,
+			   struct load_exchange *exchange)
 {
 	struct load_target *target = conn->target;
 	struct evhttp_request *req;
 
 	conn->exchange = exchange;
-	exchange->end = LOAD_END_CUT;
+	exchange->result = LOAD_RESULT_DISCONNECTED;
 	DL_APPEND(target->busy, conn);
 	target->counts.sent++;
 	req = make_request(conn);
@@ -238,7 +240,7 @@
 	if (!conn)
 		return;
 	DL_DELETE(target->queue, exchange);
-	start_on(conn, exchange);
+	start_exchange(conn, exchange);
 }
 
 void load_pool_send(struct load_target *target,
--- a/bench/load_pool.h
+++ b/bench/load_pool.h
@@ -1,4 +1,4 @@
-/* Kept HTTP connections, a pool for each target address. */
+/* Persistent HTTP connections, pooled by target address. */
 #ifndef BENCH_LOAD_POOL_H
 #define BENCH_LOAD_POOL_H
 
@@ -14,26 +14,28 @@
 struct event_base;
 
 /**
- * enum load_end - how an exchange ended
- * @LOAD_END_ANSWER: a whole answer
- * @LOAD_END_CONNECT: no connection was made, and so nothing was sent
- * @LOAD_END_CUT: the connection broke before the answer was whole
- * @LOAD_END_SILENT: nothing came for the time allowed
+ * enum load_result - result of an exchange
+ * @LOAD_RESULT_REPLY: a complete HTTP response was received
+ * @LOAD_RESULT_CONNECT_FAILED: not connected, so nothing was sent
+ * @LOAD_RESULT_DISCONNECTED: closed before the response was complete
+ * @LOAD_RESULT_TIMEOUT: no data was received for the timeout
  */
-enum load_end {
-	LOAD_END_ANSWER,
-	LOAD_END_CONNECT,
-	LOAD_END_CUT,
-	LOAD_END_SILENT,
+enum load_result {
+	LOAD_RESULT_REPLY,
+	LOAD_RESULT_CONNECT_FAILED,
+	LOAD_RESULT_DISCONNECTED,
+	LOAD_RESULT_TIMEOUT,
 };
 
 /**
- * struct load_reply - what came of an exchange; borrowed during the callback
- * @status: HTTP status, 0 without an answer
- * @reused: the connection had carried an answer before
+ * struct load_reply - result of an exchange, valid during the callback
+ * @result: how the exchange ended
+ * @status: HTTP status, 0 without a response
+ * @reused: the previous exchange on this connection got a response
+ * @body: "" without a response
  */
 struct load_reply {
-	enum load_end end;
+	enum load_result result;
 	int status;
 	bool reused;
 	struct str body;
@@ -42,9 +44,10 @@
 typedef void (*load_done_fn)(void *arg, const struct load_reply *reply);
 
 /**
- * struct load_message - what to send
- * @path: constant
- * @type: content type, constant, or NULL
+ * struct load_message - a request to send
+ * @method: HTTP method
+ * @path: path and query; must outlive the exchange
+ * @type: content type or NULL; must outlive the exchange
  * @body: copied
  */
 struct load_message {
@@ -54,7 +57,15 @@
 	struct str body;
 };
 
-/* Counts of one target, for the summary. */
+/**
+ * struct load_target_counts - statistics of one target, for the summary
+ * @sent: exchanges started
+ * @answers: complete responses
+ * @connect_failures: exchanges whose connection failed
+ * @cut_off: connections closed before the response was complete
+ * @cut_off_reused: those among them that were reused
+ * @silent: timeouts
+ */
 struct load_target_counts {
 	uint64_t sent;
 	uint64_t answers;
@@ -64,6 +75,18 @@
 	uint64_t silent;
 };
 
+/**
+ * struct load_target - one address and its connections
+ * @name: the address as text, key in the pool
+ * @address: the address
+ * @pool: that owns the target
+ * @idle: connections without an exchange
+ * @busy: connections with an exchange in flight
+ * @queue: exchanges that wait for a connection
+ * @n_conns: connections in @idle and @busy
+ * @counts: statistics
+ * @hh: in @targets of the pool
+ */
 struct load_target {
 	char name[ADDRESS_TEXT_SIZE];
 	struct address address;
@@ -78,8 +101,10 @@
 
 /**
  * struct load_pool - all targets
- * @max_conns: connections a target; more exchanges queue for one
- * @timeout_ms: silence after which an exchange is given up
+ * @base: event loop, borrowed
+ * @targets: by name
+ * @max_conns: maximum connections per target; further exchanges are queued
+ * @timeout_ms: inactivity after which an exchange fails, milliseconds
  */
 struct load_pool {
 	struct event_base *base;
@@ -92,20 +117,28 @@
 		    int max_conns, int timeout_ms);
 
 /**
- * load_pool_finish() - close everything; exchanges under way never end
+ * load_pool_finish() - close all connections and drop all exchanges
+ * @pool: all its targets are released
+ *
+ * The callbacks of exchanges in flight are not called.
  */
 void load_pool_finish(struct load_pool *pool);
 
 /**
- * load_pool_target() - the pool of an address, made if need be
+ * load_pool_target() - find the target of an address, or create it
+ * @pool: all targets
+ * @name: "IP:PORT"
  *
- * Return: the target, or NULL if @name is no address.
+ * Return: the target, owned by the pool, or NULL if @name is not an address.
  */
 struct load_target *load_pool_target(struct load_pool *pool, const char *name);
 
 /**
- * load_pool_send() - send on an idle connection, or a new one, or queue
- * @done: called once; before this returns, if the system refuses a socket
+ * load_pool_send() - start an exchange, or queue it for a connection
+ * @target: where to send it
+ * @message: copied, except for its path and type
+ * @done: called once; before this function returns if no socket can be opened
+ * @arg: passed to @done
  */
 void load_pool_send(struct load_target *target,
 		    const struct load_message *message, load_done_fn done,
--- a/bench/load_query.c
+++ b/bench/load_query.c
@@ -16,7 +16,7 @@
 {
 	struct load_query *query;
 	struct json_object *value;
-	bool counts;
+	bool count_only;
 
 	MEM_GROW(queries->items, queries->n, queries->cap);
 	query = &queries->items[queries->n++];
@@ -25,9 +25,9 @@
 	query->limit = DEFAULT_LIMIT;
 	if (json_object_object_get_ex(body, "limit", &value))
 		query->limit = json_object_get_int64(value);
-	counts = json_object_object_get_ex(body, "mode", &value) &&
-		 !strcmp(json_object_get_string(value), "count");
-	if (counts)
+	count_only = json_object_object_get_ex(body, "mode", &value) &&
+		     !strcmp(json_object_get_string(value), "count");
+	if (count_only)
 		query->limit = 0;
 	if (!json_object_object_get_ex(body, "expect", &value))
 		return;
--- a/bench/load_report.c
+++ b/bench/load_report.c
@@ -10,7 +10,7 @@
 
 struct quantile {
 	const char *name;
-	double part;
+	double fraction;
 };
 
 static const struct quantile quantiles[] = {
@@ -39,12 +39,13 @@
 	return (x > y) - (x < y);
 }
 
-/* The smallest sample that is not below the part asked for. */
-static int64_t sample_at(const struct load_samples *samples, double part)
+/* Nearest-rank quantile of sorted samples. */
+static int64_t quantile_value(const struct load_samples *samples,
+			      double fraction)
 {
-	size_t rank = (size_t)(part * (double)samples->n);
+	size_t rank = (size_t)(fraction * (double)samples->n);
 
-	if ((double)rank < part * (double)samples->n)
+	if ((double)rank < fraction * (double)samples->n)
 		rank++;
 	return samples->values[rank ? rank - 1 : 0];
 }
@@ -60,9 +61,9 @@
 	qsort(samples->values, samples->n, sizeof(*samples->values), compare);
 	for (i = 0; i < N_QUANTILES; i++)
 		json_object_object_add(out, quantiles[i].name,
-				       json_object_new_int64(
-					       sample_at(samples,
-							 quantiles[i].part)));
+				       json_object_new_int64(quantile_value(
+					       samples,
+					       quantiles[i].fraction)));
 	return out;
 }
 
@@ -76,19 +77,19 @@
 {
 	load_samples_finish(&totals->latency);
 	load_samples_finish(&totals->run_latency);
-	load_samples_finish(&totals->refused);
+	load_samples_finish(&totals->other_latency);
 }
 
 void load_report_init(struct load_report *report, bool has_intervals)
 {
-	init_totals(&report->whole);
+	init_totals(&report->overall);
 	init_totals(&report->interval);
 	report->has_intervals = has_intervals;
 }
 
 void load_report_finish(struct load_report *report)
 {
-	finish_totals(&report->whole);
+	finish_totals(&report->overall);
 	finish_totals(&report->interval);
 }
 
@@ -101,7 +102,7 @@
 		return;
 	if (answer->total)
 		ratio = (double)answer->covered / (double)answer->total;
-	totals->n_covered++;
+	totals->n_with_coverage++;
 	totals->ratio_sum += ratio;
 	if (ratio < totals->ratio_min)
 		totals->ratio_min = ratio;
@@ -127,52 +128,52 @@
 }
 
 static void add_final(struct load_totals *totals,
-		      const struct load_event *event)
+		      const struct load_attempt *attempt)
 {
-	if (event->is_run) {
-		totals->runs_by_outcome[event->outcome]++;
-		if (event->outcome == LOAD_DONE)
-			load_samples_add(&totals->run_latency, event->usec);
+	if (attempt->is_run) {
+		totals->runs_by_outcome[attempt->outcome]++;
+		if (attempt->outcome == LOAD_DONE)
+			load_samples_add(&totals->run_latency, attempt->usec);
 		return;
 	}
-	totals->by_outcome[event->outcome]++;
-	if (event->outcome != LOAD_DONE) {
-		load_samples_add(&totals->refused, event->usec);
+	totals->by_outcome[attempt->outcome]++;
+	if (attempt->outcome != LOAD_DONE) {
+		load_samples_add(&totals->other_latency, attempt->usec);
 		return;
 	}
-	load_samples_add(&totals->latency, event->usec);
-	add_coverage(totals, event->answer);
+	load_samples_add(&totals->latency, attempt->usec);
+	add_coverage(totals, attempt->answer);
 }
 
-static void add_event(struct load_totals *totals,
-		      const struct load_event *event)
+static void add_attempt(struct load_totals *totals,
+			const struct load_attempt *attempt)
 {
 	totals->attempts++;
-	totals->by_status[event->status]++;
-	add_wrong(totals, event->wrong);
-	if (event->answer)
-		add_work(&totals->work, &event->answer->work);
-	if (event->is_final)
-		add_final(totals, event);
+	totals->by_status[attempt->status]++;
+	add_wrong(totals, attempt->wrong);
+	if (attempt->answer)
+		add_work(&totals->work, &attempt->answer->work);
+	if (attempt->is_final)
+		add_final(totals, attempt);
 }
 
 void load_report_sent(struct load_report *report)
 {
-	report->whole.sent++;
+	report->overall.sent++;
 	report->interval.sent++;
 }
 
-void load_report_event(struct load_report *report,
-		       const struct load_event *event)
+void load_report_attempt(struct load_report *report,
+			 const struct load_attempt *attempt)
 {
-	add_event(&report->whole, event);
+	add_attempt(&report->overall, attempt);
 	if (report->has_intervals)
-		add_event(&report->interval, event);
+		add_attempt(&report->interval, attempt);
 }
 
 void load_report_wrong(struct load_report *report, const char *what)
 {
-	add_wrong(&report->whole, what);
+	add_wrong(&report->overall, what);
 	add_wrong(&report->interval, what);
 }
 
@@ -213,9 +214,9 @@
 	struct json_object *out = json_object_new_object();
 	double mean = 0;
 
-	if (totals->n_covered)
-		mean = totals->ratio_sum / (double)totals->n_covered;
-	put_u64(out, "n", totals->n_covered);
+	if (totals->n_with_coverage)
+		mean = totals->ratio_sum / (double)totals->n_with_coverage;
+	put_u64(out, "n", totals->n_with_coverage);
 	json_object_object_add(out, "mean", json_object_new_double(mean));
 	json_object_object_add(out, "min",
 			       json_object_new_double(totals->ratio_min));
@@ -251,7 +252,7 @@
 	json_object_object_add(out, "run_latency_us",
 			       load_samples_json(&totals->run_latency));
 	json_object_object_add(out, "other_latency_us",
-			       load_samples_json(&totals->refused));
+			       load_samples_json(&totals->other_latency));
 	json_object_object_add(out, "coverage", coverage_json(totals));
 	put_u64(out, "wrong", totals->wrong);
 	if (totals->first_wrong)
@@ -271,7 +272,7 @@
 	return out;
 }
 
-struct json_object *load_report_whole(struct load_report *report)
+struct json_object *load_report_overall(struct load_report *report)
 {
-	return totals_json(&report->whole);
+	return totals_json(&report->overall);
 }
--- a/bench/load_request.c
+++ b/bench/load_request.c
@@ -10,7 +10,7 @@
 #include "clock.h"
 #include "mem.h"
 
-#define CONNECT_TRIES 8
+#define MAX_CONNECT_ATTEMPTS 8
 #define JSON_TYPE "application/json"
 #define STATUS_OK 200
 #define STATUS_TOO_LATE 504
@@ -18,26 +18,43 @@
 struct load_request;
 
 /**
- * struct step - one kind of message in a request's life
- * @body: makes the body, which the caller releases
- * @taken: an answer came, or @answer->outcome says why not
- * @is_ticket: the answer is a ticket
+ * struct step - one of the messages that a request consists of
+ * @path: of the HTTP request
+ * @make_body: returns the body, which the caller releases
+ * @handle_answer: called with the answer, or with an outcome that says why
+ *	there is none
+ * @is_ticket: the answer contains a ticket
  */
 struct step {
 	const char *path;
-	struct json_object *(*body)(struct load_request *request);
-	void (*taken)(struct load_request *request, int status,
-		      struct load_answer *answer);
+	struct json_object *(*make_body)(struct load_request *request);
+	void (*handle_answer)(struct load_request *request, int status,
+			      struct load_answer *answer);
 	bool is_ticket;
 };
 
 /**
- * struct load_request - one request from its intended start to its end
- * @reply: being taken; NULL for those of --direct
- * @avoid: who has refused it, or answered it first: the next goes elsewhere
+ * struct load_request - one request
+ * @shared: state shared by all requests
+ * @caller: that sends it
+ * @query: the search; NULL for a run
+ * @step: current step
+ * @target: of the last attempt
+ * @avoid: target that refused it or ran it first, not used if there is another
+ * @reply: valid during @step->handle_answer; NULL for direct searches
+ * @timer: of a resend; NULL if there was none
+ * @id: request id
+ * @ticket: of the run, "" if none was issued
+ * @intended: scheduled start; times are monotonic microseconds
+ * @invoked: start of the last attempt
+ * @attempts: messages sent so far
+ * @connect_failures: failed connections since the last ticket or resend
+ * @repeat_run: send the ticket again to another instance
+ * @first_answer: of the run, while its ticket is sent again
+ * @first_status: HTTP status of @first_answer
  */
 struct load_request {
-	struct load_requests *all;
+	struct load_requests *shared;
 	struct load_caller *caller;
 	struct load_query *query;
 	const struct step *step;
@@ -51,7 +68,7 @@
 	int64_t invoked;
 	int attempts;
 	int connect_failures;
-	bool repeats;
+	bool repeat_run;
 	struct load_answer first_answer;
 	int first_status;
 };
@@ -61,36 +78,36 @@
 static const struct step run_step;
 static const struct step repeat_step;
 
-static double draw(struct load_requests *all)
+static double random_unit(struct load_requests *shared)
 {
-	return erand48(all->seed);
+	return erand48(shared->seed);
 }
 
 static void send_step(struct load_request *request);
 
 static void free_request(struct load_request *request)
 {
-	request->all->in_flight--;
+	request->shared->in_flight--;
 	if (request->timer)
 		event_free(request->timer);
 	free(request);
 }
 
-static void report(struct load_request *request, int status,
-		   const struct load_answer *answer, bool is_final,
-		   const char *wrong)
+static void report_attempt(struct load_request *request, int status,
+			   const struct load_answer *answer, bool is_final,
+			   const char *wrong)
 {
-	struct load_event event = {
+	struct load_attempt attempt = {
 		.is_final = is_final,
 		.is_run = !request->query,
-		.usec = clock_now(request->all->clock) - request->intended,
+		.usec = clock_now(request->shared->clock) - request->intended,
 		.status = status,
 		.outcome = answer->outcome,
 		.answer = answer,
 		.wrong = wrong,
 	};
 
-	load_report_event(request->all->report, &event);
+	load_report_attempt(request->shared->report, &attempt);
 }
 
 static void put_i64(struct json_object *line, const char *key, int64_t value)
@@ -129,12 +146,12 @@
 	json_object_object_add(line, "answer", body);
 }
 
-static void record(struct load_request *request, int status,
-		   const struct load_answer *answer, const char *wrong)
+static void write_history(struct load_request *request, int status,
+			  const struct load_answer *answer, const char *wrong)
 {
 	struct json_object *line;
 
-	if (!request->all->history)
+	if (!request->shared->history)
 		return;
 	line = json_object_new_object();
 	put_text(line, "id", request->id);
@@ -142,10 +159,10 @@
 	put_i64(line, "attempt", request->attempts);
 	if (request->query)
 		put_i64(line, "query",
-			request->query - request->all->queries->items);
+			request->query - request->shared->queries->items);
 	put_i64(line, "intended", request->intended);
 	put_i64(line, "invoke", request->invoked);
-	put_i64(line, "return", clock_now(request->all->clock));
+	put_i64(line, "return", clock_now(request->shared->clock));
 	if (request->target)
 		put_text(line, "address", request->target->name);
 	put_text(line, "outcome", load_outcome_name(answer->outcome));
@@ -155,9 +172,9 @@
 		put_text(line, "ticket", request->ticket);
 	if (wrong)
 		put_text(line, "wrong", wrong);
-	if (request->all->with_answers && request->reply)
+	if (request->shared->history_answers && request->reply)
 		put_body(line, request->reply);
-	fprintf(request->all->history, "%s\n",
+	fprintf(request->shared->history, "%s\n",
 		json_object_to_json_string_ext(line, JSON_C_TO_STRING_PLAIN));
 	json_object_put(line);
 }
@@ -169,28 +186,29 @@
 	send_step(arg);
 }
 
-/* Honours the time that the refusal names, and then asks another instance. */
-static bool resend(struct load_request *request,
-		   const struct load_answer *answer)
+/* Waits for the retry_after_ms of the answer, then uses another instance. */
+static bool schedule_resend(struct load_request *request,
+			    const struct load_answer *answer)
 {
 	int64_t after = MSEC(answer->retry_after_ms);
-	int64_t spent = clock_now(request->all->clock) - request->intended;
+	int64_t spent = clock_now(request->shared->clock) - request->intended;
 	struct timeval tv = {after / USEC_PER_SEC, after % USEC_PER_SEC};
 
-	if (!request->all->resend_not_run || answer->outcome != LOAD_NOT_RUN ||
-	    spent + after > request->all->patience)
+	if (!request->shared->resend_not_run ||
+	    answer->outcome != LOAD_NOT_RUN ||
+	    spent + after > request->shared->resend_time)
 		return false;
 	if (!request->timer)
-		request->timer =
-			evtimer_new(request->all->base, timer_fired, request);
+		request->timer = evtimer_new(request->shared->base, timer_fired,
+					     request);
 	request->connect_failures = 0;
 	request->avoid = request->target;
 	evtimer_add(request->timer, &tv);
 	return true;
 }
 
-static const char *wrong_id(const struct load_request *request,
-			    const struct load_answer *answer)
+static const char *check_request_id(const struct load_request *request,
+				    const struct load_answer *answer)
 {
 	if (answer->outcome > LOAD_UNKNOWN ||
 	    !strcmp(answer->request_id, request->id))
@@ -198,25 +216,25 @@
 	return "request_id";
 }
 
-static void search_taken(struct load_request *request, int status,
-			 struct load_answer *answer)
+static void search_answered(struct load_request *request, int status,
+			    struct load_answer *answer)
 {
-	const char *wrong = wrong_id(request, answer);
-	bool again = resend(request, answer);
+	const char *wrong = check_request_id(request, answer);
+	bool will_resend = schedule_resend(request, answer);
 
 	if (!wrong && answer->outcome == LOAD_DONE)
-		wrong = load_answer_wrong(answer, request->query->expect,
+		wrong = load_answer_check(answer, request->query->expect,
 					  request->query->limit);
-	record(request, status, answer, wrong);
-	report(request, status, answer, !again, wrong);
-	if (!again)
+	write_history(request, status, answer, wrong);
+	report_attempt(request, status, answer, !will_resend, wrong);
+	if (!will_resend)
 		free_request(request);
 }
 
-static void ticket_taken(struct load_request *request, int status,
-			 struct load_answer *answer)
+static void ticket_answered(struct load_request *request, int status,
+			    struct load_answer *answer)
 {
-	bool again;
+	bool will_resend;
 
 	if (answer->outcome == LOAD_DONE) {
 		memcpy(request->ticket, answer->ticket,
@@ -226,21 +244,21 @@
 		send_step(request);
 		return;
 	}
-	/* Without a ticket nothing can have run. */
+	/* Nothing can have run, as no ticket was received. */
 	if (answer->outcome == LOAD_CUT_OFF || answer->outcome == LOAD_SILENT)
 		answer->outcome = LOAD_NOT_RUN;
-	again = resend(request, answer);
-	record(request, status, answer, NULL);
-	report(request, status, answer, !again, NULL);
-	if (!again)
+	will_resend = schedule_resend(request, answer);
+	write_history(request, status, answer, NULL);
+	report_attempt(request, status, answer, !will_resend, NULL);
+	if (!will_resend)
 		free_request(request);
 }
 
-static void run_taken(struct load_request *request, int status,
-		      struct load_answer *answer)
+static void run_answered(struct load_request *request, int status,
+			 struct load_answer *answer)
 {
-	record(request, status, answer, NULL);
-	if (request->repeats && answer->outcome != LOAD_UNREACHABLE) {
+	write_history(request, status, answer, NULL);
+	if (request->repeat_run && answer->outcome != LOAD_UNREACHABLE) {
 		request->first_answer = *answer;
 		request->first_status = status;
 		request->avoid = request->target;
@@ -248,19 +266,19 @@
 		send_step(request);
 		return;
 	}
-	/* It did not run: a new ticket is as good as the first. */
-	if (resend(request, answer)) {
+	/* It did not run, so it is safe to start over with a new ticket. */
+	if (schedule_resend(request, answer)) {
 		request->step = &ticket_step;
 		*request->ticket = '\0';
-		report(request, status, answer, false, NULL);
+		report_attempt(request, status, answer, false, NULL);
 		return;
 	}
-	report(request, status, answer, true, NULL);
+	report_attempt(request, status, answer, true, NULL);
 	free_request(request);
 }
 
-/* A ticket that has run must never be said not to have run, nor run anew. */
-static const char *wrong_repeat(const struct load_request *request,
+/* Repeating a ticket must neither deny the first run nor run it again. */
+static const char *check_repeat(const struct load_request *request,
 				const struct load_answer *answer)
 {
 	const struct load_answer *first = &request->first_answer;
@@ -275,15 +293,15 @@
 	return NULL;
 }
 
-static void repeat_taken(struct load_request *request, int status,
-			 struct load_answer *answer)
+static void repeat_answered(struct load_request *request, int status,
+			    struct load_answer *answer)
 {
-	const char *wrong = wrong_repeat(request, answer);
+	const char *wrong = check_repeat(request, answer);
 
-	record(request, status, answer, wrong);
-	report(request, status, answer, false, wrong);
-	report(request, request->first_status, &request->first_answer, true,
-	       NULL);
+	write_history(request, status, answer, wrong);
+	report_attempt(request, status, answer, false, wrong);
+	report_attempt(request, request->first_status, &request->first_answer,
+		       true, NULL);
 	free_request(request);
 }
 
@@ -299,7 +317,7 @@
 {
 	struct json_object *body = json_object_new_object();
 
-	put_text(body, "service", request->all->run_service);
+	put_text(body, "service", request->shared->run_service);
 	return body;
 }
 
@@ -310,84 +328,85 @@
 
 	put_text(payload, "id", request->id);
 	put_text(body, "ticket", request->ticket);
-	put_text(body, "service", request->all->run_service);
+	put_text(body, "service", request->shared->run_service);
 	put_text(body, "key", request->id);
 	json_object_object_add(body, "payload", payload);
-	if (request->all->run_deadline_ms)
-		put_i64(body, "deadline_ms", request->all->run_deadline_ms);
+	if (request->shared->run_deadline_ms)
+		put_i64(body, "deadline_ms", request->shared->run_deadline_ms);
 	return body;
 }
 
 static const struct step search_step = {.path = "/v1/search",
-					.body = search_body,
-					.taken = search_taken};
+					.make_body = search_body,
+					.handle_answer = search_answered};
 static const struct step ticket_step = {.path = "/v1/tickets",
-					.body = ticket_body,
-					.taken = ticket_taken,
+					.make_body = ticket_body,
+					.handle_answer = ticket_answered,
 					.is_ticket = true};
 static const struct step run_step = {.path = "/v1/run",
-				     .body = run_body,
-				     .taken = run_taken};
+				     .make_body = run_body,
+				     .handle_answer = run_answered};
 static const struct step repeat_step = {.path = "/v1/run",
-					.body = run_body,
-					.taken = repeat_taken};
+					.make_body = run_body,
+					.handle_answer = repeat_answered};
 
-static void no_answer(struct load_answer *answer, enum load_end end)
+static void set_failure(struct load_answer *answer, enum load_result result)
 {
 	memset(answer, 0, sizeof(*answer));
 	answer->n_records = -1;
-	if (end == LOAD_END_CONNECT)
+	if (result == LOAD_RESULT_CONNECT_FAILED)
 		answer->outcome = LOAD_UNREACHABLE;
-	else if (end == LOAD_END_SILENT)
+	else if (result == LOAD_RESULT_TIMEOUT)
 		answer->outcome = LOAD_SILENT;
 	else
 		answer->outcome = LOAD_CUT_OFF;
 }
 
-static void step_done(void *arg, const struct load_reply *reply)
+static void step_finished(void *arg, const struct load_reply *reply)
 {
 	struct load_request *request = arg;
 	struct load_answer answer;
 
-	if (reply->end == LOAD_END_CONNECT) {
-		load_caller_failed(request->caller, request->target);
-		if (++request->connect_failures < CONNECT_TRIES) {
+	if (reply->result == LOAD_RESULT_CONNECT_FAILED) {
+		load_caller_connect_failed(request->caller, request->target);
+		if (++request->connect_failures < MAX_CONNECT_ATTEMPTS) {
 			send_step(request);
 			return;
 		}
 	}
-	if (reply->end != LOAD_END_ANSWER)
-		no_answer(&answer, reply->end);
+	if (reply->result != LOAD_RESULT_REPLY)
+		set_failure(&answer, reply->result);
 	else if (request->step->is_ticket)
 		load_answer_read_ticket(&answer, reply->status, reply->body);
 	else
 		load_answer_read(&answer, reply->status, reply->body);
 	request->reply = reply;
-	request->step->taken(request, reply->status, &answer);
+	request->step->handle_answer(request, reply->status, &answer);
 }
 
 static void direct_done(void *arg, struct load_answer *answer)
 {
 	struct load_request *request = arg;
 
-	request->step->taken(request,
-			     answer->outcome == LOAD_DONE ? STATUS_OK
-							  : STATUS_TOO_LATE,
-			     answer);
+	request->step->handle_answer(request,
+				     answer->outcome == LOAD_DONE
+					     ? STATUS_OK
+					     : STATUS_TOO_LATE,
+				     answer);
 }
 
 static void send_direct(struct load_request *request)
 {
 	request->attempts++;
-	request->invoked = clock_now(request->all->clock);
-	load_direct_search(request->all->direct, request->query->body,
+	request->invoked = clock_now(request->shared->clock);
+	load_direct_search(request->shared->direct, request->query->body,
 			   request->id, direct_done, request);
 }
 
 static void send_step(struct load_request *request)
 {
-	struct load_requests *all = request->all;
-	struct json_object *body = request->step->body(request);
+	struct load_requests *shared = request->shared;
+	struct json_object *body = request->step->make_body(request);
 	struct load_message message = {
 		.method = EVHTTP_REQ_POST,
 		.path = request->step->path,
@@ -397,35 +416,36 @@
 						       JSON_C_TO_STRING_PLAIN)),
 	};
 
-	/* A ticket is used where it was issued, as long as that is there. */
+	/* A ticket is used at its issuer, unless the connection fails. */
 	if (request->step != &run_step || request->connect_failures)
-		request->target = load_caller_pick(request->caller, draw(all),
-						   request->avoid);
+		request->target =
+			load_caller_pick(request->caller, random_unit(shared),
+					 request->avoid);
 	request->attempts++;
-	request->invoked = clock_now(all->clock);
-	load_pool_send(request->target, &message, step_done, request);
+	request->invoked = clock_now(shared->clock);
+	load_pool_send(request->target, &message, step_finished, request);
 	json_object_put(body);
 }
 
-static struct load_request *new_request(struct load_requests *all,
+static struct load_request *new_request(struct load_requests *shared,
 					int64_t intended)
 {
 	struct load_request *request = mem_zalloc(sizeof(*request));
 
-	request->all = all;
+	request->shared = shared;
 	request->intended = intended;
-	request->caller =
-		&all->callers->items[all->n % (uint64_t)all->callers->n];
-	snprintf(request->id, sizeof(request->id), "%s-%" PRIu64, all->name,
-		 all->n++);
-	if (draw(all) < all->run_ratio || !all->queries->n) {
+	request->caller = &shared->callers->items[shared->n_started %
+						  (uint64_t)shared->callers->n];
+	snprintf(request->id, sizeof(request->id), "%s-%" PRIu64,
+		 shared->id_prefix, shared->n_started++);
+	if (random_unit(shared) < shared->run_ratio || !shared->queries->n) {
 		request->step = &ticket_step;
-		request->repeats = draw(all) < all->repeat_ratio;
+		request->repeat_run =
+			random_unit(shared) < shared->repeat_ratio;
 	} else {
 		request->step = &search_step;
-		request->query =
-			&all->queries
-				 ->items[(int)(draw(all) * all->queries->n)];
+		request->query = &shared->queries->items[(
+			int)(random_unit(shared) * shared->queries->n)];
 	}
 	return request;
 }
