--- a/bench/member_cost.c
+++ b/bench/member_cost.c
@@ -1,6 +1,7 @@
 /*
- * What membership and shares cost: many real modules in one process, with the
- * clock advanced by hand and messages in a queue. JSON lines.
+ * Measures the cost of membership and shares: the real modules of many
+ * instances in one process, with a simulated clock and message queue. Prints
+ * JSON lines.
  */
 #include <argp.h>
 #include <malloc.h>
@@ -12,14 +13,14 @@
 #include "mem.h"
 #include "tests/member_sim.h"
 
-#define STEADY MSEC(60000)
-#define CHURN MSEC(300000)
-#define CHECK MSEC(20)
-#define PATIENCE MSEC(120000)
-#define SETTLED MSEC(40000)
-/* 30 failures and 4,000 restarts a day in 1,200 nodes. */
-#define RESTARTS_A_NODE_DAY (4030.0 / 1200)
-#define DAY MSEC(86400000LL)
+#define STEADY_USEC MSEC(60000)
+#define CHURN_USEC MSEC(300000)
+#define CHECK_PERIOD_USEC MSEC(20)
+#define CONVERGENCE_TIMEOUT_USEC MSEC(120000)
+#define SETTLE_USEC MSEC(40000)
+/* 30 failures and 4,000 restarts a day among 1,200 nodes. */
+#define RESTARTS_PER_NODE_DAY (4030.0 / 1200)
+#define DAY_USEC MSEC(86400000LL)
 
 struct arguments {
 	int nodes;
@@ -33,10 +34,10 @@
 	{"nodes", 'n', "N", 0, "instances (8)", 0},
 	{"data-centres", 'd', "N", 0, "data centres (4)", 0},
 	{"rows", 'r', "N", 0,
-	 "backend servers a data centre (0: membership only)", 0},
-	{"loss", 'l', "RATIO", 0, "datagrams lost (0.01)", 0},
-	{"naive", 'N', NULL, 0, "baseline: each instance trusts its own view",
-	 0},
+	 "backend servers per data centre (0: membership only)", 0},
+	{"loss", 'l', "RATIO", 0, "fraction of datagrams lost (0.01)", 0},
+	{"naive", 'N', NULL, 0,
+	 "baseline: each instance uses its own view of the members", 0},
 	{0},
 };
 
@@ -66,7 +67,7 @@
 
 static const struct argp argp = {options, parse, NULL, NULL, NULL, NULL, NULL};
 
-static int64_t cpu_now(void)
+static int64_t cpu_usec(void)
 {
 	struct timespec ts;
 
@@ -74,15 +75,15 @@
 	return (int64_t)ts.tv_sec * USEC_PER_SEC + ts.tv_nsec / 1000;
 }
 
-static size_t heap_used(void)
+static size_t heap_bytes(void)
 {
 	struct mallinfo2 info = mallinfo2();
 
 	return info.uordblks + info.hblkhd;
 }
 
-/* Counts at one moment. */
-struct sample {
+/* Values of the counters at one point in time. */
+struct counters {
 	uint64_t datagrams;
 	uint64_t datagram_bytes;
 	uint64_t frames;
@@ -92,21 +93,21 @@
 	int64_t at;
 };
 
-static struct sample take_sample(const struct sim *sim)
+static struct counters read_counters(const struct sim *sim)
 {
-	return (struct sample){
+	return (struct counters){
 		.datagrams = sim->datagrams,
 		.datagram_bytes = sim->datagram_bytes,
 		.frames = sim->frames,
 		.frame_bytes = sim->frame_bytes,
-		.cpu = cpu_now(),
+		.cpu = cpu_usec(),
 		.at = clock_now(&sim->clock),
 	};
 }
 
-static void print_sample(const struct sim *sim, const char *measure,
-			 const struct sample *from, const struct sample *to,
-			 int changes)
+static void print_rates(const struct sim *sim, const char *measure,
+			const struct counters *from, const struct counters *to,
+			int changes)
 {
 	double node_seconds = (double)(to->at - from->at) / USEC_PER_SEC;
 
@@ -127,15 +128,15 @@
 
 static void measure_steady(struct sim *sim)
 {
-	struct sample from = take_sample(sim);
-	struct sample to;
+	struct counters from = read_counters(sim);
+	struct counters to;
 
-	sim_run(sim, STEADY);
-	to = take_sample(sim);
-	print_sample(sim, "steady", &from, &to, 0);
+	sim_run(sim, STEADY_USEC);
+	to = read_counters(sim);
+	print_rates(sim, "steady", &from, &to, 0);
 }
 
-static int status_at(const struct sim_node *node, const char *instance)
+static int status_seen_by(const struct sim_node *node, const char *instance)
 {
 	const struct member *member =
 		member_table_find(&node->members, instance);
@@ -143,19 +144,24 @@
 	return member ? (int)member->status : MEMBER_NAMED;
 }
 
-/* Until all others hold a member for what it is. */
-static int64_t run_until_known(struct sim *sim, int target,
-			       enum member_status status)
+/*
+ * Runs until all other instances see the status of the target.
+ *
+ * Return: microseconds it took, or -1 on timeout.
+ */
+static int64_t run_until_propagated(struct sim *sim, int target,
+				    enum member_status status)
 {
 	int64_t start = clock_now(&sim->clock);
 	int i = 0;
 
-	while (clock_now(&sim->clock) - start < PATIENCE) {
-		sim_run(sim, CHECK);
+	while (clock_now(&sim->clock) - start < CONVERGENCE_TIMEOUT_USEC) {
+		sim_run(sim, CHECK_PERIOD_USEC);
 		for (i = 0; i < sim->n; i++) {
 			if (i != target && sim->nodes[i].up &&
-			    status_at(&sim->nodes[i],
-				      sim->nodes[target].name) != (int)status)
+			    status_seen_by(&sim->nodes[i],
+					   sim->nodes[target].name) !=
+				    (int)status)
 				break;
 		}
 		if (i == sim->n)
@@ -164,7 +170,8 @@
 	return -1;
 }
 
-static void print_known(const struct sim *sim, const char *event, int64_t usec)
+static void print_propagation(const struct sim *sim, const char *event,
+			      int64_t usec)
 {
 	printf("{\"measure\":\"known\",\"nodes\":%d,\"event\":\"%s\","
 	       "\"ms\":%lld}\n",
@@ -172,34 +179,38 @@
 	fflush(stdout);
 }
 
-static void measure_known(struct sim *sim)
+static void measure_propagation(struct sim *sim)
 {
 	int target = sim->n / 2;
 
 	sim_crash(sim, target);
-	print_known(sim, "crash", run_until_known(sim, target, MEMBER_GONE));
-	sim_run(sim, SETTLED);
+	print_propagation(sim, "crash",
+			  run_until_propagated(sim, target, MEMBER_GONE));
+	sim_run(sim, SETTLE_USEC);
 	sim_start(sim, target);
-	print_known(sim, "join", run_until_known(sim, target, MEMBER_ALIVE));
-	sim_run(sim, SETTLED);
+	print_propagation(sim, "join",
+			  run_until_propagated(sim, target, MEMBER_ALIVE));
+	sim_run(sim, SETTLE_USEC);
 	sim_leave(sim, target);
-	print_known(sim, "leave", run_until_known(sim, target, MEMBER_LEAVING));
+	print_propagation(sim, "leave",
+			  run_until_propagated(sim, target, MEMBER_LEAVING));
 	sim_exit(sim, target);
-	sim_run(sim, SETTLED);
+	sim_run(sim, SETTLE_USEC);
 	sim_start(sim, target);
-	sim_run(sim, SETTLED);
+	sim_run(sim, SETTLE_USEC);
 }
 
-/* Restarts at the rate of the target, each graceful. */
+/* Graceful restarts at the rate of RESTARTS_PER_NODE_DAY. */
 static void measure_churn(struct sim *sim)
 {
-	int64_t gap = (int64_t)((double)DAY / RESTARTS_A_NODE_DAY / sim->n);
-	struct sample from = take_sample(sim);
-	struct sample to;
-	int64_t end = from.at + CHURN;
+	int64_t restart_period =
+		(int64_t)((double)DAY_USEC / RESTARTS_PER_NODE_DAY / sim->n);
+	struct counters from = read_counters(sim);
+	struct counters to;
+	int64_t end = from.at + CHURN_USEC;
 	int restarts = 0;
 
-	while (clock_now(&sim->clock) + gap <= end) {
+	while (clock_now(&sim->clock) + restart_period <= end) {
 		int i = (int)(sim_random(sim) % sim->n);
 
 		sim_leave(sim, i);
@@ -207,30 +218,31 @@
 		sim_exit(sim, i);
 		sim_run(sim, MSEC(1000));
 		sim_start(sim, i);
-		sim_run(sim, gap - MSEC(6000));
+		sim_run(sim, restart_period - MSEC(6000));
 		restarts++;
 	}
 	sim_run(sim, end - clock_now(&sim->clock));
-	to = take_sample(sim);
-	print_sample(sim, "churn", &from, &to, restarts);
+	to = read_counters(sim);
+	print_rates(sim, "churn", &from, &to, restarts);
 }
 
 static void measure_start(struct sim *sim)
 {
-	size_t before = heap_used();
+	size_t before = heap_bytes();
 	int64_t took;
 
 	sim_start_all(sim);
-	took = sim_run_until(sim, sim_all_agree, PATIENCE);
-	print_known(sim, "start of all", took);
+	took = sim_run_until(sim, sim_all_agree, CONVERGENCE_TIMEOUT_USEC);
+	print_propagation(sim, "start of all", took);
 	if (sim->table)
-		print_known(sim, "shares after start of all",
-			    sim_run_until(sim, sim_all_settled, PATIENCE));
-	sim_run(sim, SETTLED);
+		print_propagation(sim, "shares after start of all",
+				  sim_run_until(sim, sim_all_settled,
+						CONVERGENCE_TIMEOUT_USEC));
+	sim_run(sim, SETTLE_USEC);
 	printf("{\"measure\":\"memory\",\"nodes\":%d,\"servers\":%d,"
 	       "\"bytes_a_node\":%.0f}\n",
 	       sim->n, sim->table ? sim->table->n_servers : 0,
-	       (double)(heap_used() - before) / sim->n);
+	       (double)(heap_bytes() - before) / sim->n);
 }
 
 int main(int argc, char **argv)
@@ -250,7 +262,7 @@
 	sim.unchecked = true;
 	measure_start(&sim);
 	measure_steady(&sim);
-	measure_known(&sim);
+	measure_propagation(&sim);
 	measure_churn(&sim);
 	sim_finish(&sim);
 	return 0;
