--- a/bench/state_cost.c
+++ b/bench/state_cost.c
@@ -1,6 +1,6 @@
 /*
- * Processor time and memory of the state an instance keeps and of its decision
- * modules, at several sizes, without sockets. JSON lines out.
+ * Measures processor time and memory of an instance's catalog and searches, at
+ * several sizes and without sockets. Prints JSON lines.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -20,28 +20,28 @@
 #define SERVERS_PER_HOME 8
 #define RECORDS 10
 #define RECORD_BYTES 200
-#define ROUNDS 200
-#define IN_FLIGHT 200
+#define SEARCHES 200
+#define SEARCHES_IN_FLIGHT 200
 
 /*
- * A world of one entry and the servers it knows. Queries are kept as sent and
- * answered by answer_all().
+ * The state of one instance that receives searches, and the servers it knows.
+ * Queries to home instances are recorded, and answered by answer_all().
  */
-struct world {
+struct fixture {
 	struct clock clock;
 	struct settings settings;
 	struct blackboard board;
 	struct searches searches;
 	int n_servers;
 	int n_records;
-	struct sent *sent;
+	struct sent_query *sent_queries;
 	int n_sent;
 	int cap_sent;
 	int n_done;
 	double covered;
 };
 
-struct sent {
+struct sent_query {
 	char home[CATALOG_NAME_SIZE];
 	Peer__Query *query;
 };
@@ -73,19 +73,20 @@
 	return copy;
 }
 
-static int keep_query(void *arg, struct str home, const Peer__Query *query)
+static int record_query(void *arg, struct str home, const Peer__Query *query)
 {
-	struct world *world = arg;
-	struct sent *sent;
+	struct fixture *fixture = arg;
+	struct sent_query *sent;
 
-	MEM_GROW(world->sent, world->n_sent, world->cap_sent);
-	sent = &world->sent[world->n_sent++];
+	MEM_GROW(fixture->sent_queries, fixture->n_sent, fixture->cap_sent);
+	sent = &fixture->sent_queries[fixture->n_sent++];
 	str_copy(sent->home, sizeof(sent->home), home);
 	sent->query = (Peer__Query *)copy_message(&query->base);
 	return 0;
 }
 
-static void drop_cancel(void *arg, struct str home, const Peer__Cancel *cancel)
+static void ignore_cancel(void *arg, struct str home,
+			  const Peer__Cancel *cancel)
 {
 	(void)arg;
 	(void)home;
@@ -94,15 +95,15 @@
 
 static void count_done(void *arg, struct search *search)
 {
-	struct world *world = arg;
+	struct fixture *fixture = arg;
 
-	world->n_done++;
-	world->covered += search_ratio(search);
+	fixture->n_done++;
+	fixture->covered += search_ratio(search);
 }
 
 static const struct search_ops search_ops = {
-	.send_query = keep_query,
-	.cancel = drop_cancel,
+	.send_query = record_query,
+	.cancel = ignore_cancel,
 	.done = count_done,
 };
 
@@ -130,26 +131,29 @@
 	return text;
 }
 
-static void set_table(struct world *world)
+static void set_table(struct fixture *fixture)
 {
 	struct table *table = mem_zalloc(sizeof(*table));
 	struct error err = {0};
 	size_t len;
-	char *text = table_text(world->n_servers, &len);
+	char *text = table_text(fixture->n_servers, &len);
 
 	if (table_init(table, text, len, 1, &err)) {
 		fprintf(stderr, "%s: %s\n", err.subject, error_name(err.code));
 		exit(1);
 	}
 	free(text);
-	blackboard_set_table(&world->board, table);
-	catalog_set_table(&world->board.catalog, world->board.table);
+	blackboard_set_table(&fixture->board, table);
+	catalog_set_table(&fixture->board.catalog, fixture->board.table);
 }
 
-/* Shards of the map, equal ranges; shard i is on servers of group i / 2. */
-static int n_shards_of(const struct world *world)
+/*
+ * Shards of the map have equal ranges. Shard i is on all servers of replica
+ * group i / 2, as SHARDS_PER_SERVER is 2.
+ */
+static int shard_count(const struct fixture *fixture)
 {
-	return world->n_servers / REPLICAS * SHARDS_PER_SERVER;
+	return fixture->n_servers / REPLICAS * SHARDS_PER_SERVER;
 }
 
 static Backend__ShardInfo **make_shards(int n)
@@ -182,12 +186,12 @@
 	free(shards);
 }
 
-static void put_states(struct world *world, uint64_t digest)
+static void add_server_states(struct fixture *fixture, uint64_t digest)
 {
 	int i;
 	int k;
 
-	for (i = 0; i < world->n_servers; i++) {
+	for (i = 0; i < fixture->n_servers; i++) {
 		char server[32];
 		uint32_t here[SHARDS_PER_SERVER];
 		Peer__ServerState state = PEER__SERVER_STATE__INIT;
@@ -214,15 +218,15 @@
 
 			snprintf(home, sizeof(home), "instance-%d",
 				 i / SERVERS_PER_HOME * 2 + k);
-			catalog_put_state(&world->board.catalog, str_from(home),
-					  &state);
+			catalog_put_state(&fixture->board.catalog,
+					  str_from(home), &state);
 		}
 	}
 }
 
-static void fill_catalog(struct world *world)
+static void fill_catalog(struct fixture *fixture)
 {
-	int n = n_shards_of(world);
+	int n = shard_count(fixture);
 	Backend__ShardInfo **shards = make_shards(n);
 	Peer__Map map = PEER__MAP__INIT;
 
@@ -231,47 +235,48 @@
 	map.shards = shards;
 	map.n_shards = (size_t)n;
 	map.digest = catalog_map_digest(STR("s"), 1, shards, (size_t)n);
-	put_states(world, map.digest);
-	if (catalog_put_map(&world->board.catalog, &map))
+	add_server_states(fixture, map.digest);
+	if (catalog_put_map(&fixture->board.catalog, &map))
 		exit(1);
 	free_shards(shards, n);
 }
 
-static void world_init(struct world *world, int n_servers, int n_records)
+static void fixture_init(struct fixture *fixture, int n_servers, int n_records)
 {
-	memset(world, 0, sizeof(*world));
-	world->n_servers = n_servers;
-	world->n_records = n_records;
-	clock_init(&world->clock);
-	blackboard_init(&world->board, &world->clock, &world->settings, NULL,
-			1);
-	searches_init(&world->searches, &world->board, &search_ops, world, 1);
-	set_table(world);
+	memset(fixture, 0, sizeof(*fixture));
+	fixture->n_servers = n_servers;
+	fixture->n_records = n_records;
+	clock_init(&fixture->clock);
+	blackboard_init(&fixture->board, &fixture->clock, &fixture->settings,
+			NULL, 1);
+	searches_init(&fixture->searches, &fixture->board, &search_ops, fixture,
+		      1);
+	set_table(fixture);
 }
 
-static void world_finish(struct world *world)
+static void fixture_finish(struct fixture *fixture)
 {
-	searches_finish(&world->searches);
-	blackboard_finish(&world->board);
-	free(world->sent);
+	searches_finish(&fixture->searches);
+	blackboard_finish(&fixture->board);
+	free(fixture->sent_queries);
 }
 
-static void start_search(struct world *world)
+static void start_search(struct fixture *fixture)
 {
 	struct search_request request = {
 		.request_id = "r",
 		.service = "s",
 		.where = mem_dup("{}"),
-		.mode = world->n_records ? REQUEST_RECORDS : REQUEST_COUNT,
+		.mode = fixture->n_records ? REQUEST_RECORDS : REQUEST_COUNT,
 		.limit = RECORDS,
 		.deadline_ms = 1000,
 	};
 
-	search_start(&world->searches, &request, NULL);
+	search_start(&fixture->searches, &request, NULL);
 }
 
-/* One server's answer, packed, as a home passes it on. */
-static void pack_answer(const struct world *world, const Peer__Query *query,
+/* Serialises one server's answer, as its home instance forwards it. */
+static void pack_answer(const struct fixture *fixture, const Peer__Query *query,
 			const Peer__ServerPart *part, ProtobufCBinaryData *out)
 {
 	static uint8_t body[RECORD_BYTES];
@@ -284,7 +289,7 @@
 	size_t i;
 	int k;
 
-	for (k = 0; k < world->n_records; k++) {
+	for (k = 0; k < fixture->n_records; k++) {
 		backend__record__init(&records[k]);
 		snprintf(keys[k], sizeof(keys[k]), "%d", k);
 		records[k].sort.data = (uint8_t *)keys[k];
@@ -299,7 +304,7 @@
 		partials[i].shard = part->shards[i];
 		partials[i].held = 100;
 		partials[i].count = 10;
-		partials[i].n_records = (size_t)world->n_records;
+		partials[i].n_records = (size_t)fixture->n_records;
 		partials[i].records = record_pointers;
 		pointers[i] = &partials[i];
 	}
@@ -313,7 +318,7 @@
 	backend__search_answer__pack(&answer, out->data);
 }
 
-static Peer__QueryResult *make_result(const struct world *world,
+static Peer__QueryResult *make_result(const struct fixture *fixture,
 				      const Peer__Query *query)
 {
 	Peer__QueryResult result = PEER__QUERY_RESULT__INIT;
@@ -332,7 +337,8 @@
 		results[i].part = query->parts[i]->part;
 		results[i].sent = true;
 		results[i].latency_us = 1000;
-		pack_answer(world, query, query->parts[i], &results[i].answer);
+		pack_answer(fixture, query, query->parts[i],
+			    &results[i].answer);
 		pointers[i] = &results[i];
 	}
 	copy = (Peer__QueryResult *)copy_message(&result.base);
@@ -343,116 +349,123 @@
 	return copy;
 }
 
-/* Answers everything sent; returns the processor time of the entry for it. */
-static double answer_all(struct world *world)
+/* Answers all queries. Returns the processor seconds spent on the results. */
+static double answer_all(struct fixture *fixture)
 {
 	Peer__QueryResult **results =
-		mem_zalloc((size_t)world->n_sent * sizeof(*results));
+		mem_zalloc((size_t)fixture->n_sent * sizeof(*results));
 	double start;
 	double seconds;
-	int n = world->n_sent;
+	int n = fixture->n_sent;
 	int i;
 
 	for (i = 0; i < n; i++)
-		results[i] = make_result(world, world->sent[i].query);
+		results[i] =
+			make_result(fixture, fixture->sent_queries[i].query);
 	start = cpu_seconds();
 	for (i = 0; i < n; i++)
-		searches_result(&world->searches, str_from(world->sent[i].home),
+		searches_result(&fixture->searches,
+				str_from(fixture->sent_queries[i].home),
 				results[i]);
 	seconds = cpu_seconds() - start;
 	for (i = 0; i < n; i++) {
 		peer__query_result__free_unpacked(results[i], NULL);
-		peer__query__free_unpacked(world->sent[i].query, NULL);
+		peer__query__free_unpacked(fixture->sent_queries[i].query,
+					   NULL);
 	}
-	world->n_sent = 0;
+	fixture->n_sent = 0;
 	free(results);
 	return seconds;
 }
 
 static void measure_catalog(int n_servers)
 {
-	struct world world;
+	struct fixture fixture;
 	double heap;
 	double start;
-	double fill;
-	double build;
+	double fill_seconds;
+	double placement_seconds;
 
-	world_init(&world, n_servers, 0);
+	fixture_init(&fixture, n_servers, 0);
 	heap = heap_bytes();
 	start = cpu_seconds();
-	fill_catalog(&world);
-	fill = cpu_seconds() - start;
+	fill_catalog(&fixture);
+	fill_seconds = cpu_seconds() - start;
 	start = cpu_seconds();
-	if (!catalog_best_placement(&world.board.catalog, STR("s")))
+	if (!catalog_best_placement(&fixture.board.catalog, STR("s")))
 		exit(1);
-	build = cpu_seconds() - start;
+	placement_seconds = cpu_seconds() - start;
 	printf("{\"measure\":\"catalog\",\"servers\":%d,\"heap_bytes\":%.0f,"
 	       "\"fill_us_per_state\":%.3f,\"placement_us\":%.1f}\n",
-	       n_servers, heap_bytes() - heap, fill * 1e6 / n_servers / 2,
-	       build * 1e6);
-	world_finish(&world);
+	       n_servers, heap_bytes() - heap,
+	       fill_seconds * 1e6 / n_servers / 2, placement_seconds * 1e6);
+	fixture_finish(&fixture);
 }
 
-/* Shards asked: with two replicas, as many as servers / 2 * 2. */
+/* Searches all shards, which are servers / 2 replicas * 2 per server. */
 static void measure_search(int n_servers, int n_records)
 {
-	struct world world;
-	double start_seconds = 0;
-	double result_seconds = 0;
+	struct fixture fixture;
+	double total_start_seconds = 0;
+	double total_result_seconds = 0;
 	double start;
 	int parts = 0;
 	int i;
 
-	world_init(&world, n_servers, n_records);
-	fill_catalog(&world);
-	catalog_best_placement(&world.board.catalog, STR("s"));
-	for (i = 0; i < ROUNDS; i++) {
+	fixture_init(&fixture, n_servers, n_records);
+	fill_catalog(&fixture);
+	catalog_best_placement(&fixture.board.catalog, STR("s"));
+	for (i = 0; i < SEARCHES; i++) {
 		int k;
 
 		start = cpu_seconds();
-		start_search(&world);
-		start_seconds += cpu_seconds() - start;
-		for (k = 0; k < world.n_sent; k++)
-			parts += (int)world.sent[k].query->n_parts;
-		result_seconds += answer_all(&world);
+		start_search(&fixture);
+		total_start_seconds += cpu_seconds() - start;
+		for (k = 0; k < fixture.n_sent; k++)
+			parts += (int)fixture.sent_queries[k].query->n_parts;
+		total_result_seconds += answer_all(&fixture);
 	}
-	if (world.n_done != ROUNDS || world.covered != ROUNDS) {
+	if (fixture.n_done != SEARCHES || fixture.covered != SEARCHES) {
 		fprintf(stderr, "%d of %d searches done, coverage %.3f\n",
-			world.n_done, ROUNDS, world.covered / world.n_done);
+			fixture.n_done, SEARCHES,
+			fixture.covered / fixture.n_done);
 		exit(1);
 	}
 	printf("{\"measure\":\"search\",\"records\":%d,\"shards\":%d,"
 	       "\"parts\":%d,\"start_us\":%.2f,\"results_us\":%.2f,"
 	       "\"us_per_part\":%.3f}\n",
-	       n_records, n_shards_of(&world), parts / ROUNDS,
-	       start_seconds * 1e6 / ROUNDS, result_seconds * 1e6 / ROUNDS,
-	       (start_seconds + result_seconds) * 1e6 / parts);
-	world_finish(&world);
+	       n_records, shard_count(&fixture), parts / SEARCHES,
+	       total_start_seconds * 1e6 / SEARCHES,
+	       total_result_seconds * 1e6 / SEARCHES,
+	       (total_start_seconds + total_result_seconds) * 1e6 / parts);
+	fixture_finish(&fixture);
 }
 
 static void measure_in_flight(int n_servers)
 {
-	struct world world;
+	struct fixture fixture;
 	double heap;
 	int i;
 
-	world_init(&world, n_servers, 0);
-	fill_catalog(&world);
-	catalog_best_placement(&world.board.catalog, STR("s"));
+	fixture_init(&fixture, n_servers, 0);
+	fill_catalog(&fixture);
+	catalog_best_placement(&fixture.board.catalog, STR("s"));
 	heap = heap_bytes();
-	for (i = 0; i < IN_FLIGHT; i++) {
+	for (i = 0; i < SEARCHES_IN_FLIGHT; i++) {
 		int k;
 
-		start_search(&world);
-		/* The kept queries are the bench's, not the entry's. */
-		for (k = 0; k < world.n_sent; k++)
-			peer__query__free_unpacked(world.sent[k].query, NULL);
-		world.n_sent = 0;
+		start_search(&fixture);
+		/* Recorded queries are not part of the instance's memory. */
+		for (k = 0; k < fixture.n_sent; k++)
+			peer__query__free_unpacked(
+				fixture.sent_queries[k].query, NULL);
+		fixture.n_sent = 0;
 	}
 	printf("{\"measure\":\"search_in_flight\",\"shards\":%d,"
 	       "\"heap_bytes\":%.0f}\n",
-	       n_shards_of(&world), (heap_bytes() - heap) / IN_FLIGHT);
-	world_finish(&world);
+	       shard_count(&fixture),
+	       (heap_bytes() - heap) / SEARCHES_IN_FLIGHT);
+	fixture_finish(&fixture);
 }
 
 int main(void)
