--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -1,6 +1,7 @@
 /*
- * What distributing the table costs: many real table modules in one process,
- * with the clock advanced by hand and messages in a queue. JSON lines.
+ * Measures the cost of distributing the table: the real table modules of many
+ * instances in one process, with a simulated clock and message queue. Prints
+ * JSON lines.
  */
 #include <argp.h>
 #include <inttypes.h>
@@ -18,7 +19,7 @@
 #define CHANGES_A_DAY 4800
 #define DAY_MS 86400000
 #define SETTLE_MS 30000
-#define REPEATS 20
+#define ROUNDS 20
 #define FIRST_REVISION 100
 
 struct arguments {
@@ -37,12 +38,14 @@
 	{"data-centres", 'd', "N", 0, "data centres (4)", 0},
 	{"rows", 'r', "N", 0, "backend servers in the table (100)", 0},
 	{"changes", 'c', "N", 0, "changes, 18 s apart (10)", 0},
-	{"parts", 'p', "N", 0, "publish the table in parts (0: whole)", 0},
-	{"loss", 'l', "RATIO", 0, "messages between instances lost (0)", 0},
+	{"parts", 'p', "N", 0,
+	 "publish the table in this many parts (0: as a whole)", 0},
+	{"loss", 'l', "RATIO", 0,
+	 "fraction of messages between instances lost (0)", 0},
 	{"all-watch", 'a', NULL, 0,
 	 "baseline: every instance watches the platform", 0},
 	{"table-only", 't', NULL, 0,
-	 "measure reading and changing one table instead", 0},
+	 "measure parsing and updating one table instead", 0},
 	{0},
 };
 
@@ -80,8 +83,8 @@
 	}
 }
 
-/* Processor time, so that other load on the machine does not count. */
-static int64_t microseconds(void)
+/* Processor time, which excludes other load on the machine. */
+static int64_t cpu_usec(void)
 {
 	struct timespec ts;
 
@@ -104,32 +107,32 @@
 	return (x > y) - (x < y);
 }
 
-/* The median and the greatest of a few times. */
-struct times {
+/* Durations in microseconds, for their median and maximum. */
+struct durations {
 	int64_t *values;
 	int n;
 };
 
-static int64_t median(struct times *times)
+static int64_t median(struct durations *durations)
 {
-	qsort(times->values, (size_t)times->n, sizeof(*times->values),
-	      compare_int64);
-	return times->values[times->n / 2];
+	qsort(durations->values, (size_t)durations->n,
+	      sizeof(*durations->values), compare_int64);
+	return durations->values[durations->n / 2];
 }
 
-static int64_t greatest(struct times *times)
+static int64_t maximum(struct durations *durations)
 {
-	median(times);
-	return times->values[times->n - 1];
+	median(durations);
+	return durations->values[durations->n - 1];
 }
 
-static void print_times(const char *name, struct times *times)
+static void print_durations(const char *name, struct durations *durations)
 {
 	printf(",\"%s_us\":%" PRId64 ",\"%s_max_us\":%" PRId64, name,
-	       median(times), name, greatest(times));
+	       median(durations), name, maximum(durations));
 }
 
-static void check(int ret)
+static void exit_on_error(int ret)
 {
 	if (!ret)
 		return;
@@ -139,10 +142,10 @@
 
 static void measure_table(const struct arguments *args)
 {
-	int64_t parse_us[REPEATS];
-	int64_t whole_us[REPEATS];
-	int64_t diff_us[REPEATS];
-	int64_t apply_us[REPEATS];
+	int64_t parse_us[ROUNDS];
+	int64_t canonical_us[ROUNDS];
+	int64_t diff_us[ROUNDS];
+	int64_t apply_us[ROUNDS];
 	struct sheets sheets;
 	size_t heap = 0;
 	size_t canonical = 0;
@@ -150,7 +153,7 @@
 	int i;
 
 	sheets_init(&sheets, args->rows);
-	for (i = 0; i < REPEATS; i++) {
+	for (i = 0; i < ROUNDS; i++) {
 		struct table_delta delta;
 		struct table tables[3];
 		char *texts[2];
@@ -158,24 +161,25 @@
 
 		texts[0] = sheets_text(&sheets, &len);
 		heap = heap_bytes();
-		check(table_init(&tables[0], texts[0], len, 1, NULL));
+		exit_on_error(table_init(&tables[0], texts[0], len, 1, NULL));
 		heap = heap_bytes() - heap;
 		sheets.slots[i % args->rows]++;
 		texts[1] = sheets_text(&sheets, &len);
-		start = microseconds();
-		check(table_init(&tables[1], texts[1], len, 2, NULL));
-		parse_us[i] = microseconds() - start;
-		start = microseconds();
-		check(table_delta_init(&delta, &tables[0], &tables[1]));
-		diff_us[i] = microseconds() - start;
-		start = microseconds();
-		check(table_delta_apply(&delta, &tables[2], &tables[0], NULL));
+		start = cpu_usec();
+		exit_on_error(table_init(&tables[1], texts[1], len, 2, NULL));
+		parse_us[i] = cpu_usec() - start;
+		start = cpu_usec();
+		exit_on_error(table_delta_init(&delta, &tables[0], &tables[1]));
+		diff_us[i] = cpu_usec() - start;
+		start = cpu_usec();
+		exit_on_error(table_delta_apply(&delta, &tables[2], &tables[0],
+						NULL));
 		table_finish(&tables[0]);
-		apply_us[i] = microseconds() - start;
-		start = microseconds();
-		check(table_init(&tables[0], tables[1].text, tables[1].len, 2,
-				 NULL));
-		whole_us[i] = microseconds() - start;
+		apply_us[i] = cpu_usec() - start;
+		start = cpu_usec();
+		exit_on_error(table_init(&tables[0], tables[1].text,
+					 tables[1].len, 2, NULL));
+		canonical_us[i] = cpu_usec() - start;
 		canonical = tables[1].len;
 		table_finish(&tables[0]);
 		table_finish(&tables[1]);
@@ -187,10 +191,11 @@
 	printf("{\"measure\":\"table\",\"rows\":%d,\"text_bytes\":%zu,"
 	       "\"canonical_bytes\":%zu,\"heap_bytes\":%zu",
 	       args->rows, len, canonical, heap);
-	print_times("parse", &(struct times){parse_us, REPEATS});
-	print_times("parse_canonical", &(struct times){whole_us, REPEATS});
-	print_times("diff", &(struct times){diff_us, REPEATS});
-	print_times("apply", &(struct times){apply_us, REPEATS});
+	print_durations("parse", &(struct durations){parse_us, ROUNDS});
+	print_durations("parse_canonical",
+			&(struct durations){canonical_us, ROUNDS});
+	print_durations("diff", &(struct durations){diff_us, ROUNDS});
+	print_durations("apply", &(struct durations){apply_us, ROUNDS});
 	printf("}\n");
 	sheets_finish(&sheets);
 }
@@ -205,18 +210,18 @@
 	return sum;
 }
 
-static uint64_t most_sent(const struct sim *sim, const uint64_t *before)
+static uint64_t max_sent_bytes(const struct sim *sim, const uint64_t *before)
 {
-	uint64_t most = 0;
+	uint64_t max = 0;
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
 		uint64_t sent = sim->nodes[i].sent_bytes - before[i];
 
-		if (sent > most)
-			most = sent;
+		if (sent > max)
+			max = sent;
 	}
-	return most;
+	return max;
 }
 
 static void watch_all(struct sim *sim)
@@ -228,8 +233,8 @@
 			true;
 }
 
-/* What is counted from a moment on. */
-struct window {
+/* Values of the counters at the start of the measurement. */
+struct start_counters {
 	uint64_t calls;
 	uint64_t platform_bytes;
 	uint64_t bytes;
@@ -237,24 +242,25 @@
 	uint64_t *node_bytes;
 };
 
-static void window_open(struct window *window, struct sim *sim)
+static void read_start_counters(struct start_counters *start_counters,
+				struct sim *sim)
 {
 	int i;
 
-	window->calls = sim->platform.calls + sim->platform.part_calls;
-	window->platform_bytes = sim->platform.bytes;
-	window->bytes = sent_bytes(sim);
-	window->busy_ns = sim->busy_ns;
+	start_counters->calls = sim->platform.calls + sim->platform.part_calls;
+	start_counters->platform_bytes = sim->platform.bytes;
+	start_counters->bytes = sent_bytes(sim);
+	start_counters->busy_ns = sim->busy_ns;
 	sim->longest_ns = 0;
-	window->node_bytes =
-		mem_zalloc((size_t)sim->n * sizeof(*window->node_bytes));
+	start_counters->node_bytes = mem_zalloc(
+		(size_t)sim->n * sizeof(*start_counters->node_bytes));
 	for (i = 0; i < sim->n; i++)
-		window->node_bytes[i] = sim->nodes[i].sent_bytes;
+		start_counters->node_bytes[i] = sim->nodes[i].sent_bytes;
 }
 
-static void note_times(const struct sim *sim, uint64_t revision,
-		       int64_t published_at, struct times *nodes,
-		       struct times *all)
+static void add_delays(const struct sim *sim, uint64_t revision,
+		       int64_t published_at, struct durations *nodes,
+		       struct durations *all)
 {
 	int64_t last = 0;
 	int i;
@@ -263,7 +269,7 @@
 		int64_t took = sim->nodes[i].reached_at - published_at;
 
 		if (sim->nodes[i].seen != revision)
-			check(ERR_TOO_LATE);
+			exit_on_error(ERR_TOO_LATE);
 		nodes->values[nodes->n++] = took;
 		if (took > last)
 			last = took;
@@ -280,10 +286,10 @@
 		sim_publish_sheets(sim, sheets, revision);
 }
 
-/* Slots stay of one digit, so that a change stays within its part. */
+/* Slot counts keep one digit, so that a change stays within its part. */
 static void make_changes(const struct arguments *args, struct sim *sim,
-			 struct sheets *sheets, struct times *nodes,
-			 struct times *all)
+			 struct sheets *sheets, struct durations *nodes,
+			 struct durations *all)
 {
 	uint64_t revision = FIRST_REVISION;
 	int64_t gap_ms = DAY_MS / CHANGES_A_DAY;
@@ -295,7 +301,7 @@
 		sheets->slots[i % sheets->n] = 3;
 		publish(args, sim, sheets, ++revision);
 		sim_run(sim, gap_ms);
-		note_times(sim, revision, at, nodes, all);
+		add_delays(sim, revision, at, nodes, all);
 	}
 }
 
@@ -313,8 +319,9 @@
 	return count;
 }
 
-static void print_window(const struct arguments *args, struct sim *sim,
-			 const struct window *window, size_t heap)
+static void print_rates(const struct arguments *args, struct sim *sim,
+			const struct start_counters *start_counters,
+			size_t heap)
 {
 	double seconds = (double)args->changes * DAY_MS / CHANGES_A_DAY / 1000;
 	double nodes = (double)sim->n;
@@ -324,14 +331,17 @@
 	       ",\"readers\":%d,\"platform_bytes_per_reader_s\":%.1f"
 	       ",\"platform_calls_s\":%.2f,\"busy_us_per_node_s\":%.1f"
 	       ",\"longest_event_us\":%" PRIu64 ",\"heap_per_node\":%zu}\n",
-	       (double)(sent_bytes(sim) - window->bytes) / nodes / seconds,
-	       (double)most_sent(sim, window->node_bytes) / seconds, readers,
-	       (double)(sim->platform.bytes - window->platform_bytes) /
+	       (double)(sent_bytes(sim) - start_counters->bytes) / nodes /
+		       seconds,
+	       (double)max_sent_bytes(sim, start_counters->node_bytes) /
+		       seconds,
+	       readers,
+	       (double)(sim->platform.bytes - start_counters->platform_bytes) /
 		       readers / seconds,
 	       (double)(sim->platform.calls + sim->platform.part_calls -
-			window->calls) /
+			start_counters->calls) /
 		       seconds,
-	       (double)(sim->busy_ns - window->busy_ns) / 1000 / nodes /
+	       (double)(sim->busy_ns - start_counters->busy_ns) / 1000 / nodes /
 		       seconds,
 	       sim->longest_ns / 1000, heap / (size_t)sim->n);
 }
@@ -339,10 +349,11 @@
 static void measure_fleet(const struct arguments *args)
 {
 	size_t n = (size_t)args->nodes * (size_t)args->changes;
-	struct times nodes = {mem_zalloc(n * sizeof(int64_t)), 0};
-	struct times all = {mem_zalloc((size_t)args->changes * sizeof(int64_t)),
-			    0};
-	struct window window;
+	struct durations nodes = {mem_zalloc(n * sizeof(int64_t)), 0};
+	struct durations all = {mem_zalloc((size_t)args->changes *
+					   sizeof(int64_t)),
+				0};
+	struct start_counters start_counters;
 	struct sheets sheets;
 	struct sim sim;
 	size_t heap;
@@ -359,17 +370,17 @@
 	heap = heap_bytes() - heap;
 	sim.loss = args->loss;
 	sim.push_loss = args->loss;
-	window_open(&window, &sim);
+	read_start_counters(&start_counters, &sim);
 	make_changes(args, &sim, &sheets, &nodes, &all);
 	printf("{\"measure\":\"fleet\",\"nodes\":%d,\"data_centres\":%d,"
 	       "\"rows\":%d,\"changes\":%d,\"parts\":%d,\"loss\":%.3f,\"all_"
 	       "watch\":%s",
 	       args->nodes, args->data_centres, args->rows, args->changes,
 	       args->parts, args->loss, args->all_watch ? "true" : "false");
-	print_times("node", &nodes);
-	print_times("everywhere", &all);
-	print_window(args, &sim, &window, heap);
-	free(window.node_bytes);
+	print_durations("node", &nodes);
+	print_durations("everywhere", &all);
+	print_rates(args, &sim, &start_counters, heap);
+	free(start_counters.node_bytes);
 	free(nodes.values);
 	free(all.values);
 	sim_finish(&sim);
@@ -378,8 +389,9 @@
 
 int main(int argc, char **argv)
 {
-	static const struct argp argp = {options, parse, NULL,
-					 "Measure what the table costs."};
+	static const struct argp argp = {
+		options, parse, NULL,
+		"Measure the cost of distributing the table."};
 	struct arguments args = {8, 4, 100, 10};
 
 	if (argp_parse(&argp, argc, argv, 0, NULL, &args))
