--- a/bench/trace_cost.c
+++ b/bench/trace_cost.c
@@ -1,6 +1,7 @@
 /*
- * Processor time of the record and the burn of a search, in a book that is
- * full, at several numbers of parts. JSON lines out.
+ * Measures the processor time to record the trace and the error budget use of a
+ * search, with a full trace book and several numbers of parts. Prints JSON
+ * lines.
  */
 #include <stdio.h>
 #include <string.h>
@@ -9,11 +10,11 @@
 #include "burn.h"
 #include "trace.h"
 
-#define ROUNDS 5000
-#define NAMES 800
+#define SEARCHES 5000
+#define N_NAMES 800
 #define NAME_SIZE 24
 
-static char names[NAMES][NAME_SIZE];
+static char names[N_NAMES][NAME_SIZE];
 
 static double cpu_seconds(void)
 {
@@ -23,7 +24,7 @@
 	return (double)ts.tv_sec + (double)ts.tv_nsec / 1e9;
 }
 
-static void record(struct trace_book *book, struct burn *burn, int parts)
+static void record_search(struct trace_book *book, struct burn *burn, int parts)
 {
 	static const struct burn_target target = {"m", 60, 0.99, 0.99};
 	struct burn_event event = {true, true, MSEC(20)};
@@ -59,14 +60,14 @@
 	trace_book_set_limits(&book, &limits);
 	burn_init(&burn, &clock);
 	burn_set_services_max(&burn, 10);
-	for (i = 0; i < ROUNDS; i++)
-		record(&book, &burn, parts);
+	for (i = 0; i < SEARCHES; i++)
+		record_search(&book, &burn, parts);
 	start = cpu_seconds();
-	for (i = 0; i < ROUNDS; i++)
-		record(&book, &burn, parts);
+	for (i = 0; i < SEARCHES; i++)
+		record_search(&book, &burn, parts);
 	printf("{\"measure\":\"trace\",\"parts\":%d,\"us_per_search\":%.3f,"
 	       "\"records\":%lld,\"bytes\":%lld}\n",
-	       parts, (cpu_seconds() - start) * 1e6 / ROUNDS,
+	       parts, (cpu_seconds() - start) * 1e6 / SEARCHES,
 	       (long long)trace_book_count(&book),
 	       (long long)trace_book_bytes(&book));
 	burn_finish(&burn);
@@ -78,7 +79,7 @@
 	static const int parts[] = {1, 5, 10, 100, 730};
 	size_t i;
 
-	for (i = 0; i < NAMES; i++)
+	for (i = 0; i < N_NAMES; i++)
 		snprintf(names[i], NAME_SIZE, "be-desk-%03zu", i);
 	for (i = 0; i < sizeof(parts) / sizeof(*parts); i++)
 		measure(parts[i]);
