--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -229,8 +229,9 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++)
-		sim_sync(sim, i)->reader.watches[READER_TABLE].watched_by_all =
-			true;
+		sim_node_sync(sim, i)
+			->reader.watches[READER_TABLE]
+			.watched_by_all = true;
 }
 
 /* Values of the counters at the start of the measurement. */
@@ -311,7 +312,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		const struct reader *reader = &sim_sync(sim, i)->reader;
+		const struct reader *reader = &sim_node_sync(sim, i)->reader;
 
 		count += reader_is_watching(reader) ||
 			 reader->watches[READER_TABLE].watched_by_all;
