--- a/tests/fault_matrix.c
+++ b/tests/fault_matrix.c
@@ -1,6 +1,7 @@
 /*
- * Every fault at every step of a request and of a change, alone and in pairs,
- * driven with the paused clock. The same seed gives the same verdict.
+ * Injects every fault at every step of a search, alone and in pairs, and at
+ * every step of a table change, and checks the invariants afterwards. Uses a
+ * paused clock: the same seed gives the same result.
  */
 #include <argp.h>
 #include <stdio.h>
@@ -8,29 +9,29 @@
 #include <string.h>
 
 #include "matrix_change.h"
-#include "matrix_world.h"
+#include "matrix_cluster.h"
 
-#define RUN_ON_MS 5000
-#define OTHERS 9
-#define SLACK_US MSEC(5)
+#define SETTLE_TIME_MS 5000
+#define BACKGROUND_SEARCHES 9
+#define DEADLINE_SLACK_US MSEC(5)
 #define PAUSE_US MSEC(600)
-#define SLOTS_MAX 4
+#define SERVER_SLOTS_MAX 4
 #define CELL_NAME_SIZE 96
 
-enum promise {
-	PROMISE_SNAPSHOT,
-	PROMISE_COVERAGE,
-	PROMISE_WHOLE,
-	PROMISE_NOT_RUN,
-	PROMISE_LEAVING,
-	PROMISE_STOP,
-	PROMISE_LIMITS,
-	PROMISES,
+enum invariant {
+	INVARIANT_SNAPSHOT,
+	INVARIANT_COVERAGE,
+	INVARIANT_ONE_OUTCOME,
+	INVARIANT_NOT_RUN,
+	INVARIANT_LEAVING,
+	INVARIANT_PLANNED_CHANGE,
+	INVARIANT_LIMITS,
+	INVARIANTS,
 };
 
-static const char *const promise_names[] = {"snapshot", "coverage", "whole",
-					    "not_run",	"leaving",  "stop",
-					    "limits"};
+static const char *const invariant_names[] = {"snapshot", "coverage", "whole",
+					      "not_run",  "leaving",  "stop",
+					      "limits"};
 
 static const char *const step_names[] = {
 #define STEP_NAME(symbol, name, meaning) name,
@@ -39,154 +40,157 @@
 };
 
 /**
- * struct fault - something of the brief that goes wrong
- * @inject: the world is at the step now
- * @ends_target: the entry of the target may be lost, its caller gets nothing
- * @stop_promise: a planned stop: nothing may be cut off
+ * struct fault - a fault or planned change
+ * @name: part of the cell's name
+ * @inject: called when the target request reaches the cell's step
+ * @may_end_target: the target's entry may be lost, so that its caller gets no
+ *		    outcome
+ * @is_planned: a planned change, under which every search must be complete
  */
 struct fault {
 	const char *name;
-	void (*inject)(struct world *world);
-	bool ends_target;
-	bool stop_promise;
+	void (*inject)(struct cluster *cluster);
+	bool may_end_target;
+	bool is_planned;
 };
 
-static int concerned_server(const struct world *world)
+static int affected_server(const struct cluster *cluster)
 {
-	return world->target_server < 0 ? 0 : world->target_server;
+	return cluster->target_server < 0 ? 0 : cluster->target_server;
 }
 
-/* A home of the target that is not its entry, if there is one. */
-static int concerned_home(const struct world *world)
+/* Prefers the target's home; another instance if that is its entry. */
+static int affected_home(const struct cluster *cluster)
 {
-	int entry = world->outcomes[0].entry;
+	int entry = cluster->outcomes[0].entry;
 
-	if (world->target_home >= 0 && world->target_home != entry)
-		return world->target_home;
-	return (entry + 1) % WORLD_INSTANCES;
+	if (cluster->target_home >= 0 && cluster->target_home != entry)
+		return cluster->target_home;
+	return (entry + 1) % CLUSTER_INSTANCES;
 }
 
-static void straggler(struct world *world)
+static void straggler(struct cluster *cluster)
 {
-	world_slow_server(world, concerned_server(world), 20);
+	cluster_slow_server(cluster, affected_server(cluster), 20);
 }
 
-static void replica_lost(struct world *world)
+static void replica_lost(struct cluster *cluster)
 {
-	world_kill_server(world, concerned_server(world));
+	cluster_kill_server(cluster, affected_server(cluster));
 }
 
-static void all_replicas_lost(struct world *world)
+static void all_replicas_lost(struct cluster *cluster)
 {
-	int first = concerned_server(world) / 2 * 2;
+	int first = affected_server(cluster) / 2 * 2;
 
-	world_kill_server(world, first);
-	world_kill_server(world, first + 1);
+	cluster_kill_server(cluster, first);
+	cluster_kill_server(cluster, first + 1);
 }
 
-static void version_switch(struct world *world)
+static void version_switch(struct cluster *cluster)
 {
-	world_switch_versions(world, true);
+	cluster_switch_versions(cluster, true);
 }
 
-static void repartition(struct world *world)
+static void repartition(struct cluster *cluster)
 {
-	world_switch_versions(world, false);
+	cluster_switch_versions(cluster, false);
 }
 
-static void wrong_version(struct world *world)
+static void wrong_version(struct cluster *cluster)
 {
-	world->servers[concerned_server(world)].answers_wrong_version = true;
+	cluster->servers[affected_server(cluster)].answers_wrong_version = true;
 }
 
-static void wrong_held(struct world *world)
+static void wrong_held(struct cluster *cluster)
 {
-	world->servers[concerned_server(world)].answers_wrong_held = true;
+	cluster->servers[affected_server(cluster)].answers_wrong_held = true;
 }
 
-static void crashing_request(struct world *world)
+static void crashing_request(struct cluster *cluster)
 {
 	int i;
 
-	for (i = 0; i < WORLD_SERVERS; i++)
-		world->servers[i].crash_on_target = true;
+	for (i = 0; i < CLUSTER_SERVERS; i++)
+		cluster->servers[i].crash_on_target = true;
 }
 
-static void silent_connection(struct world *world)
+static void silent_connection(struct cluster *cluster)
 {
-	world_silence_server(world, concerned_server(world));
+	cluster_stall_running_requests(cluster, affected_server(cluster));
 }
 
-static void server_drains(struct world *world)
+static void server_drains(struct cluster *cluster)
 {
-	world_drain_server(world, concerned_server(world));
+	cluster_drain_server(cluster, affected_server(cluster));
 }
 
-static void server_cold(struct world *world)
+static void server_cold(struct cluster *cluster)
 {
-	world_slow_server(world, concerned_server(world), 5);
+	cluster_slow_server(cluster, affected_server(cluster), 5);
 }
 
-static void server_sheds(struct world *world)
+static void server_sheds(struct cluster *cluster)
 {
-	world->servers[concerned_server(world)].sheds = true;
+	cluster->servers[affected_server(cluster)].sheds_load = true;
 }
 
-static void server_paused(struct world *world)
+static void server_paused(struct cluster *cluster)
 {
-	world->servers[concerned_server(world)].paused_until =
-		clock_now(&world->clock) + PAUSE_US;
+	cluster->servers[affected_server(cluster)].paused_until =
+		clock_now(&cluster->clock) + PAUSE_US;
 }
 
-static void server_restarts(struct world *world)
+static void server_restarts(struct cluster *cluster)
 {
-	world_kill_server(world, concerned_server(world));
-	world_restart_server(world, concerned_server(world));
+	cluster_kill_server(cluster, affected_server(cluster));
+	cluster_restart_server(cluster, affected_server(cluster));
 }
 
-static void home_paused(struct world *world)
+static void home_paused(struct cluster *cluster)
 {
-	world_pause_instance(world, concerned_home(world), PAUSE_US);
+	cluster_pause_instance(cluster, affected_home(cluster), PAUSE_US);
 }
 
-static void entry_paused(struct world *world)
+static void entry_paused(struct cluster *cluster)
 {
-	world_pause_instance(world, world->outcomes[0].entry, PAUSE_US);
+	cluster_pause_instance(cluster, cluster->outcomes[0].entry, PAUSE_US);
 }
 
-static void partition(struct world *world)
+static void partition(struct cluster *cluster)
 {
-	world_cut(world, world->outcomes[0].entry, concerned_home(world), true);
+	cluster_set_partitioned(cluster, cluster->outcomes[0].entry,
+				affected_home(cluster), true);
 }
 
-static void home_crash(struct world *world)
+static void home_crash(struct cluster *cluster)
 {
-	world_kill_instance(world, concerned_home(world));
+	cluster_kill_instance(cluster, affected_home(cluster));
 }
 
-static void entry_crash(struct world *world)
+static void entry_crash(struct cluster *cluster)
 {
-	world_kill_instance(world, world->outcomes[0].entry);
+	cluster_kill_instance(cluster, cluster->outcomes[0].entry);
 }
 
-static void home_restart(struct world *world)
+static void home_restart(struct cluster *cluster)
 {
-	world_restart_instance(world, concerned_home(world));
+	cluster_restart_instance(cluster, affected_home(cluster));
 }
 
-static void graceful_stop(struct world *world)
+static void graceful_stop(struct cluster *cluster)
 {
-	world_leave_instance(world, concerned_home(world));
+	cluster_start_leaving(cluster, affected_home(cluster));
 }
 
-static void lagging_list(struct world *world)
+static void lagging_list(struct cluster *cluster)
 {
-	world_lose_instance_silently(world, concerned_home(world));
+	cluster_kill_instance_undetected(cluster, affected_home(cluster));
 }
 
-static void table_change(struct world *world)
+static void table_change(struct cluster *cluster)
 {
-	world_change_table(world);
+	cluster_change_table(cluster);
 }
 
 static const struct fault faults[] = {
@@ -219,9 +223,15 @@
 #define N_FAULTS (int)(sizeof(faults) / sizeof(*faults))
 
 /**
- * struct cell - one row of the matrix
- * @failed: first promise broken at each place
- * @checked: how often each promise was checked
+ * struct cell - one or two faults at a step, with a seed
+ * @first: fault
+ * @second: another fault injected at the same step, NULL for none
+ * @step: of the target request at which the faults are injected
+ * @seed: of the simulated cluster
+ * @injected: whether the step was reached
+ * @checked: number of checks of each invariant
+ * @broken: number of failed checks of each invariant
+ * @reason: what the first failed check found, empty if none failed
  */
 struct cell {
 	const struct fault *first;
@@ -229,24 +239,24 @@
 	enum request_step step;
 	uint64_t seed;
 	bool injected;
-	int checked[PROMISES];
-	int broken[PROMISES];
-	char why[128];
+	int checked[INVARIANTS];
+	int broken[INVARIANTS];
+	char reason[128];
 };
 
-static void expect(struct cell *cell, enum promise promise, bool holds,
-		   const char *what, int index)
+static void check_invariant(struct cell *cell, enum invariant invariant,
+			    bool holds, const char *what, int index)
 {
-	cell->checked[promise]++;
+	cell->checked[invariant]++;
 	if (holds)
 		return;
-	if (!*cell->why)
-		snprintf(cell->why, sizeof(cell->why), "%s (search %d)", what,
-			 index);
-	cell->broken[promise]++;
+	if (!*cell->reason)
+		snprintf(cell->reason, sizeof(cell->reason), "%s (search %d)",
+			 what, index);
+	cell->broken[invariant]++;
 }
 
-static void on_step(struct world *world, enum request_step step, void *arg)
+static void on_step(struct cluster *cluster, enum request_step step, void *arg)
 {
 	struct cell *cell = arg;
 
@@ -254,170 +264,185 @@
 		return;
 	cell->injected = true;
 	if (cell->first->inject)
-		cell->first->inject(world);
+		cell->first->inject(cluster);
 	if (cell->second && cell->second->inject)
-		cell->second->inject(world);
+		cell->second->inject(cluster);
 }
 
-static void check_answer(struct cell *cell, const struct world_outcome *out,
+static void check_answer(struct cell *cell, const struct cluster_outcome *out,
 			 int i)
 {
 	uint64_t answered = (uint64_t)out->answered;
 
-	expect(cell, PROMISE_SNAPSHOT,
-	       out->version == WORLD_OLD_VERSION ||
-		       out->version == WORLD_NEW_VERSION,
-	       "no known version", i);
-	expect(cell, PROMISE_SNAPSHOT,
-	       out->count == answered * world_count(out->version),
-	       "count is not that of one version", i);
-	expect(cell, PROMISE_COVERAGE,
-	       out->covered == answered * world_held(out->version),
-	       "covered is not what the shards answered hold", i);
-	expect(cell, PROMISE_COVERAGE,
-	       out->total == (uint64_t)world_shards(out->version) *
-				     world_held(out->version),
-	       "total is not that of the snapshot", i);
+	check_invariant(cell, INVARIANT_SNAPSHOT,
+			out->version == CLUSTER_OLD_VERSION ||
+				out->version == CLUSTER_NEW_VERSION,
+			"unknown version", i);
+	check_invariant(cell, INVARIANT_SNAPSHOT,
+			out->count == answered * cluster_matches_per_shard(
+							 out->version),
+			"count does not match the version", i);
+	check_invariant(cell, INVARIANT_COVERAGE,
+			out->covered == answered * cluster_records_per_shard(
+							   out->version),
+			"covered does not match the shards that answered", i);
+	check_invariant(cell, INVARIANT_COVERAGE,
+			out->total ==
+				(uint64_t)cluster_shard_count(out->version) *
+					cluster_records_per_shard(out->version),
+			"total does not match the snapshot", i);
 }
 
 /*
- * The caller of an entry that was lost gets nothing from it; every other one
- * gets exactly one outcome, at its deadline at the latest, or at once when a
- * paused entry wakes.
+ * The caller of an entry that ended gets one outcome or none; every other
+ * caller gets exactly one, by its deadline or as soon as a paused entry
+ * resumes.
  */
-static void check_outcome(struct cell *cell, const struct world *world, int i)
+static void check_outcome(struct cell *cell, const struct cluster *cluster,
+			  int i)
 {
-	const struct world_outcome *out = &world->outcomes[i];
-	const struct world_instance *entry = &world->instances[out->entry];
-	int64_t latest = out->started_at + MSEC(WORLD_DEADLINE_MS);
+	const struct cluster_outcome *out = &cluster->outcomes[i];
+	const struct cluster_instance *entry = &cluster->instances[out->entry];
+	int64_t latest = out->started_at + MSEC(CLUSTER_DEADLINE_MS);
 
-	if (!entry->is_alive || entry->life) {
-		expect(cell, PROMISE_WHOLE, out->n <= 1, "answered twice", i);
+	if (!entry->is_alive || entry->incarnation) {
+		check_invariant(cell, INVARIANT_ONE_OUTCOME,
+				out->n_outcomes <= 1, "more than one outcome",
+				i);
 	} else {
-		expect(cell, PROMISE_WHOLE, out->n == 1, "not answered once",
-		       i);
+		check_invariant(cell, INVARIANT_ONE_OUTCOME,
+				out->n_outcomes == 1, "not exactly one outcome",
+				i);
 		if (entry->paused_until > latest)
 			latest = entry->paused_until;
-		expect(cell, PROMISE_WHOLE, out->at <= latest + SLACK_US,
-		       "answered after its deadline", i);
+		check_invariant(cell, INVARIANT_ONE_OUTCOME,
+				out->ended_at <= latest + DEADLINE_SLACK_US,
+				"answered after its deadline", i);
 	}
-	if (out->n && !out->code)
+	if (out->n_outcomes && !out->code)
 		check_answer(cell, out, i);
 }
 
-static void check_target(struct cell *cell, const struct world *world)
+static void check_target(struct cell *cell, const struct cluster *cluster)
 {
-	const struct world_outcome *out = &world->outcomes[0];
+	const struct cluster_outcome *out = &cluster->outcomes[0];
 	int runs = 0;
 	int i;
 
-	for (i = 0; i < WORLD_SERVERS; i++)
-		runs += world->servers[i].runs_of_target;
-	if (out->n && out->code && !out->maybe_ran)
-		expect(cell, PROMISE_NOT_RUN, !runs, "not_run, but it ran", 0);
+	for (i = 0; i < CLUSTER_SERVERS; i++)
+		runs += cluster->servers[i].runs_of_target;
+	if (out->n_outcomes && out->code && !out->maybe_ran)
+		check_invariant(cell, INVARIANT_NOT_RUN, !runs,
+				"not_run, but it ran", 0);
 	else
-		expect(cell, PROMISE_NOT_RUN, true, "", 0);
+		check_invariant(cell, INVARIANT_NOT_RUN, true, "", 0);
 }
 
-static void check_servers(struct cell *cell, const struct world *world)
+static void check_servers(struct cell *cell, const struct cluster *cluster)
 {
 	int i;
 
-	for (i = 0; i < WORLD_SERVERS; i++) {
-		expect(cell, PROMISE_LEAVING, !world->servers[i].late_starts,
-		       "new work for a leaving server", i);
-		expect(cell, PROMISE_LIMITS,
-		       world->servers[i].most_running <= SLOTS_MAX,
-		       "more requests than slots", i);
+	for (i = 0; i < CLUSTER_SERVERS; i++) {
+		check_invariant(cell, INVARIANT_LEAVING,
+				!cluster->servers[i].late_starts,
+				"request started on a leaving server", i);
+		check_invariant(cell, INVARIANT_LIMITS,
+				cluster->servers[i].most_running <=
+					SERVER_SLOTS_MAX,
+				"more running requests than slots", i);
 	}
-	expect(cell, PROMISE_LIMITS, !world->above_share,
-	       "a home sent more than its share", 0);
-	expect(cell, PROMISE_LIMITS, !world->late_sends,
-	       "sent to a server after the deadline", 0);
+	check_invariant(cell, INVARIANT_LIMITS, !cluster->sends_above_share,
+			"a home sent more than its share", 0);
+	check_invariant(cell, INVARIANT_LIMITS, !cluster->late_sends,
+			"sent to a server after the deadline", 0);
 }
 
-/* Planned changes alone lower no coverage and refuse nothing. */
-static void check_planned(struct cell *cell, const struct world *world)
+/* With planned changes only, every search succeeds with full coverage. */
+static void check_planned(struct cell *cell, const struct cluster *cluster)
 {
 	int i;
 
-	if (!cell->first->stop_promise ||
-	    (cell->second && !cell->second->stop_promise))
+	if (!cell->first->is_planned ||
+	    (cell->second && !cell->second->is_planned))
 		return;
-	for (i = 0; i < world->n_searches; i++) {
-		const struct world_outcome *out = &world->outcomes[i];
+	for (i = 0; i < cluster->n_searches; i++) {
+		const struct cluster_outcome *out = &cluster->outcomes[i];
 
-		expect(cell, PROMISE_STOP,
-		       !out->code && out->covered == out->total,
-		       "cut off by a planned change", i);
+		check_invariant(
+			cell, INVARIANT_PLANNED_CHANGE,
+			!out->code && out->covered == out->total,
+			"failed or partial despite planned changes only", i);
 	}
 }
 
-/* Once the fault is over, a search is answered in full again. */
-static void check_recovery(struct cell *cell, struct world *world)
+/* Checks that a search has full coverage once the faults are over. */
+static void check_recovery(struct cell *cell, struct cluster *cluster)
 {
-	const struct world_outcome *out;
+	const struct cluster_outcome *out;
 	int at;
 	int i;
 
-	for (i = 0; i < WORLD_SERVERS; i++) {
-		struct world_server *server = &world->servers[i];
+	for (i = 0; i < CLUSTER_SERVERS; i++) {
+		struct cluster_server *server = &cluster->servers[i];
 
 		server->crash_on_target = false;
 		server->answers_wrong_version = false;
 		server->answers_wrong_held = false;
-		server->sheds = false;
-		world_slow_server(world, i, 1);
+		server->sheds_load = false;
+		cluster_slow_server(cluster, i, 1);
 		if (!server->is_alive)
-			world_restart_server(world, i);
+			cluster_restart_server(cluster, i);
 	}
-	for (i = 0; i < WORLD_INSTANCES; i++) {
-		if (!world->instances[i].is_alive)
-			world_restart_instance(world, i);
+	for (i = 0; i < CLUSTER_INSTANCES; i++) {
+		if (!cluster->instances[i].is_alive)
+			cluster_restart_instance(cluster, i);
 	}
-	world_cut(world, 0, 1, false);
-	world_cut(world, 0, 2, false);
-	world_cut(world, 1, 2, false);
-	world_run(world, MSEC(RUN_ON_MS));
-	at = world_search(world, 2);
-	world_run(world, MSEC(2 * WORLD_DEADLINE_MS));
-	out = &world->outcomes[at];
-	expect(cell, PROMISE_WHOLE,
-	       out->n == 1 && !out->code && out->covered == out->total,
-	       "no full answer after the fault", at);
-}
-
-/* Others, before and after the target, at entries and times of the seed. */
-static void start_others(struct world *world, int n)
+	cluster_set_partitioned(cluster, 0, 1, false);
+	cluster_set_partitioned(cluster, 0, 2, false);
+	cluster_set_partitioned(cluster, 1, 2, false);
+	cluster_run(cluster, MSEC(SETTLE_TIME_MS));
+	at = cluster_search(cluster, 2);
+	cluster_run(cluster, MSEC(2 * CLUSTER_DEADLINE_MS));
+	out = &cluster->outcomes[at];
+	check_invariant(cell, INVARIANT_ONE_OUTCOME,
+			out->n_outcomes == 1 && !out->code &&
+				out->covered == out->total,
+			"no full answer after the fault", at);
+}
+
+/* Starts searches besides the target, at random entries and times. */
+static void start_background_searches(struct cluster *cluster, int n)
 {
 	int i;
 
 	for (i = 0; i < n; i++) {
-		world_search(world, (int)world_random(world, WORLD_INSTANCES));
-		world_run(world, (int64_t)world_random(world, 3000));
+		cluster_search(cluster,
+			       (int)cluster_random(cluster, CLUSTER_INSTANCES));
+		cluster_run(cluster, (int64_t)cluster_random(cluster, 3000));
 	}
 }
 
 static bool run_cell(struct cell *cell)
 {
-	static struct world world;
+	static struct cluster cluster;
 	bool broken = false;
 	int i;
 
-	world_init(&world, cell->seed);
-	world.on_step = on_step;
-	world.arg = cell;
-	world_search(&world, (int)world_random(&world, WORLD_INSTANCES));
-	start_others(&world, OTHERS);
-	world_run(&world, MSEC(RUN_ON_MS));
-	for (i = 0; i < world.n_searches; i++)
-		check_outcome(cell, &world, i);
-	check_target(cell, &world);
-	check_planned(cell, &world);
-	check_recovery(cell, &world);
-	check_servers(cell, &world);
-	world_finish(&world);
-	for (i = 0; i < PROMISES; i++)
+	cluster_init(&cluster, cell->seed);
+	cluster.on_step = on_step;
+	cluster.arg = cell;
+	cluster_search(&cluster,
+		       (int)cluster_random(&cluster, CLUSTER_INSTANCES));
+	start_background_searches(&cluster, BACKGROUND_SEARCHES);
+	cluster_run(&cluster, MSEC(SETTLE_TIME_MS));
+	for (i = 0; i < cluster.n_searches; i++)
+		check_outcome(cell, &cluster, i);
+	check_target(cell, &cluster);
+	check_planned(cell, &cluster);
+	check_recovery(cell, &cluster);
+	check_servers(cell, &cluster);
+	cluster_finish(&cluster);
+	for (i = 0; i < INVARIANTS; i++)
 		broken |= cell->broken[i] > 0;
 	return !broken && cell->injected;
 }
@@ -437,16 +462,16 @@
 
 	cell_name(cell, name);
 	printf("%-64s", name);
-	for (i = 0; i < PROMISES; i++) {
+	for (i = 0; i < INVARIANTS; i++) {
 		if (cell->broken[i])
-			printf(" %s:BROKEN", promise_names[i]);
+			printf(" %s:BROKEN", invariant_names[i]);
 		else if (cell->checked[i])
-			printf(" %s", promise_names[i]);
+			printf(" %s", invariant_names[i]);
 	}
 	if (!cell->injected)
 		printf(" STEP NOT REACHED");
 	if (!passed)
-		printf("  %s", cell->why);
+		printf("  %s", cell->reason);
 	printf("%s\n", passed ? "" : "  FAILED");
 }
 
@@ -510,11 +535,11 @@
 }
 
 static const struct argp_option options[] = {
-	{"seed", 's', "N", 0, "first seed (1)", 0},
-	{"seeds", 'n', "N", 0, "seeds a cell (1)", 0},
+	{"seed", 's', "N", 0, "first seed (default 1)", 0},
+	{"seeds", 'n', "N", 0, "seeds per cell (default 1)", 0},
 	{"cell", 'c', "NAME", 0, "run one cell only", 0},
-	{"pairs", 'p', NULL, 0, "pairs of faults too", 0},
-	{"quiet", 'q', NULL, 0, "show failed cells only", 0},
+	{"pairs", 'p', NULL, 0, "run pairs of faults too", 0},
+	{"quiet", 'q', NULL, 0, "print failed cells only", 0},
 	{0},
 };
 
--- a/tests/matrix_change.c
+++ b/tests/matrix_change.c
@@ -8,14 +8,14 @@
 #include "step.h"
 #include "table_sim.h"
 
-#define NODES 12
+#define INSTANCES 12
 #define DATA_CENTRES 4
-#define ROWS 20
-#define FIRST 10
-#define CHANGE 11
-#define LAST 12
-#define SPREAD_MS 120000
-#define FAULT_MS 60000
+#define TABLE_ROWS 20
+#define FIRST_REVISION 10
+#define CHANGE_REVISION 11
+#define LAST_REVISION 12
+#define IN_FORCE_MS_MAX 120000
+#define FAULT_DURATION_MS 60000
 #define STEP_MS_MAX 120000
 #define NAME_SIZE 64
 
@@ -25,17 +25,25 @@
 #undef STEP_NAME
 };
 
+/**
+ * struct change_cell - simulated instances and the table to be changed
+ * @sim: instances and platform
+ * @sheets: contents of the table
+ * @first_version: platform version with FIRST_REVISION
+ * @changed_version: platform version with CHANGE_REVISION
+ */
 struct change_cell {
 	struct sim sim;
 	struct sheets sheets;
-	int first;
-	int change;
+	int first_version;
+	int changed_version;
 };
 
 /**
  * struct change_fault - what goes wrong during a change
- * @begin: at the step
- * @end: FAULT_MS later, NULL if it ends by itself
+ * @name: part of the cell's name
+ * @begin: called at the cell's step, NULL for no fault
+ * @end: called FAULT_DURATION_MS later, NULL if the fault ends by itself
  */
 struct change_fault {
 	const char *name;
@@ -43,64 +51,64 @@
 	void (*end)(struct change_cell *cell);
 };
 
-static void down(struct change_cell *cell)
+static void take_platform_down(struct change_cell *cell)
 {
 	cell->sim.platform.down = true;
 }
 
-static void up(struct change_cell *cell)
+static void bring_platform_up(struct change_cell *cell)
 {
 	cell->sim.platform.down = false;
 }
 
-static void stale(struct change_cell *cell)
+static void show_first_version(struct change_cell *cell)
 {
-	sim_show(&cell->sim, cell->first, -1);
+	sim_show(&cell->sim, cell->first_version, -1);
 }
 
-static void newest(struct change_cell *cell)
+static void show_changed_version(struct change_cell *cell)
 {
-	sim_show(&cell->sim, cell->change, -1);
+	sim_show(&cell->sim, cell->changed_version, -1);
 }
 
-static void flap(struct change_cell *cell)
+static void alternate_versions(struct change_cell *cell)
 {
-	sim_show(&cell->sim, cell->change, cell->first);
+	sim_show(&cell->sim, cell->changed_version, cell->first_version);
 }
 
-static void busy(struct change_cell *cell)
+static void throttle_calls(struct change_cell *cell)
 {
 	cell->sim.platform.retry_after_ms = 500;
 }
 
-static void not_busy(struct change_cell *cell)
+static void accept_calls(struct change_cell *cell)
 {
 	cell->sim.platform.retry_after_ms = 0;
 }
 
-static void pause(struct change_cell *cell)
+static void pause_instances(struct change_cell *cell)
 {
 	int i;
 
-	for (i = 0; i < NODES; i += 3)
+	for (i = 0; i < INSTANCES; i += 3)
 		cell->sim.nodes[i].paused_until =
 			clock_now(&cell->sim.clock) + MSEC(30000);
 }
 
-static void split(struct change_cell *cell)
+static void split_network(struct change_cell *cell)
 {
 	int i;
 
-	for (i = 0; i < NODES; i++)
+	for (i = 0; i < INSTANCES; i++)
 		cell->sim.nodes[i].group = i % DATA_CENTRES < 2;
 	sim_set_members(&cell->sim);
 }
 
-static void heal(struct change_cell *cell)
+static void heal_network(struct change_cell *cell)
 {
 	int i;
 
-	for (i = 0; i < NODES; i++)
+	for (i = 0; i < INSTANCES; i++)
 		cell->sim.nodes[i].group = 0;
 	sim_set_members(&cell->sim);
 }
@@ -115,38 +123,38 @@
 	cell->sim.push_loss = 0;
 }
 
-static void crash(struct change_cell *cell)
+static void crash_half(struct change_cell *cell)
 {
 	int i;
 
-	for (i = 0; i < NODES; i += 2)
+	for (i = 0; i < INSTANCES; i += 2)
 		sim_stop(&cell->sim, i);
 	sim_set_members(&cell->sim);
 }
 
-static void restart(struct change_cell *cell)
+static void restart_half(struct change_cell *cell)
 {
 	int i;
 
-	for (i = 0; i < NODES; i += 2)
+	for (i = 0; i < INSTANCES; i += 2)
 		sim_start(&cell->sim, i);
 	sim_set_members(&cell->sim);
 }
 
-/* The members of a lagging list include those that are gone. */
-static void crash_unnoticed(struct change_cell *cell)
+/* The remaining instances keep the crashed ones in their member lists. */
+static void crash_half_unnoticed(struct change_cell *cell)
 {
 	int i;
 
-	for (i = 0; i < NODES; i += 2)
+	for (i = 0; i < INSTANCES; i += 2)
 		sim_stop(&cell->sim, i);
 }
 
-static void replace_all(struct change_cell *cell)
+static void rolling_restart(struct change_cell *cell)
 {
 	int i;
 
-	for (i = 0; i < NODES; i++) {
+	for (i = 0; i < INSTANCES; i++) {
 		sim_stop(&cell->sim, i);
 		sim_start(&cell->sim, i);
 		sim_set_members(&cell->sim);
@@ -156,23 +164,23 @@
 
 static const struct change_fault faults[] = {
 	{"none", NULL, NULL},
-	{"platform_down", down, up},
-	{"platform_stale", stale, newest},
-	{"platform_flaps", flap, newest},
-	{"platform_busy", busy, not_busy},
-	{"processes_paused", pause, NULL},
-	{"partition", split, heal},
+	{"platform_down", take_platform_down, bring_platform_up},
+	{"platform_stale", show_first_version, show_changed_version},
+	{"platform_flaps", alternate_versions, show_changed_version},
+	{"platform_busy", throttle_calls, accept_calls},
+	{"processes_paused", pause_instances, NULL},
+	{"partition", split_network, heal_network},
 	{"pushes_lost", lose_pushes, deliver_pushes},
-	{"instances_crash", crash, restart},
-	{"lagging_list", crash_unnoticed, restart},
-	{"rolling_restart", replace_all, NULL},
+	{"instances_crash", crash_half, restart_half},
+	{"lagging_list", crash_half_unnoticed, restart_half},
+	{"rolling_restart", rolling_restart, NULL},
 };
 
 #define N_FAULTS (int)(sizeof(faults) / sizeof(*faults))
 
-static bool reached(const struct change_cell *cell, enum change_step step)
+static bool is_reached(const struct change_cell *cell, enum change_step step)
 {
-	int n = sim_count(&cell->sim, CHANGE);
+	int n = sim_count(&cell->sim, CHANGE_REVISION);
 
 	switch (step) {
 	case STEP_PUBLISHED:
@@ -182,75 +190,78 @@
 	case STEP_PUSHED:
 		return n >= 2;
 	default:
-		return n == NODES;
+		return n == INSTANCES;
 	}
 }
 
-static bool run_to(struct change_cell *cell, enum change_step step)
+static bool run_to_step(struct change_cell *cell, enum change_step step)
 {
 	int ms;
 
 	for (ms = 0; ms < STEP_MS_MAX; ms++) {
-		if (reached(cell, step))
+		if (is_reached(cell, step))
 			return true;
 		sim_run(&cell->sim, 1);
 	}
 	return false;
 }
 
-static void change(struct change_cell *cell)
+static void modify_table(struct change_cell *cell)
 {
 	cell->sheets.slots[0]++;
 }
 
-static const char *judge(struct change_cell *cell)
+static const char *check_result(struct change_cell *cell)
 {
-	if (sim_run_until(&cell->sim, CHANGE, SPREAD_MS) < 0)
+	if (sim_run_until(&cell->sim, CHANGE_REVISION, IN_FORCE_MS_MAX) < 0)
 		return "the change is not in force everywhere";
-	change(cell);
-	sim_publish_sheets(&cell->sim, &cell->sheets, LAST);
-	if (sim_run_until(&cell->sim, LAST, SPREAD_MS) < 0)
+	modify_table(cell);
+	sim_publish_sheets(&cell->sim, &cell->sheets, LAST_REVISION);
+	if (sim_run_until(&cell->sim, LAST_REVISION, IN_FORCE_MS_MAX) < 0)
 		return "the next change is not in force everywhere";
 	if (cell->sim.reverts)
-		return "a revision went back";
+		return "the revision in force decreased";
 	if (cell->sim.mixed)
-		return "a content that was never published";
+		return "contents in force that were never published";
 	return NULL;
 }
 
-static const char *play(struct change_cell *cell,
-			const struct change_fault *fault, enum change_step step)
+static const char *run_change(struct change_cell *cell,
+			      const struct change_fault *fault,
+			      enum change_step step)
 {
-	cell->first = sim_publish_sheets(&cell->sim, &cell->sheets, FIRST);
+	cell->first_version =
+		sim_publish_sheets(&cell->sim, &cell->sheets, FIRST_REVISION);
 	sim_start_all(&cell->sim);
-	if (sim_run_until(&cell->sim, FIRST, SPREAD_MS) < 0)
+	if (sim_run_until(&cell->sim, FIRST_REVISION, IN_FORCE_MS_MAX) < 0)
 		return "the first table is not in force everywhere";
 	sim_run(&cell->sim, 3000);
-	change(cell);
-	cell->change = sim_publish_sheets(&cell->sim, &cell->sheets, CHANGE);
-	if (!run_to(cell, step))
+	modify_table(cell);
+	cell->changed_version =
+		sim_publish_sheets(&cell->sim, &cell->sheets, CHANGE_REVISION);
+	if (!run_to_step(cell, step))
 		return "the step was not reached";
 	if (fault->begin)
 		fault->begin(cell);
-	sim_run(&cell->sim, FAULT_MS);
+	sim_run(&cell->sim, FAULT_DURATION_MS);
 	if (fault->end)
 		fault->end(cell);
-	return judge(cell);
+	return check_result(cell);
 }
 
 static const char *run_cell(const struct change_fault *fault,
 			    enum change_step step, uint64_t seed)
 {
 	struct change_cell *cell = calloc(1, sizeof(*cell));
-	const char *why;
+	const char *reason;
 
-	sheets_init(&cell->sheets, ROWS);
-	sim_init(&cell->sim, &sim_table_sync, NODES, DATA_CENTRES, seed);
-	why = play(cell, fault, step);
+	sheets_init(&cell->sheets, TABLE_ROWS);
+	sim_init(&cell->sim, &sim_table_sync, INSTANCES, DATA_CENTRES, seed);
+	reason = run_change(cell, fault, step);
 	sim_finish(&cell->sim);
 	sheets_finish(&cell->sheets);
 	free(cell);
-	return why;
+	return reason;
 }
 
 void matrix_change_run(uint64_t seed, int seeds, const char *cell, bool quiet,
@@ -264,7 +275,7 @@
 		const struct change_fault *fault =
 			&faults[i / seeds % N_FAULTS];
 		char name[NAME_SIZE];
-		const char *why;
+		const char *reason;
 
 		snprintf(name, sizeof(name), "change/%s@%s", fault->name,
 			 step_names[step]);
@@ -272,11 +283,12 @@
 			(*not_run)++;
 			continue;
 		}
-		why = run_cell(fault, step, seed + (uint64_t)(i % seeds));
-		*passed += !why;
-		*failed += why != NULL;
-		if (why)
-			printf("%-64s config:BROKEN  %s  FAILED\n", name, why);
+		reason = run_cell(fault, step, seed + (uint64_t)(i % seeds));
+		*passed += !reason;
+		*failed += reason != NULL;
+		if (reason)
+			printf("%-64s config:BROKEN  %s  FAILED\n", name,
+			       reason);
 		else if (!quiet)
 			printf("%-64s config\n", name);
 	}
