--- a/tests/member_sim.c
+++ b/tests/member_sim.c
@@ -22,7 +22,7 @@
 
 struct sim_message {
 	int64_t at;
-	uint64_t order;
+	uint64_t sequence;
 	enum message_kind kind;
 	int from;
 	int to;
@@ -41,26 +41,26 @@
 	return z ^ (z >> 31);
 }
 
-static bool earlier(const struct sim_message *a, const struct sim_message *b)
+static bool is_earlier(const struct sim_message *a, const struct sim_message *b)
 {
-	return a->at != b->at ? a->at < b->at : a->order < b->order;
+	return a->at != b->at ? a->at < b->at : a->sequence < b->sequence;
 }
 
-static void push(struct sim *sim, struct sim_message *message)
+static void heap_push(struct sim *sim, struct sim_message *message)
 {
 	int i = sim->n_heap;
 
-	message->order = ++sim->order;
+	message->sequence = ++sim->sequence;
 	MEM_GROW(sim->heap, sim->n_heap, sim->cap_heap);
 	sim->n_heap++;
-	while (i > 0 && earlier(message, sim->heap[(i - 1) / 2])) {
+	while (i > 0 && is_earlier(message, sim->heap[(i - 1) / 2])) {
 		sim->heap[i] = sim->heap[(i - 1) / 2];
 		i = (i - 1) / 2;
 	}
 	sim->heap[i] = message;
 }
 
-static struct sim_message *pop(struct sim *sim)
+static struct sim_message *heap_pop(struct sim *sim)
 {
 	struct sim_message *first = sim->heap[0];
 	struct sim_message *last = sim->heap[--sim->n_heap];
@@ -70,9 +70,9 @@
 		int child = 2 * i + 1;
 
 		if (child + 1 < sim->n_heap &&
-		    earlier(sim->heap[child + 1], sim->heap[child]))
+		    is_earlier(sim->heap[child + 1], sim->heap[child]))
 			child++;
-		if (!earlier(sim->heap[child], last))
+		if (!is_earlier(sim->heap[child], last))
 			break;
 		sim->heap[i] = sim->heap[child];
 		i = child;
@@ -109,11 +109,12 @@
 
 	message->data = mem_dup_len(data, len);
 	message->len = len;
-	push(sim, message);
+	heap_push(sim, message);
 }
 
-static bool is_far(const struct sim *sim, const struct sim_node *from,
-		   const struct address *to)
+static bool is_in_other_data_centre(const struct sim *sim,
+				    const struct sim_node *from,
+				    const struct address *to)
 {
 	int i;
 
@@ -132,7 +133,7 @@
 	struct sim *sim = node->sim;
 
 	sim->datagrams++;
-	sim->far_datagrams += is_far(sim, node, to);
+	sim->cross_dc_datagrams += is_in_other_data_centre(sim, node, to);
 	sim->datagram_bytes += len;
 	if ((double)(sim_random(sim) % 1000000) < sim->loss * 1e6)
 		return;
@@ -178,7 +179,7 @@
 	message =
 		new_message(sim, sim->delay, MESSAGE_REFUSED, to, node->index);
 	message->incarnation = member->incarnation;
-	push(sim, message);
+	heap_push(sim, message);
 }
 
 static void confirmed(void *arg, int64_t sent_at)
@@ -255,7 +256,7 @@
 	sim->n = n;
 	sim->delay = MSEC(3);
 	sim->list_period = MSEC(1000);
-	sim->drain = MSEC(100);
+	sim->request_time = MSEC(100);
 	sim->probe_period = MSEC(500);
 	sim->lease = MSEC(2000);
 	sim->nodes = mem_zalloc(n * sizeof(*sim->nodes));
@@ -265,8 +266,8 @@
 	if (sim->table) {
 		int rows = sim->table->n_servers;
 
-		sim->sum = mem_zalloc(rows * sizeof(*sim->sum));
-		sim->sum_used = mem_zalloc(rows * sizeof(*sim->sum));
+		sim->usable_sum = mem_zalloc(rows * sizeof(*sim->usable_sum));
+		sim->used_sum = mem_zalloc(rows * sizeof(*sim->usable_sum));
 	}
 	for (i = 0; i < n; i++) {
 		struct sim_node *node = &sim->nodes[i];
@@ -317,46 +318,48 @@
 		free(sim->nodes[i].use);
 	}
 	while (sim->n_heap)
-		free_message(pop(sim));
+		free_message(heap_pop(sim));
 	free(sim->heap);
 	free(sim->nodes);
-	free(sim->sum);
-	free(sim->sum_used);
+	free(sim->usable_sum);
+	free(sim->used_sum);
 	if (sim->table) {
 		table_finish(sim->table);
 		free(sim->table);
 	}
 }
 
-static void add_use(struct sim *sim, const struct sim_use *use, int row,
-		    int sign)
+static void add_to_sums(struct sim *sim, const struct sim_usage *use, int row,
+			int sign)
 {
-	sim->sum[row].slots += sign * use->usable.slots;
-	sim->sum[row].connections += sign * use->usable.connections;
-	sim->sum_used[row].slots += sign * use->used.slots;
-	sim->sum_used[row].connections += sign * use->used.connections;
+	sim->usable_sum[row].slots += sign * use->usable.slots;
+	sim->usable_sum[row].connections += sign * use->usable.connections;
+	sim->used_sum[row].slots += sign * use->used.slots;
+	sim->used_sum[row].connections += sign * use->used.connections;
 }
 
-static void note_overshoot(struct sim *sim, int row)
+static void record_overshoot(struct sim *sim, int row)
 {
 	const struct backend_server *server = &sim->table->servers[row];
-	int slots = sim->sum[row].slots - (int)server->slots;
-	int used = sim->sum_used[row].slots - (int)server->slots;
-	int connections = sim->sum[row].connections - (int)server->connections;
+	int slots = sim->usable_sum[row].slots - (int)server->slots;
+	int used = sim->used_sum[row].slots - (int)server->slots;
+	int connections =
+		sim->usable_sum[row].connections - (int)server->connections;
 
-	if (slots > sim->over_slots)
-		sim->over_slots = slots;
-	if (connections > sim->over_connections)
-		sim->over_connections = connections;
-	if (used > sim->over_used)
-		sim->over_used = used;
+	if (slots > sim->slots_overshoot)
+		sim->slots_overshoot = slots;
+	if (connections > sim->connections_overshoot)
+		sim->connections_overshoot = connections;
+	if (used > sim->used_overshoot)
+		sim->used_overshoot = used;
 }
 
 /*
- * A greedy user: all that may be used is used at once, what may not be used
- * any more ends after the time that a request takes.
+ * Models full load: newly granted capacity is used at once, and capacity over
+ * the new share is given up after @request_time, when its requests have ended.
  */
-static void use_row(struct sim_node *node, struct sim_use *use, int row)
+static void update_server_usage(struct sim_node *node, struct sim_usage *use,
+				int row)
 {
 	struct sim *sim = node->sim;
 	int64_t now = clock_now(&sim->clock);
@@ -368,7 +371,7 @@
 		use->used = use->usable;
 		use->drain_at = 0;
 	} else if (!use->drain_at) {
-		use->drain_at = now + sim->drain;
+		use->drain_at = now + sim->request_time;
 	} else if (now >= use->drain_at) {
 		use->used = use->usable;
 		use->drain_at = 0;
@@ -376,29 +379,29 @@
 	share_in_use(&node->share, row, use->used.slots, use->used.connections);
 }
 
-/* What one instance may use has perhaps changed: check the sums. */
-static void account(struct sim_node *node)
+/* Updates the sums and the overshoot after a possible change of shares. */
+static void update_usage(struct sim_node *node)
 {
 	struct sim *sim = node->sim;
 	bool running = node->up && !node->paused;
 	int row;
 
-	if (!sim->table || sim->unchecked)
+	if (!sim->table || sim->skip_accounting)
 		return;
 	for (row = 0; row < sim->table->n_servers; row++) {
-		struct sim_use *use = &node->use[row];
+		struct sim_usage *use = &node->use[row];
 
-		add_use(sim, use, row, -1);
+		add_to_sums(sim, use, row, -1);
 		if (running)
-			use_row(node, use, row);
+			update_server_usage(node, use, row);
 		else
 			memset(use, 0, sizeof(*use));
-		add_use(sim, use, row, 1);
-		note_overshoot(sim, row);
+		add_to_sums(sim, use, row, 1);
+		record_overshoot(sim, row);
 	}
 }
 
-static bool list_names(const struct sim *sim, const struct sim_node *node)
+static bool is_listed(const struct sim *sim, const struct sim_node *node)
 {
 	if (sim->list_mode == SIM_LIST_STALE)
 		return node->stale_listed;
@@ -415,7 +418,7 @@
 	for (i = 0; i < sim->n; i++) {
 		struct sim_node *node = &sim->nodes[i];
 
-		if (!list_names(sim, node))
+		if (!is_listed(sim, node))
 			continue;
 		if (sim->list_mode == SIM_LIST_FLAPPING && sim_random(sim) % 2)
 			continue;
@@ -430,10 +433,10 @@
 	free(entries);
 }
 
-static void push_tick(struct sim_node *node, int64_t delay)
+static void schedule_tick(struct sim_node *node, int64_t delay)
 {
-	push(node->sim, new_message(node->sim, delay, MESSAGE_TICK, node->index,
-				    node->index));
+	heap_push(node->sim, new_message(node->sim, delay, MESSAGE_TICK,
+					 node->index, node->index));
 }
 
 void sim_start(struct sim *sim, int i)
@@ -459,8 +462,8 @@
 	node->paused = false;
 	node->listed = true;
 	node->listed_leaving = false;
-	node->next_list = 0;
-	push_tick(node, (int64_t)(sim_random(sim) % SIM_TICK));
+	node->next_list_at = 0;
+	schedule_tick(node, (int64_t)(sim_random(sim) % SIM_TICK));
 }
 
 void sim_start_all(struct sim *sim)
@@ -474,26 +477,26 @@
 void sim_crash(struct sim *sim, int i)
 {
 	stop_node(&sim->nodes[i]);
-	account(&sim->nodes[i]);
+	update_usage(&sim->nodes[i]);
 }
 
 void sim_pause(struct sim *sim, int i)
 {
 	sim->nodes[i].paused = true;
-	account(&sim->nodes[i]);
+	update_usage(&sim->nodes[i]);
 }
 
 static void deliver(struct sim *sim, struct sim_message *message);
 
-void sim_wake(struct sim *sim, int i)
+void sim_resume(struct sim *sim, int i)
 {
 	struct sim_node *node = &sim->nodes[i];
 	struct sim_message *queue = NULL;
 	struct sim_message *message;
 
 	node->paused = false;
-	/* Before anything else it would send what it had in hand. */
-	account(node);
+	/* A resumed process first goes on with the requests it was sending. */
+	update_usage(node);
 	while ((message = node->inbox)) {
 		node->inbox = message->next;
 		message->next = queue;
@@ -508,7 +511,7 @@
 void sim_leave(struct sim *sim, int i)
 {
 	member_table_leave(&sim->nodes[i].members);
-	account(&sim->nodes[i]);
+	update_usage(&sim->nodes[i]);
 }
 
 void sim_exit(struct sim *sim, int i)
@@ -517,12 +520,12 @@
 	sim_crash(sim, i);
 }
 
-void sim_list(struct sim *sim, int i, bool listed)
+void sim_set_listed(struct sim *sim, int i, bool listed)
 {
 	sim->nodes[i].listed = listed;
 }
 
-void sim_list_mode(struct sim *sim, enum sim_list_mode mode)
+void sim_set_list_mode(struct sim *sim, enum sim_list_mode mode)
 {
 	int i;
 
@@ -531,7 +534,7 @@
 		sim->nodes[i].stale_listed = sim->nodes[i].listed;
 }
 
-void sim_cut(struct sim *sim, int i, int side)
+void sim_set_side(struct sim *sim, int i, int side)
 {
 	sim->nodes[i].side = side;
 }
@@ -549,18 +552,18 @@
 	struct sim *sim = node->sim;
 	int64_t now = clock_now(&sim->clock);
 
-	if (now >= node->next_list && sim->list_mode != SIM_LIST_DOWN) {
-		node->next_list = now + sim->list_period;
+	if (now >= node->next_list_at && sim->list_mode != SIM_LIST_DOWN) {
+		node->next_list_at = now + sim->list_period;
 		read_list(node);
 	}
 	member_table_tick(&node->members);
 	if (sim->table)
 		share_tick(&node->share);
-	push_tick(node, SIM_TICK);
+	schedule_tick(node, SIM_TICK);
 }
 
-static void take_members(struct sim_node *node,
-			 const struct sim_message *message)
+static void receive_members(struct sim_node *node,
+			    const struct sim_message *message)
 {
 	Peer__Members *members =
 		peer__members__unpack(NULL, message->len,
@@ -570,7 +573,8 @@
 	peer__members__free_unpacked(members, NULL);
 }
 
-static void take_view(struct sim_node *node, const struct sim_message *message)
+static void receive_view(struct sim_node *node,
+			 const struct sim_message *message)
 {
 	Peer__ViewState *state =
 		peer__view_state__unpack(NULL, message->len,
@@ -580,7 +584,7 @@
 	peer__view_state__free_unpacked(state, NULL);
 }
 
-static void take(struct sim_node *node, struct sim_message *message)
+static void receive(struct sim_node *node, struct sim_message *message)
 {
 	struct sim *sim = node->sim;
 
@@ -594,11 +598,11 @@
 			message->data, message->len);
 		break;
 	case MESSAGE_MEMBERS:
-		take_members(node, message);
+		receive_members(node, message);
 		break;
 	case MESSAGE_VIEW:
 		if (sim->table)
-			take_view(node, message);
+			receive_view(node, message);
 		break;
 	case MESSAGE_REFUSED:
 		member_table_connection_refused(&node->members,
@@ -618,15 +622,15 @@
 		return;
 	}
 	if (node->up && (sim->nodes[message->from].side & node->side)) {
-		take(node, message);
-		account(node);
+		receive(node, message);
+		update_usage(node);
 	}
 	free_message(message);
 }
 
 static void step(struct sim *sim)
 {
-	struct sim_message *message = pop(sim);
+	struct sim_message *message = heap_pop(sim);
 
 	if (message->at > clock_now(&sim->clock))
 		clock_advance(&sim->clock,
@@ -646,21 +650,21 @@
 }
 
 int64_t sim_run_until(struct sim *sim, bool (*done)(struct sim *sim),
-		      int64_t most)
+		      int64_t timeout)
 {
 	int64_t start = clock_now(&sim->clock);
 
 	while (!done(sim)) {
-		if (clock_now(&sim->clock) - start >= most)
+		if (clock_now(&sim->clock) - start >= timeout)
 			return -1;
 		sim_run(sim, MSEC(10));
 	}
 	return clock_now(&sim->clock) - start;
 }
 
-int sim_slots(struct sim *sim, int row)
+int sim_usable_slots(struct sim *sim, int row)
 {
-	return sim->sum[row].slots;
+	return sim->usable_sum[row].slots;
 }
 
 bool sim_all_shared(struct sim *sim)
@@ -670,14 +674,14 @@
 	for (row = 0; row < sim->table->n_servers; row++) {
 		const struct backend_server *server = &sim->table->servers[row];
 
-		if (sim->sum[row].slots != server->slots ||
-		    sim->sum[row].connections != server->connections)
+		if (sim->usable_sum[row].slots != server->slots ||
+		    sim->usable_sum[row].connections != server->connections)
 			return false;
 	}
 	return true;
 }
 
-/* Its own data centre's shares are in force, in the same view everywhere. */
+/* Whether the share view of the node's own data centre is in force there. */
 static bool is_settled(const struct sim_node *node)
 {
 	const struct share_pool *pool;
@@ -699,17 +703,17 @@
 		if (node->up && !node->paused && !is_settled(node))
 			return false;
 	}
-	return sim->unchecked || sim_all_shared(sim);
+	return sim->skip_accounting || sim_all_shared(sim);
 }
 
-void sim_forget(struct sim *sim)
+void sim_reset_overshoot(struct sim *sim)
 {
-	sim->over_slots = 0;
-	sim->over_connections = 0;
-	sim->over_used = 0;
+	sim->slots_overshoot = 0;
+	sim->connections_overshoot = 0;
+	sim->used_overshoot = 0;
 }
 
-static bool nobody_doubted(const struct sim_node *node)
+static bool has_no_suspects(const struct sim_node *node)
 {
 	const struct member *member;
 
@@ -738,13 +742,13 @@
 			first = node;
 		if (node->members.present != up - 1 ||
 		    node->members.digest != first->members.digest ||
-		    !nobody_doubted(node))
+		    !has_no_suspects(node))
 			return false;
 	}
 	return true;
 }
 
-void sim_limits(struct sim *sim, int slots, int connections)
+void sim_set_limits(struct sim *sim, int slots, int connections)
 {
 	int i;
 
@@ -756,6 +760,6 @@
 		if (!sim->nodes[i].up)
 			continue;
 		share_table_changed(&sim->nodes[i].share, sim->table);
-		account(&sim->nodes[i]);
+		update_usage(&sim->nodes[i]);
 	}
 }
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -25,7 +25,7 @@
 	sim_start_all(sim);
 	CU_ASSERT(sim_run_until(sim, sim_all_shared, SETTLE) >= 0);
 	sim_run(sim, MSEC(5000));
-	sim_forget(sim);
+	sim_reset_overshoot(sim);
 }
 
 static struct result run_story(int64_t (*story)(struct sim *sim),
@@ -44,11 +44,11 @@
 		if (shared < 0 ||
 		    (result.shared >= 0 && shared > result.shared))
 			result.shared = shared;
-		if (sim.over_slots > result.over)
-			result.over = sim.over_slots;
-		if (sim.over_used > result.over_used)
-			result.over_used = sim.over_used;
-		if (sim.over_connections > 0 && !result.over)
+		if (sim.slots_overshoot > result.over)
+			result.over = sim.slots_overshoot;
+		if (sim.used_overshoot > result.over_used)
+			result.over_used = sim.used_overshoot;
+		if (sim.connections_overshoot > 0 && !result.over)
 			result.over = 1;
 		sim_finish(&sim);
 	}
@@ -151,12 +151,12 @@
 
 	sim_pause(sim, 2);
 	sim_run(sim, LIST_LAG);
-	sim_list(sim, 2, false);
+	sim_set_listed(sim, 2, false);
 	shared = shared_again(sim);
 	if (shared >= 0)
 		sim_run(sim, MSEC(25000) - shared);
-	sim_wake(sim, 2);
-	sim_list(sim, 2, true);
+	sim_resume(sim, 2);
+	sim_set_listed(sim, 2, true);
 	return shared < 0 || shared_again(sim) < 0 ? -1 : shared;
 }
 
@@ -174,14 +174,14 @@
 {
 	sim_pause(sim, 2);
 	sim_pause(sim, 3);
-	sim_list(sim, 2, false);
+	sim_set_listed(sim, 2, false);
 	sim_run(sim, MSEC(25000));
-	sim_cut(sim, 2, SIM_SIDE_B);
-	sim_cut(sim, 3, SIM_SIDE_B);
-	sim_wake(sim, 2);
-	sim_wake(sim, 3);
+	sim_set_side(sim, 2, SIM_SIDE_B);
+	sim_set_side(sim, 3, SIM_SIDE_B);
+	sim_resume(sim, 2);
+	sim_resume(sim, 3);
 	sim_run(sim, MSEC(3000));
-	sim_list(sim, 2, true);
+	sim_set_listed(sim, 2, true);
 	sim_heal(sim);
 	return shared_again(sim);
 }
@@ -199,7 +199,7 @@
 {
 	sim_pause(sim, 2);
 	sim_run(sim, MSEC(30000));
-	sim_wake(sim, 2);
+	sim_resume(sim, 2);
 	return shared_again(sim);
 }
 
@@ -218,7 +218,7 @@
 	int i;
 
 	for (i = 0; i < NODES; i += 2)
-		sim_cut(sim, i, SIM_SIDE_B);
+		sim_set_side(sim, i, SIM_SIDE_B);
 	sim_run(sim, MSEC(60000));
 	CU_ASSERT(sim_all_shared(sim));
 	sim_heal(sim);
@@ -239,14 +239,14 @@
 	int i;
 
 	for (i = 0; i < NODES / 2; i++)
-		sim_cut(sim, i, SIM_SIDE_B);
+		sim_set_side(sim, i, SIM_SIDE_B);
 	sim_run(sim, MSEC(3000));
 	sim_crash(sim, 0);
 	sim_crash(sim, 6);
 	sim_run(sim, MSEC(57000));
 	sim_heal(sim);
-	sim_list(sim, 0, false);
-	sim_list(sim, 6, false);
+	sim_set_listed(sim, 0, false);
+	sim_set_listed(sim, 6, false);
 	return shared_again(sim);
 }
 
@@ -316,7 +316,7 @@
  */
 static int64_t story_flapping(struct sim *sim)
 {
-	sim_list_mode(sim, SIM_LIST_FLAPPING);
+	sim_set_list_mode(sim, SIM_LIST_FLAPPING);
 	sim_run(sim, MSEC(30000));
 	CU_ASSERT(sim_all_shared(sim));
 	sim_crash(sim, 3);
@@ -338,9 +338,9 @@
 static int64_t story_stale(struct sim *sim)
 {
 	sim_crash(sim, 5);
-	sim_list(sim, 5, false);
+	sim_set_listed(sim, 5, false);
 	sim_run(sim, MSEC(2000));
-	sim_list_mode(sim, SIM_LIST_STALE);
+	sim_set_list_mode(sim, SIM_LIST_STALE);
 	sim_crash(sim, 2);
 	sim_start(sim, 5);
 	if (shared_again(sim) < 0)
@@ -368,7 +368,7 @@
 	sim_run(sim, MSEC(1000));
 	sim_start(sim, 4);
 	sim_run(sim, MSEC(20000));
-	sim_wake(sim, 2);
+	sim_resume(sim, 2);
 	return shared_again(sim);
 }
 
@@ -388,9 +388,9 @@
 	struct sim_node *node = &sim->nodes[i];
 
 	if (sim_random(sim) % 2)
-		sim_list(sim, i, node->up && !node->paused);
+		sim_set_listed(sim, i, node->up && !node->paused);
 	else
-		sim_list_mode(sim, sim_random(sim) % 3);
+		sim_set_list_mode(sim, sim_random(sim) % 3);
 }
 
 /* One that has met nobody yet is not cut off: see test_worst_start(). */
@@ -401,7 +401,7 @@
 	if (node->up && !node->members.present)
 		return;
 	if (sim_random(sim) % 4)
-		sim_cut(sim, i, 1 + (int)(sim_random(sim) % SIM_SIDES));
+		sim_set_side(sim, i, 1 + (int)(sim_random(sim) % SIM_SIDES));
 	else
 		sim_heal(sim);
 }
@@ -453,8 +453,8 @@
 		if (!any_cut(sim))
 			sim_start(sim, i);
 	} else if (node->paused) {
-		sim_wake(sim, i);
-		sim_list(sim, i, true);
+		sim_resume(sim, i);
+		sim_set_listed(sim, i, true);
 	} else {
 		fault_of_running(sim, i);
 	}
@@ -464,7 +464,7 @@
 {
 	int i;
 
-	sim_list_mode(sim, SIM_LIST_GOOD);
+	sim_set_list_mode(sim, SIM_LIST_GOOD);
 	sim_heal(sim);
 	for (i = 0; i < NODES; i++) {
 		struct sim_node *node = &sim->nodes[i];
@@ -472,12 +472,12 @@
 		if (!node->up)
 			sim_start(sim, i);
 		if (node->paused)
-			sim_wake(sim, i);
+			sim_resume(sim, i);
 		if (node->members.self.status == MEMBER_LEAVING) {
 			sim_crash(sim, i);
 			sim_start(sim, i);
 		}
-		sim_list(sim, i, true);
+		sim_set_listed(sim, i, true);
 	}
 }
 
@@ -527,9 +527,9 @@
 
 static void check_within(const struct sim *sim)
 {
-	CU_ASSERT_EQUAL(sim->over_slots, 0);
-	CU_ASSERT_EQUAL(sim->over_connections, 0);
-	CU_ASSERT_EQUAL(sim->over_used, 0);
+	CU_ASSERT_EQUAL(sim->slots_overshoot, 0);
+	CU_ASSERT_EQUAL(sim->connections_overshoot, 0);
+	CU_ASSERT_EQUAL(sim->used_overshoot, 0);
 }
 
 static void cut_in_two(struct sim *sim)
@@ -537,7 +537,7 @@
 	int i;
 
 	for (i = 0; i < NODES / 2; i++)
-		sim_cut(sim, i, SIM_SIDE_B);
+		sim_set_side(sim, i, SIM_SIDE_B);
 }
 
 /*
@@ -554,17 +554,17 @@
 	begin(&sim, 1, &share_settled);
 	cut_in_two(&sim);
 	for (i = 0; i < NODES / 2; i++)
-		sim_list(&sim, i, false);
+		sim_set_listed(&sim, i, false);
 	sim_run(&sim, MSEC(50000));
-	CU_ASSERT(sim.over_slots > 0);
+	CU_ASSERT(sim.slots_overshoot > 0);
 	sim_run(&sim, MSEC(50000));
-	CU_ASSERT_EQUAL(sim.over_slots, 2);
-	CU_ASSERT_EQUAL(sim.over_connections, 25);
+	CU_ASSERT_EQUAL(sim.slots_overshoot, 2);
+	CU_ASSERT_EQUAL(sim.connections_overshoot, 25);
 	for (i = 0; i < NODES / 2; i++)
-		sim_list(&sim, i, true);
+		sim_set_listed(&sim, i, true);
 	sim_heal(&sim);
 	CU_ASSERT(shared_again(&sim) >= 0);
-	sim_forget(&sim);
+	sim_reset_overshoot(&sim);
 	sim_run(&sim, MSEC(10000));
 	check_within(&sim);
 	sim_finish(&sim);
@@ -582,15 +582,15 @@
 	begin(&sim, 1, &share_settled);
 	sim_crash(&sim, 3);
 	CU_ASSERT(shared_again(&sim) >= 0);
-	sim_cut(&sim, 3, SIM_SIDE_B);
+	sim_set_side(&sim, 3, SIM_SIDE_B);
 	sim_start(&sim, 3);
 	sim_run(&sim, MSEC(29000));
 	check_within(&sim);
 	sim_run(&sim, MSEC(10000));
-	CU_ASSERT_EQUAL(sim.over_slots, 2);
+	CU_ASSERT_EQUAL(sim.slots_overshoot, 2);
 	sim_heal(&sim);
 	CU_ASSERT(shared_again(&sim) >= 0);
-	sim_forget(&sim);
+	sim_reset_overshoot(&sim);
 	sim_run(&sim, MSEC(10000));
 	check_within(&sim);
 	sim_finish(&sim);
@@ -605,12 +605,12 @@
 	struct sim sim;
 
 	begin(&sim, 1, &share_settled);
-	sim_limits(&sim, 6, 40);
+	sim_set_limits(&sim, 6, 40);
 	CU_ASSERT(shared_again(&sim) >= 0);
 	check_within(&sim);
-	sim_limits(&sim, 1, 3);
+	sim_set_limits(&sim, 1, 3);
 	sim_run(&sim, MSEC(500));
-	sim_forget(&sim);
+	sim_reset_overshoot(&sim);
 	CU_ASSERT(shared_again(&sim) >= 0);
 	sim_crash(&sim, 1);
 	CU_ASSERT(shared_again(&sim) >= 0);
