--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -224,8 +224,9 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++)
-		sim_sync(sim, i)->reader.watches[READER_TABLE].watched_by_all =
-			true;
+		sim_node_sync(sim, i)
+			->reader.watches[READER_TABLE]
+			.watched_by_all = true;
 }
 
 /* What is counted from a moment on. */
@@ -262,7 +263,7 @@
 	for (i = 0; i < sim->n; i++) {
 		int64_t took = sim->nodes[i].reached_at - published_at;
 
-		if (sim->nodes[i].seen != revision)
+		if (sim->nodes[i].seen_revision != revision)
 			check(ERR_TOO_LATE);
 		nodes->values[nodes->n++] = took;
 		if (took > last)
@@ -305,7 +306,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		const struct reader *reader = &sim_sync(sim, i)->reader;
+		const struct reader *reader = &sim_node_sync(sim, i)->reader;
 
 		count += reader_is_watching(reader) ||
 			 reader->watches[READER_TABLE].watched_by_all;
--- a/tests/matrix_change.c
+++ b/tests/matrix_change.c
@@ -63,17 +63,18 @@
 
 static void show_first_version(struct change_cell *cell)
 {
-	sim_show(&cell->sim, cell->first_version, -1);
+	sim_show_version(&cell->sim, cell->first_version, -1);
 }
 
 static void show_changed_version(struct change_cell *cell)
 {
-	sim_show(&cell->sim, cell->changed_version, -1);
+	sim_show_version(&cell->sim, cell->changed_version, -1);
 }
 
 static void alternate_versions(struct change_cell *cell)
 {
-	sim_show(&cell->sim, cell->changed_version, cell->first_version);
+	sim_show_version(&cell->sim, cell->changed_version,
+			 cell->first_version);
 }
 
 static void throttle_calls(struct change_cell *cell)
@@ -180,7 +181,7 @@
 
 static bool is_reached(const struct change_cell *cell, enum change_step step)
 {
-	int n = sim_count(&cell->sim, CHANGE_REVISION);
+	int n = sim_count_in_force(&cell->sim, CHANGE_REVISION);
 
 	switch (step) {
 	case STEP_PUBLISHED:
@@ -221,7 +222,7 @@
 		return "the next change is not in force everywhere";
 	if (cell->sim.reverts)
 		return "the revision in force decreased";
-	if (cell->sim.mixed)
+	if (cell->sim.unpublished)
 		return "contents in force that were never published";
 	return NULL;
 }
--- a/tests/matrix_cluster.h
+++ b/tests/matrix_cluster.h
@@ -189,6 +189,8 @@
 
 /**
  * cluster_search() - start a search at an instance
+ * @cluster: the simulation
+ * @instance: index of the entry
  *
  * The first search is the target request.
  *
@@ -198,6 +200,8 @@
 
 /**
  * cluster_run() - advance the clock and handle the events that come due
+ * @cluster: the simulation
+ * @usec: time to run, microseconds
  */
 void cluster_run(struct cluster *cluster, int64_t usec);
 
--- a/tests/table_sim.c
+++ b/tests/table_sim.c
@@ -8,14 +8,14 @@
 
 #include "mem.h"
 
-#define TICK MSEC(100)
+#define TICK_PERIOD MSEC(100)
 #define PING_PERIOD MSEC(500)
-#define NEAR_DELAY MSEC(1)
-#define FAR_DELAY MSEC(20)
-#define CALL_DELAY MSEC(3)
-/* FRAME_HEADER_SIZE of frame.h */
-#define FRAME_BYTES 12
-/* The table's revision, digest and age in a heartbeat or its answer. */
+#define SAME_DC_DELAY MSEC(1)
+#define OTHER_DC_DELAY MSEC(20)
+#define PLATFORM_DELAY MSEC(3)
+/* Equals FRAME_HEADER_SIZE of frame.h. */
+#define FRAME_HEADER_BYTES 12
+/* Size of the table's revision, digest and age in a heartbeat or its answer. */
 #define HEARTBEAT_BYTES 20
 
 enum event_kind {
@@ -30,12 +30,12 @@
 };
 
 struct sim_event {
-	int64_t at;
+	int64_t due_at;
 	uint64_t sequence;
 	enum event_kind kind;
 	int from;
 	int to;
-	uint32_t life; /* of the receiver */
+	uint32_t incarnation; /* of the receiver */
 	struct reader_call call;
 	struct platform_answer answer;
 	uint64_t revision;
@@ -55,21 +55,21 @@
 	return n > 0 ? (int64_t)(z % (uint64_t)n) : 0;
 }
 
-static int64_t now_of(const struct sim *sim)
+static int64_t sim_now(const struct sim *sim)
 {
 	return clock_now(&sim->clock);
 }
 
-/* The queue: a binary heap, earliest first. */
+/* Event queue: a binary heap, earliest first. */
 
-static bool before(const struct sim_event *a, const struct sim_event *b)
+static bool is_earlier(const struct sim_event *a, const struct sim_event *b)
 {
-	if (a->at != b->at)
-		return a->at < b->at;
+	if (a->due_at != b->due_at)
+		return a->due_at < b->due_at;
 	return a->sequence < b->sequence;
 }
 
-static void swap(struct sim_event *a, struct sim_event *b)
+static void swap_events(struct sim_event *a, struct sim_event *b)
 {
 	struct sim_event tmp = *a;
 
@@ -77,20 +77,20 @@
 	*b = tmp;
 }
 
-static void push(struct sim *sim, struct sim_event event)
+static void heap_push(struct sim *sim, struct sim_event event)
 {
 	int i = sim->n_events;
 
 	MEM_GROW(sim->events, sim->n_events, sim->events_cap);
 	event.sequence = sim->sequence++;
 	sim->events[sim->n_events++] = event;
-	while (i && before(&sim->events[i], &sim->events[(i - 1) / 2])) {
-		swap(&sim->events[i], &sim->events[(i - 1) / 2]);
+	while (i && is_earlier(&sim->events[i], &sim->events[(i - 1) / 2])) {
+		swap_events(&sim->events[i], &sim->events[(i - 1) / 2]);
 		i = (i - 1) / 2;
 	}
 }
 
-static struct sim_event pop(struct sim *sim)
+static struct sim_event heap_pop(struct sim *sim)
 {
 	struct sim_event first = sim->events[0];
 	int i = 0;
@@ -101,20 +101,20 @@
 		int child = 2 * i + 1;
 
 		if (child < sim->n_events &&
-		    before(&sim->events[child], &sim->events[least]))
+		    is_earlier(&sim->events[child], &sim->events[least]))
 			least = child;
 		child++;
 		if (child < sim->n_events &&
-		    before(&sim->events[child], &sim->events[least]))
+		    is_earlier(&sim->events[child], &sim->events[least]))
 			least = child;
 		if (least == i)
 			return first;
-		swap(&sim->events[i], &sim->events[least]);
+		swap_events(&sim->events[i], &sim->events[least]);
 		i = least;
 	}
 }
 
-/* The network. */
+/* Network. */
 
 static int group_of(const struct sim *sim, int node)
 {
@@ -122,35 +122,36 @@
 				    : sim->nodes[node].group;
 }
 
-static int64_t delay(struct sim *sim, int from, int to)
+static int64_t message_delay(struct sim *sim, int from, int to)
 {
-	int64_t base = CALL_DELAY;
+	int64_t base = PLATFORM_DELAY;
 
 	if (from != SIM_PLATFORM && to != SIM_PLATFORM)
-		base = sim->peer_delay + (from % sim->n_dc == to % sim->n_dc
-						  ? NEAR_DELAY
-						  : FAR_DELAY);
+		base = sim->peer_delay +
+		       (from % sim->n_data_centres == to % sim->n_data_centres
+				? SAME_DC_DELAY
+				: OTHER_DC_DELAY);
 	return base / 2 + sim_random(sim, base);
 }
 
-/* Messages to a life that has ended are not for the next one. */
-static uint32_t life_of(const struct sim *sim, int node)
+/* Messages for an earlier incarnation of a process are dropped. */
+static uint32_t incarnation_of(const struct sim *sim, int node)
 {
-	return node == SIM_PLATFORM ? 0 : sim->nodes[node].life;
+	return node == SIM_PLATFORM ? 0 : sim->nodes[node].incarnation;
 }
 
-static void post(struct sim *sim, struct sim_event event)
+static void send_event(struct sim *sim, struct sim_event event)
 {
-	event.life = life_of(sim, event.to);
-	event.at = now_of(sim) + delay(sim, event.from, event.to);
+	event.incarnation = incarnation_of(sim, event.to);
+	event.due_at = sim_now(sim) + message_delay(sim, event.from, event.to);
 	if (group_of(sim, event.from) == group_of(sim, event.to)) {
-		push(sim, event);
+		heap_push(sim, event);
 		return;
 	}
 	free(event.data);
 }
 
-static int find_node(const struct sim *sim, const char *name)
+static int index_from_name(const struct sim *sim, const char *name)
 {
 	int i = atoi(name + strlen("node-"));
 
@@ -160,19 +161,19 @@
 static void send_peer(struct sim *sim, int from, int to, struct sim_event event)
 {
 	struct sim_node *node = &sim->nodes[from];
-	bool heartbeat = event.kind == EVENT_PING || event.kind == EVENT_ACK;
-	double loss = heartbeat ? sim->loss : sim->push_loss;
+	bool is_heartbeat = event.kind == EVENT_PING || event.kind == EVENT_ACK;
+	double loss = is_heartbeat ? sim->loss : sim->push_loss;
 
 	event.from = from;
 	event.to = to;
 	node->sent_messages++;
 	node->sent_bytes +=
-		heartbeat ? HEARTBEAT_BYTES : FRAME_BYTES + event.len;
+		is_heartbeat ? HEARTBEAT_BYTES : FRAME_HEADER_BYTES + event.len;
 	if ((double)sim_random(sim, 1000) < loss * 1000) {
 		free(event.data);
 		return;
 	}
-	post(sim, event);
+	send_event(sim, event);
 }
 
 void sim_send_digest(struct sim *sim, int node, const char *peer,
@@ -183,7 +184,7 @@
 	event.len = peer__table_digest__get_packed_size(message);
 	event.data = mem_zalloc(event.len);
 	peer__table_digest__pack(message, event.data);
-	send_peer(sim, node, find_node(sim, peer), event);
+	send_peer(sim, node, index_from_name(sim, peer), event);
 }
 
 void sim_send_request(struct sim *sim, int node, const char *peer,
@@ -194,7 +195,7 @@
 	event.len = peer__table_request__get_packed_size(message);
 	event.data = mem_zalloc(event.len);
 	peer__table_request__pack(message, event.data);
-	send_peer(sim, node, find_node(sim, peer), event);
+	send_peer(sim, node, index_from_name(sim, peer), event);
 }
 
 void sim_send_update(struct sim *sim, int node, const char *peer,
@@ -205,7 +206,7 @@
 	event.len = peer__table_update__get_packed_size(message);
 	event.data = mem_zalloc(event.len);
 	peer__table_update__pack(message, event.data);
-	send_peer(sim, node, find_node(sim, peer), event);
+	send_peer(sim, node, index_from_name(sim, peer), event);
 }
 
 void sim_call(struct sim *sim, int node, const struct reader_call *call)
@@ -217,11 +218,11 @@
 		.call = *call,
 	};
 
-	if (!sim->nodes[node].no_platform)
-		post(sim, event);
+	if (!sim->nodes[node].is_platform_unreachable)
+		send_event(sim, event);
 }
 
-/* The platform. */
+/* Platform. */
 
 static void reply(struct sim *sim, const struct sim_event *call,
 		  enum event_kind kind, struct platform_answer answer)
@@ -235,20 +236,20 @@
 	};
 
 	sim->platform.bytes += answer.text.len;
-	post(sim, event);
+	send_event(sim, event);
 }
 
-static const struct sim_version *visible(struct sim *sim)
+static const struct sim_version *choose_version(struct sim *sim)
 {
 	struct sim_platform *platform = &sim->platform;
 	int shown = platform->shown;
 
-	if (platform->other >= 0 && sim_random(sim, 2))
-		shown = platform->other;
+	if (platform->alternate >= 0 && sim_random(sim, 2))
+		shown = platform->alternate;
 	return shown >= 0 ? &platform->versions[shown] : NULL;
 }
 
-static int failure(const struct sim_platform *platform)
+static int platform_error(const struct sim_platform *platform)
 {
 	if (platform->down)
 		return ERR_UNAVAILABLE;
@@ -270,11 +271,16 @@
 		reply(sim, call, EVENT_ANSWER, answer);
 }
 
-/* Return: whether the call was answered, and does not wait on. */
-static bool try_answer(struct sim *sim, const struct sim_event *call, bool last)
+/*
+ * Answers a call if the platform failed, has something newer, or the call's
+ * wait is over (@last). Returns whether the call is done.
+ */
+static bool answer_if_ready(struct sim *sim, const struct sim_event *call,
+			    bool last)
 {
-	struct platform_answer answer = {.code = failure(&sim->platform)};
-	const struct sim_version *version = visible(sim);
+	struct platform_answer answer = {
+		.code = platform_error(&sim->platform)};
+	const struct sim_version *version = choose_version(sim);
 
 	if (!answer.code && !version)
 		answer.code = ERR_KEY_MISSING;
@@ -298,26 +304,27 @@
 	return true;
 }
 
-static void take_call(struct sim *sim, struct sim_event event)
+static void receive_call(struct sim *sim, struct sim_event event)
 {
 	sim->platform.calls++;
-	if (try_answer(sim, &event, !event.call.wait_ms))
+	if (answer_if_ready(sim, &event, !event.call.wait_ms))
 		return;
-	event.at = now_of(sim) + MSEC(event.call.wait_ms);
-	MEM_GROW(sim->waiting, sim->n_waiting, sim->waiting_cap);
-	sim->waiting[sim->n_waiting++] = event;
+	event.due_at = sim_now(sim) + MSEC(event.call.wait_ms);
+	MEM_GROW(sim->waiting_calls, sim->n_waiting, sim->waiting_cap);
+	sim->waiting_calls[sim->n_waiting++] = event;
 }
 
-/* Calls that wait are answered when something new shows. */
+/* Answers the waiting calls for which there is something new. */
 static void answer_waiting(struct sim *sim)
 {
 	int i = 0;
 
 	while (i < sim->n_waiting) {
-		struct sim_event event = sim->waiting[i];
+		struct sim_event event = sim->waiting_calls[i];
 
-		if (try_answer(sim, &event, false))
-			sim->waiting[i] = sim->waiting[--sim->n_waiting];
+		if (answer_if_ready(sim, &event, false))
+			sim->waiting_calls[i] =
+				sim->waiting_calls[--sim->n_waiting];
 		else
 			i++;
 	}
@@ -328,21 +335,21 @@
 	int i = 0;
 
 	while (i < sim->n_waiting) {
-		struct sim_event event = sim->waiting[i];
+		struct sim_event event = sim->waiting_calls[i];
 
-		if (event.at > now_of(sim)) {
+		if (event.due_at > sim_now(sim)) {
 			i++;
 			continue;
 		}
-		sim->waiting[i] = sim->waiting[--sim->n_waiting];
-		try_answer(sim, &event, true);
+		sim->waiting_calls[i] = sim->waiting_calls[--sim->n_waiting];
+		answer_if_ready(sim, &event, true);
 	}
 }
 
-void sim_show(struct sim *sim, int version, int other)
+void sim_show_version(struct sim *sim, int version, int alternate)
 {
 	sim->platform.shown = version;
-	sim->platform.other = other;
+	sim->platform.alternate = alternate;
 	answer_waiting(sim);
 }
 
@@ -361,7 +368,7 @@
 		table_finish(&table);
 	}
 	platform->n_versions++;
-	sim_show(sim, platform->n_versions - 1, -1);
+	sim_show_version(sim, platform->n_versions - 1, -1);
 	return platform->n_versions - 1;
 }
 
@@ -427,7 +434,8 @@
 	struct sim_node *node = ctx;
 	struct sim *sim = node->sim;
 	struct sim_event call = {.from = node->index, .call = {.id = id}};
-	struct platform_answer answer = {.code = failure(&sim->platform)};
+	struct platform_answer answer = {
+		.code = platform_error(&sim->platform)};
 	int i;
 
 	sim->platform.part_calls++;
@@ -447,7 +455,7 @@
 	reply(sim, &call, EVENT_PART, answer);
 }
 
-/* The module under test as a policy. */
+/* The table_sync module as a policy. */
 
 static void on_call(void *ctx, const struct reader_call *call)
 {
@@ -480,7 +488,7 @@
 	sim_send_update(node->sim, node->index, peer, message);
 }
 
-static void drop_table(struct sim_node *node)
+static void free_table(struct sim_node *node)
 {
 	if (!node->table)
 		return;
@@ -493,7 +501,7 @@
 {
 	struct sim_node *node = ctx;
 
-	drop_table(node);
+	free_table(node);
 	node->table = table;
 }
 
@@ -553,8 +561,8 @@
 	table_sync_receive_part(state, id, answer);
 }
 
-static void sync_heard(void *state, const char *peer, uint64_t revision,
-		       uint64_t digest, uint32_t age_ms)
+static void sync_heartbeat(void *state, const char *peer, uint64_t revision,
+			   uint64_t digest, uint32_t age_ms)
 {
 	table_sync_receive_heartbeat(state, peer, revision, digest, age_ms);
 }
@@ -594,7 +602,7 @@
 	.tick = sync_tick,
 	.answered = sync_answered,
 	.part = sync_part,
-	.heard = sync_heard,
+	.heartbeat = sync_heartbeat,
 	.digest = sync_digest,
 	.request = sync_request,
 	.update = sync_update,
@@ -602,15 +610,15 @@
 	.age_ms = sync_age_ms,
 };
 
-/* The instances. */
+/* Instances. */
 
-struct table_sync *sim_sync(struct sim *sim, int node)
+struct table_sync *sim_node_sync(struct sim *sim, int node)
 {
 	return sim->nodes[node].state;
 }
 
-void sim_init(struct sim *sim, const struct sim_policy *policy, int n, int n_dc,
-	      uint64_t seed)
+void sim_init(struct sim *sim, const struct sim_policy *policy, int n,
+	      int n_data_centres, uint64_t seed)
 {
 	int i;
 
@@ -618,10 +626,10 @@
 	clock_init_paused(&sim->clock, MSEC(1000000));
 	sim->policy = policy;
 	sim->n = n;
-	sim->n_dc = n_dc;
+	sim->n_data_centres = n_data_centres;
 	sim->random = seed;
 	sim->platform.shown = -1;
-	sim->platform.other = -1;
+	sim->platform.alternate = -1;
 	sim->nodes = mem_zalloc((size_t)n * sizeof(*sim->nodes));
 	for (i = 0; i < n; i++) {
 		struct sim_node *node = &sim->nodes[i];
@@ -630,7 +638,7 @@
 		node->index = i;
 		snprintf(node->name, sizeof(node->name), "node-%04d", i);
 		snprintf(node->data_centre, sizeof(node->data_centre), "dc-%d",
-			 i % n_dc);
+			 i % n_data_centres);
 	}
 }
 
@@ -647,7 +655,7 @@
 	for (i = 0; i < SIM_PARTS_MAX; i++)
 		free(sim->platform.parts[i].text);
 	free(sim->events);
-	free(sim->waiting);
+	free(sim->waiting_calls);
 	free(sim->nodes);
 }
 
@@ -683,20 +691,20 @@
 	free(members);
 }
 
-static void start(struct sim *sim, int i)
+static void start_node(struct sim *sim, int i)
 {
 	struct sim_node *node = &sim->nodes[i];
 
 	node->alive = true;
-	node->life++;
-	node->seen = 0;
-	node->next_tick = now_of(sim) + sim_random(sim, TICK);
+	node->incarnation++;
+	node->seen_revision = 0;
+	node->next_tick = sim_now(sim) + sim_random(sim, TICK_PERIOD);
 	node->state = sim->policy->start(sim, i);
 }
 
 void sim_start(struct sim *sim, int node)
 {
-	start(sim, node);
+	start_node(sim, node);
 	sim_set_members(sim);
 }
 
@@ -705,7 +713,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++)
-		start(sim, i);
+		start_node(sim, i);
 	sim_set_members(sim);
 }
 
@@ -716,10 +724,10 @@
 	if (!node->alive)
 		return;
 	node->alive = false;
-	node->life++;
+	node->incarnation++;
 	sim->policy->finish(node->state);
 	node->state = NULL;
-	drop_table(node);
+	free_table(node);
 }
 
 static uint64_t nanoseconds(void)
@@ -744,22 +752,22 @@
 	return false;
 }
 
-/* What must hold at every step. */
-static void check(struct sim *sim, struct sim_node *node)
+/* Checks the table in force after each step of a node. */
+static void check_in_force(struct sim *sim, struct sim_node *node)
 {
 	const struct table *table;
 
 	if (!node->alive)
 		return;
 	table = sim->policy->in_force(node->state);
-	if (!table || table->revision == node->seen)
+	if (!table || table->revision == node->seen_revision)
 		return;
-	if (table->revision < node->seen)
+	if (table->revision < node->seen_revision)
 		sim->reverts++;
 	if (!was_published(sim, table))
-		sim->mixed++;
-	node->seen = table->revision;
-	node->reached_at = now_of(sim);
+		sim->unpublished++;
+	node->seen_revision = table->revision;
+	node->reached_at = sim_now(sim);
 }
 
 static void receive_digest(struct sim *sim, struct sim_node *node,
@@ -824,9 +832,10 @@
 		send_heartbeat(sim, event->to, event->from, EVENT_ACK);
 		/* fall through */
 	case EVENT_ACK:
-		sim->policy->heard(node->state, sim->nodes[event->from].name,
-				   event->revision, event->digest,
-				   event->age_ms);
+		sim->policy->heartbeat(node->state,
+				       sim->nodes[event->from].name,
+				       event->revision, event->digest,
+				       event->age_ms);
 		break;
 	case EVENT_DIGEST:
 		receive_digest(sim, node, event);
@@ -842,7 +851,7 @@
 	}
 }
 
-static void account(struct sim *sim, uint64_t since)
+static void record_time(struct sim *sim, uint64_t since)
 {
 	uint64_t spent = nanoseconds() - since;
 
@@ -851,71 +860,75 @@
 		sim->longest_ns = spent;
 }
 
-static void handle(struct sim *sim, struct sim_event event)
+static void handle_event(struct sim *sim, struct sim_event event)
 {
 	struct sim_node *node;
 	uint64_t since = 0;
 
 	if (event.kind == EVENT_CALL) {
-		take_call(sim, event);
+		receive_call(sim, event);
 		return;
 	}
 	node = &sim->nodes[event.to];
-	if (!node->alive || node->life != event.life) {
+	if (!node->alive || node->incarnation != event.incarnation) {
 		free(event.data);
 		return;
 	}
-	if (node->paused_until > now_of(sim)) {
-		event.at = node->paused_until;
-		push(sim, event);
+	if (node->paused_until > sim_now(sim)) {
+		event.due_at = node->paused_until;
+		heap_push(sim, event);
 		return;
 	}
 	if (sim->timed)
 		since = nanoseconds();
 	receive(sim, &event);
 	if (sim->timed)
-		account(sim, since);
+		record_time(sim, since);
 	free(event.data);
-	check(sim, node);
+	check_in_force(sim, node);
 }
 
-/* Heartbeats go to a random member of the own data centre. */
-static void ping(struct sim *sim, struct sim_node *node)
+/* Sends a heartbeat to a random member of the node's own data centre. */
+static void send_ping(struct sim *sim, struct sim_node *node)
 {
-	int n = (sim->n - node->index % sim->n_dc + sim->n_dc - 1) / sim->n_dc;
-	int to = node->index % sim->n_dc + (int)sim_random(sim, n) * sim->n_dc;
+	int n = (sim->n - node->index % sim->n_data_centres +
+		 sim->n_data_centres - 1) /
+		sim->n_data_centres;
+	int to = node->index % sim->n_data_centres +
+		 (int)sim_random(sim, n) * sim->n_data_centres;
 
-	if (to == node->index || !sim->nodes[to].alive || sim->silent_pings)
+	if (to == node->index || !sim->nodes[to].alive || sim->heartbeats_off)
 		return;
 	send_heartbeat(sim, node->index, to, EVENT_PING);
 }
 
 static void tick(struct sim *sim, struct sim_node *node)
 {
-	int64_t now = now_of(sim);
+	int64_t now = sim_now(sim);
 	uint64_t since = 0;
 
 	if (!node->alive || now < node->next_tick || now < node->paused_until)
 		return;
-	node->next_tick = now + TICK;
+	node->next_tick = now + TICK_PERIOD;
 	if (sim->timed)
 		since = nanoseconds();
 	sim->policy->tick(node->state);
 	if (sim->timed)
-		account(sim, since);
-	check(sim, node);
-	if ((now / TICK + node->index) % (PING_PERIOD / TICK) == 0)
-		ping(sim, node);
+		record_time(sim, since);
+	check_in_force(sim, node);
+	if ((now / TICK_PERIOD + node->index) % (PING_PERIOD / TICK_PERIOD) ==
+	    0)
+		send_ping(sim, node);
 }
 
-/* One millisecond: what arrives in it, then the ticks that are due. */
+/* Simulates 1 ms: first the messages that arrive, then the ticks due. */
 static void step(struct sim *sim)
 {
 	int i;
 
 	clock_advance(&sim->clock, MSEC(1));
-	while (sim->n_events && sim->events[0].at <= now_of(sim))
-		handle(sim, pop(sim));
+	while (sim->n_events && sim->events[0].due_at <= sim_now(sim))
+		handle_event(sim, heap_pop(sim));
 	answer_expired(sim);
 	for (i = 0; i < sim->n; i++)
 		tick(sim, &sim->nodes[i]);
@@ -927,17 +940,18 @@
 		step(sim);
 }
 
-int sim_count(const struct sim *sim, uint64_t revision)
+int sim_count_in_force(const struct sim *sim, uint64_t revision)
 {
 	int count = 0;
 	int i;
 
 	for (i = 0; i < sim->n; i++)
-		count += sim->nodes[i].alive && sim->nodes[i].seen == revision;
+		count += sim->nodes[i].alive &&
+			 sim->nodes[i].seen_revision == revision;
 	return count;
 }
 
-static int n_alive(const struct sim *sim)
+static int count_alive(const struct sim *sim)
 {
 	int count = 0;
 	int i;
@@ -949,11 +963,11 @@
 
 int64_t sim_run_until(struct sim *sim, uint64_t revision, int64_t ms)
 {
-	int64_t start_at = now_of(sim);
+	int64_t start_at = sim_now(sim);
 
 	while (ms-- > 0) {
-		if (sim_count(sim, revision) == n_alive(sim))
-			return now_of(sim) - start_at;
+		if (sim_count_in_force(sim, revision) == count_alive(sim))
+			return sim_now(sim) - start_at;
 		step(sim);
 	}
 	return -1;
