--- a/blackboard.h
+++ b/blackboard.h
@@ -31,7 +31,7 @@
 	BLACKBOARD_CATALOG,   /* what servers hold, or their home instances */
 	BLACKBOARD_INSTANCES, /* the platform's list of instances was read */
 	BLACKBOARD_SHARES,    /* shares of backend servers changed */
-	BLACKBOARD_USAGE,     /* report usage now, see share_in_use() */
+	BLACKBOARD_USAGE,     /* report usage now, see share_report_usage() */
 	BLACKBOARD_LIFECYCLE, /* enum lifecycle of this instance changed */
 	BLACKBOARD_N_TOPICS,
 };
@@ -99,7 +99,7 @@
 	struct share *share;
 	struct catalog catalog;
 	struct counters counters;
-	struct trace_book traces;
+	struct trace_store traces;
 	struct burn burn;
 	struct poison poison;
 	int64_t last_tick_at;
--- a/caller.c
+++ b/caller.c
@@ -211,7 +211,7 @@
  * @http: NULL once the caller's connection is gone
  */
 struct run_pending {
-	struct run_wait wait;
+	struct run_waiter wait;
 	struct caller *caller;
 	evhtp_request_t *http;
 	struct run_trace trace;
@@ -242,7 +242,7 @@
 		metric_inc(&counters->runs_unknown);
 }
 
-static void on_run_answered(struct run_wait *wait,
+static void on_run_answered(struct run_waiter *wait,
 			    const struct ticket_answer *answer)
 {
 	struct run_pending *pending = (struct run_pending *)wait;
--- a/cmd_query.c
+++ b/cmd_query.c
@@ -80,18 +80,18 @@
 	struct json_object *root = NULL;
 	struct json_object *list;
 	struct json_object *text;
-	struct http_answer answer;
+	struct http_response answer;
 	char path[160] = "/v1/addresses";
 
 	*out = args->target.address;
 	if (args->data_centre)
 		snprintf(path, sizeof(path), "/v1/addresses?data_centre=%s",
 			 args->data_centre);
-	if (http_client_ask(&args->target.address, path, NULL,
-			    ADDRESSES_TIMEOUT_MS, &answer))
+	if (http_client_request(&args->target.address, path, NULL,
+				ADDRESSES_TIMEOUT_MS, &answer))
 		return;
 	root = json_tokener_parse(answer.body);
-	http_answer_finish(&answer);
+	http_response_finish(&answer);
 	if (json_object_object_get_ex(root, "addresses", &list) &&
 	    json_object_array_length(list) &&
 	    json_object_object_get_ex(json_object_array_get_idx(list, 0),
@@ -204,7 +204,7 @@
 	return EXIT_STATUS_FAILED;
 }
 
-static int show(const struct arguments *args, struct http_answer *answer)
+static int show(const struct arguments *args, struct http_response *answer)
 {
 	struct json_object *root = json_tokener_parse(answer->body);
 	int status;
@@ -236,7 +236,7 @@
 	struct arguments args = {0};
 	struct address address;
 	struct json_object *body;
-	struct http_answer answer;
+	struct http_response answer;
 	int timeout_ms;
 	int ret;
 
@@ -249,15 +249,15 @@
 	}
 	choose_address(&args, &address);
 	timeout_ms = args.deadline_ms ? args.deadline_ms : DEADLINE_DEFAULT_MS;
-	ret = http_client_ask(&address, "/v1/search",
-			      json_object_to_json_string(body),
-			      timeout_ms + EXTRA_WAIT_MS, &answer);
+	ret = http_client_request(&address, "/v1/search",
+				  json_object_to_json_string(body),
+				  timeout_ms + EXTRA_WAIT_MS, &answer);
 	json_object_put(body);
 	if (ret) {
 		fprintf(stderr, "garnetreach query: %s\n", error_text(ret));
 		return EXIT_STATUS_FAILED;
 	}
 	ret = show(&args, &answer);
-	http_answer_finish(&answer);
+	http_response_finish(&answer);
 	return ret;
 }
--- a/cmd_status.c
+++ b/cmd_status.c
@@ -110,14 +110,14 @@
 					 "Show what an instance knows of "
 					 "itself, the fleet and the servers."};
 	struct command_target target = {0};
-	struct http_answer answer;
+	struct http_response answer;
 	struct json_object *root;
 	int ret;
 
 	if (argp_parse(&argp, argc, argv, 0, NULL, &target))
 		return EXIT_STATUS_USAGE;
-	ret = http_client_ask(&target.address, "/v1/status", NULL, TIMEOUT_MS,
-			      &answer);
+	ret = http_client_request(&target.address, "/v1/status", NULL,
+				  TIMEOUT_MS, &answer);
 	if (ret) {
 		fprintf(stderr, "garnetreach status: %s\n", error_text(ret));
 		return EXIT_STATUS_FAILED;
@@ -127,7 +127,7 @@
 		fputs(answer.body, stdout);
 	else if (root)
 		print_status(root);
-	http_answer_finish(&answer);
+	http_response_finish(&answer);
 	json_object_put(root);
 	return root ? EXIT_STATUS_OK : EXIT_STATUS_FAILED;
 }
--- a/gateway_fleet.c
+++ b/gateway_fleet.c
@@ -259,7 +259,7 @@
 	struct gateway_fleet *fleet = arg;
 
 	(void)lag;
-	poison_net_beat(&fleet->poison);
+	poison_net_tick(&fleet->poison);
 }
 
 static bool peer_has_routes(const struct gateway_fleet *fleet,
--- a/gateway_request.c
+++ b/gateway_request.c
@@ -120,14 +120,14 @@
 		struct str value =
 			http_message_span(message, message->fields[i].value);
 
-		if (!http_field_is_hop(message, name) &&
+		if (!http_field_is_hop_by_hop(message, name) &&
 		    !is_gateway_header(request->gateway, name))
 			evbuffer_add_printf(head, STR_FMT ": " STR_FMT "\r\n",
 					    STR_ARG(name), STR_ARG(value));
 	}
 	request->request.body = http_message_body(message);
 	if (request->request.body.len ||
-	    http_message_has(message, STR("content-length")))
+	    http_message_has_field(message, STR("content-length")))
 		evbuffer_add_printf(head, "Content-Length: %zu\r\n",
 				    request->request.body.len);
 	request->request.head = (struct str){(char *)evbuffer_pullup(head, -1),
--- a/gateway_send.c
+++ b/gateway_send.c
@@ -26,7 +26,7 @@
 		struct str value =
 			http_message_span(message, message->fields[i].value);
 
-		if (!http_field_is_hop(message, name))
+		if (!http_field_is_hop_by_hop(message, name))
 			evbuffer_add_printf(fields, STR_FMT ": " STR_FMT "\r\n",
 					    STR_ARG(name), STR_ARG(value));
 	}
--- a/home.c
+++ b/home.c
@@ -59,7 +59,7 @@
 	return server;
 }
 
-struct home_server *home_put_server(struct home *home, struct str name)
+struct home_server *home_find_or_add_server(struct home *home, struct str name)
 {
 	struct home_server *server = home_find_server(home, name);
 
--- a/home.h
+++ b/home.h
@@ -161,7 +161,7 @@
 void home_finish(struct home *home);
 
 struct home_server *home_find_server(const struct home *home, struct str name);
-struct home_server *home_put_server(struct home *home, struct str name);
+struct home_server *home_find_or_add_server(struct home *home, struct str name);
 
 /**
  * home_remove_server() - forget a server without jobs
--- a/home_net.c
+++ b/home_net.c
@@ -446,7 +446,7 @@
 	struct server_link *link = link_of(job->server);
 	Backend__RunAnswer *answer = NULL;
 	struct str body = {NULL, 0};
-	int code = run_code(reply->status, reply->code, reply->sent);
+	int code = run_reply_error(reply->status, reply->code, reply->sent);
 
 	if (hold_lost(job, code, reply->sent))
 		return;
@@ -702,7 +702,7 @@
 				      uint32_t connections)
 {
 	struct home_server *server =
-		home_put_server(&net->home, str_from(row->name));
+		home_find_or_add_server(&net->home, str_from(row->name));
 	struct server_link *link;
 
 	if (server->pool)
@@ -810,9 +810,9 @@
 		const struct server_link *link = link_of(server);
 
 		if (link->row >= 0)
-			share_in_use(net->board->share, link->row,
-				     (int)server->in_flight,
-				     (int)link->pool.n_conns);
+			share_report_usage(net->board->share, link->row,
+					   (int)server->in_flight,
+					   (int)link->pool.n_conns);
 	}
 }
 
--- a/http_client.c
+++ b/http_client.c
@@ -12,14 +12,14 @@
 
 struct exchange {
 	struct event_base *base;
-	struct http_answer *answer;
+	struct http_response *answer;
 	int ret;
 };
 
 static void on_answer(struct evhttp_request *request, void *arg)
 {
 	struct exchange *exchange = arg;
-	struct http_answer *answer = exchange->answer;
+	struct http_response *answer = exchange->answer;
 	struct evbuffer *body;
 
 	event_base_loopbreak(exchange->base);
@@ -37,9 +37,9 @@
 	exchange->ret = 0;
 }
 
-int http_client_ask(const struct address *address, const char *path,
-		    const char *body, int timeout_ms,
-		    struct http_answer *answer)
+int http_client_request(const struct address *address, const char *path,
+			const char *body, int timeout_ms,
+			struct http_response *answer)
 {
 	struct timeval timeout = {timeout_ms / 1000,
 				  (timeout_ms % 1000) * 1000};
@@ -68,7 +68,7 @@
 	return exchange.ret;
 }
 
-void http_answer_finish(struct http_answer *answer)
+void http_response_finish(struct http_response *answer)
 {
 	free(answer->body);
 	answer->body = NULL;
--- a/http_client.h
+++ b/http_client.h
@@ -6,27 +6,27 @@
 #include "str.h"
 
 /**
- * struct http_answer - a whole answer
+ * struct http_response - a whole answer
  * @status: HTTP status
- * @body: owned, with a NUL behind; release with http_answer_finish()
+ * @body: owned, with a NUL behind; release with http_response_finish()
  */
-struct http_answer {
+struct http_response {
 	int status;
 	char *body;
 	size_t len;
 };
 
 /**
- * http_client_ask() - send a request and wait for the whole answer
+ * http_client_request() - send a request and wait for the whole answer
  * @body: NULL for GET, else the body of a POST
  * @timeout_ms: longest wait for the answer
  *
  * Return: 0; ERR_CONNECT if no connection was made; ERR_LOST if it broke or
  * the answer was cut.
  */
-int http_client_ask(const struct address *address, const char *path,
-		    const char *body, int timeout_ms,
-		    struct http_answer *answer);
-void http_answer_finish(struct http_answer *answer);
+int http_client_request(const struct address *address, const char *path,
+			const char *body, int timeout_ms,
+			struct http_response *answer);
+void http_response_finish(struct http_response *answer);
 
 #endif
--- a/http_message.c
+++ b/http_message.c
@@ -131,7 +131,7 @@
 /* Stops the parser exactly behind the message. */
 static int on_whole(struct http_parser *parser)
 {
-	message_of(parser)->state = MESSAGE_WHOLE;
+	message_of(parser)->state = MESSAGE_COMPLETE;
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -189,7 +189,7 @@
 	enum http_errno code;
 
 	*used = http_parser_execute(&message->parser, &callbacks, data, len);
-	if (message->state == MESSAGE_WHOLE)
+	if (message->state == MESSAGE_COMPLETE)
 		return 1;
 	code = HTTP_PARSER_ERRNO(&message->parser);
 	if (code != HPE_OK && !message->error)
@@ -260,7 +260,7 @@
 	return http_message_span(message, field->value);
 }
 
-bool http_message_has(const struct http_message *message, struct str name)
+bool http_message_has_field(const struct http_message *message, struct str name)
 {
 	return find(message, name);
 }
@@ -299,7 +299,8 @@
 	return false;
 }
 
-bool http_field_is_hop(const struct http_message *message, struct str name)
+bool http_field_is_hop_by_hop(const struct http_message *message,
+			      struct str name)
 {
 	static const struct str hops[] = {
 		STR("connection"),
--- a/http_message.h
+++ b/http_message.h
@@ -41,7 +41,7 @@
 	MESSAGE_EMPTY, /* no byte of a message yet */
 	MESSAGE_HEAD,
 	MESSAGE_BODY,
-	MESSAGE_WHOLE,
+	MESSAGE_COMPLETE,
 };
 
 /**
@@ -112,7 +112,8 @@
  */
 struct str http_message_field(const struct http_message *message,
 			      struct str name);
-bool http_message_has(const struct http_message *message, struct str name);
+bool http_message_has_field(const struct http_message *message,
+			    struct str name);
 
 struct str http_message_target(const struct http_message *message);
 struct str http_message_body(const struct http_message *message);
@@ -124,10 +125,11 @@
 			     struct http_span span);
 
 /**
- * http_field_is_hop() - whether a header concerns one connection only
+ * http_field_is_hop_by_hop() - whether a header concerns one connection only
  * @message: whose Connection header may name more of them
  */
-bool http_field_is_hop(const struct http_message *message, struct str name);
+bool http_field_is_hop_by_hop(const struct http_message *message,
+			      struct str name);
 
 /**
  * http_status_text() - the reason phrase
--- a/inbound.c
+++ b/inbound.c
@@ -160,7 +160,7 @@
 	static const char line[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
 	if (conn->continue_sent || conn->message.state != MESSAGE_BODY ||
-	    !http_message_has(&conn->message, STR("expect")))
+	    !http_message_has_field(&conn->message, STR("expect")))
 		return;
 	conn->continue_sent = true;
 	bufferevent_write(conn->bev, line, sizeof(line) - 1);
--- a/member_net.c
+++ b/member_net.c
@@ -187,7 +187,7 @@
 {
 	struct member_net *net = arg;
 
-	share_confirmed(&net->share, sent_at);
+	share_confirm_lease(&net->share, sent_at);
 }
 
 static void receive_beacon(void *arg, const struct member *member,
@@ -421,8 +421,8 @@
 
 	net->reply_link = link;
 	if (frame->type == FRAME_VIEW_STATE)
-		share_view_state(&net->share,
-				 (const Peer__ViewState *)frame->message);
+		share_receive_view_state(&net->share, (const Peer__ViewState *)
+							      frame->message);
 	else
 		member_table_receive_members(
 			&net->members, (const Peer__Members *)frame->message);
--- a/poison.c
+++ b/poison.c
@@ -28,7 +28,7 @@
 	UT_hash_handle hh;
 };
 
-struct poison_good {
+struct poison_safe_entry {
 	uint64_t hash;
 	int64_t expires;
 	UT_hash_handle hh;
@@ -49,9 +49,10 @@
 	return entry;
 }
 
-static struct poison_good *find_good(const struct poison *poison, uint64_t hash)
+static struct poison_safe_entry *find_good(const struct poison *poison,
+					   uint64_t hash)
 {
-	struct poison_good *good;
+	struct poison_safe_entry *good;
 
 	HASH_FIND(hh, poison->goods, &hash, sizeof(hash), good);
 	return good;
@@ -63,7 +64,7 @@
 	free(entry);
 }
 
-static void drop_good(struct poison *poison, struct poison_good *good)
+static void drop_good(struct poison *poison, struct poison_safe_entry *good)
 {
 	HASH_DEL(poison->goods, good);
 	free(good);
@@ -136,7 +137,7 @@
 static void judge(struct poison *poison, struct poison_entry *entry)
 {
 	int64_t now = clock_now(poison->clock);
-	struct poison_good *good = find_good(poison, entry->hash);
+	struct poison_safe_entry *good = find_good(poison, entry->hash);
 
 	if (good)
 		drop_good(poison, good);
@@ -188,7 +189,7 @@
 {
 	memset(poison, 0, sizeof(*poison));
 	poison->clock = clock;
-	poison->ban_after = POISON_CRASHES;
+	poison->ban_after = POISON_BAN_AFTER_CRASHES;
 	poison->changed = changed;
 	poison->ctx = ctx;
 }
@@ -224,7 +225,7 @@
 
 static bool is_known_safe(const struct poison *poison, uint64_t hash)
 {
-	const struct poison_good *good = find_good(poison, hash);
+	const struct poison_safe_entry *good = find_good(poison, hash);
 
 	return good && good->expires > clock_now(poison->clock);
 }
@@ -242,7 +243,7 @@
 	}
 	if (entry)
 		return POISON_PROBATION;
-	return is_known_safe(poison, hash) ? POISON_FREE : POISON_CANARY;
+	return is_known_safe(poison, hash) ? POISON_KNOWN_SAFE : POISON_CANARY;
 }
 
 static uint64_t rank_of(const struct poison *poison, uint64_t hash,
@@ -269,7 +270,7 @@
 {
 	int64_t since = clock_now(poison->clock) - candidate->changed;
 
-	return !candidate->reachable && since < POISON_SETTLE &&
+	return !candidate->reachable && since < POISON_REPORT_WAIT &&
 	       find_entry(poison, hash) &&
 	       !has_server(find_entry(poison, hash),
 			   str_hash(candidate->server));
@@ -404,7 +405,7 @@
 	entry = live_entry(poison, run->hash);
 	if (entry && clears(entry, run))
 		clear(poison, entry);
-	poison_well(poison, run->hash);
+	poison_mark_safe(poison, run->hash);
 }
 
 static void add_unwatched(struct poison_entry *entry, bool was_safe)
@@ -463,9 +464,9 @@
 	free(server);
 }
 
-void poison_well(struct poison *poison, uint64_t hash)
+void poison_mark_safe(struct poison *poison, uint64_t hash)
 {
-	struct poison_good *good = find_good(poison, hash);
+	struct poison_safe_entry *good = find_good(poison, hash);
 
 	if (find_entry(poison, hash))
 		return;
@@ -481,10 +482,10 @@
 		drop_good(poison, poison->goods);
 }
 
-void poison_cleared(struct poison *poison, uint64_t hash)
+void poison_mark_cleared(struct poison *poison, uint64_t hash)
 {
 	if (!find_entry(poison, hash))
-		poison_well(poison, hash);
+		poison_mark_safe(poison, hash);
 }
 
 static int64_t bounded_left(const struct poison *poison,
@@ -505,7 +506,8 @@
 	       entry->was_safe != before->was_safe;
 }
 
-bool poison_learn(struct poison *poison, const struct poison_report *report)
+bool poison_apply_report(struct poison *poison,
+			 const struct poison_report *report)
 {
 	int64_t now = clock_now(poison->clock);
 	struct poison_entry *entry = live_entry(poison, report->hash);
@@ -516,7 +518,7 @@
 		if (!entry || entry->banned)
 			return false;
 		drop_entry(poison, entry);
-		poison_well(poison, report->hash);
+		poison_mark_safe(poison, report->hash);
 		return true;
 	}
 	if (report->left <= 0)
@@ -560,8 +562,8 @@
 	int64_t now = clock_now(poison->clock);
 	struct poison_entry *entry;
 	struct poison_entry *next;
-	struct poison_good *good;
-	struct poison_good *next_good;
+	struct poison_safe_entry *good;
+	struct poison_safe_entry *next_good;
 
 	HASH_ITER (hh, poison->entries, entry, next) {
 		if (entry->expires <= now)
--- a/poison.h
+++ b/poison.h
@@ -14,29 +14,29 @@
 #include "str.h"
 
 struct poison_entry;
-struct poison_good;
+struct poison_safe_entry;
 struct poison_server;
 
 /* Servers lost to a fingerprint before it is banned. */
-#define POISON_CRASHES 2
+#define POISON_BAN_AFTER_CRASHES 2
 /* Servers lost to one fingerprint that are remembered. */
 #define POISON_SERVERS_MAX 4
 /* A kind of request that is not a mode of searches. */
 #define POISON_KIND_RUN 100
 /* Most entries told to a peer at once. */
-#define POISON_PUSH_MAX 256
+#define POISON_EXPORT_MAX 256
 /* Time for the reports of a crash to reach all instances. */
-#define POISON_SETTLE MSEC(200)
+#define POISON_REPORT_WAIT MSEC(200)
 
 /**
  * enum poison_verdict - how a request may run
- * @POISON_FREE: it completed well lately
+ * @POISON_KNOWN_SAFE: it completed well lately
  * @POISON_CANARY: not known: on one server first
  * @POISON_PROBATION: suspect: on one server at a time
  * @POISON_BANNED: not at all
  */
 enum poison_verdict {
-	POISON_FREE,
+	POISON_KNOWN_SAFE,
 	POISON_CANARY,
 	POISON_PROBATION,
 	POISON_BANNED,
@@ -101,7 +101,8 @@
  * @goods: known to be safe, by hash, oldest first
  * @servers: those with requests running, by hash of the name
  * @ban_after: servers lost to a fingerprint before it is banned; set by the
- *	owner, POISON_CRASHES unless told otherwise, POISON_SERVERS_MAX at most
+ *	owner, POISON_BAN_AFTER_CRASHES unless told otherwise,
+ *POISON_SERVERS_MAX at most
  * @tolerant: set by the owner where requests cannot be tried on one server
  *	first: suspects run as all others, and each server that is lost counts
  *	against all that ran there
@@ -112,7 +113,7 @@
 	const struct clock *clock;
 	struct poison_tunables tunables;
 	struct poison_entry *entries;
-	struct poison_good *goods;
+	struct poison_safe_entry *goods;
 	struct poison_server *servers;
 	int ban_after;
 	bool tolerant;
@@ -212,23 +213,24 @@
 void poison_server_lost(struct poison *poison, struct str server);
 
 /**
- * poison_well() - an entry saw the whole request answered
+ * poison_mark_safe() - an entry saw the whole request answered
  */
-void poison_well(struct poison *poison, uint64_t hash);
+void poison_mark_safe(struct poison *poison, uint64_t hash);
 
 /**
- * poison_cleared() - an entry saw what it sent under watch answered
+ * poison_mark_cleared() - an entry saw what it sent under watch answered
  *
  * The home has judged it and told everybody; this only spares the wait.
  */
-void poison_cleared(struct poison *poison, uint64_t hash);
+void poison_mark_cleared(struct poison *poison, uint64_t hash);
 
 /**
- * poison_learn() - a peer's report
+ * poison_apply_report() - a peer's report
  *
  * Return: whether anything changed.
  */
-bool poison_learn(struct poison *poison, const struct poison_report *report);
+bool poison_apply_report(struct poison *poison,
+			 const struct poison_report *report);
 
 /**
  * poison_export() - the newest entries, for a peer that just connected
--- a/poison_net.c
+++ b/poison_net.c
@@ -26,8 +26,8 @@
 			 const struct poison_report *reports, int n)
 {
 	Peer__Fingerprints message = PEER__FINGERPRINTS__INIT;
-	Peer__Fingerprint entries[POISON_PUSH_MAX];
-	Peer__Fingerprint *pointers[POISON_PUSH_MAX];
+	Peer__Fingerprint entries[POISON_EXPORT_MAX];
+	Peer__Fingerprint *pointers[POISON_EXPORT_MAX];
 	int i;
 
 	for (i = 0; i < n; i++) {
@@ -59,13 +59,13 @@
 
 static void on_up(void *arg, struct peer_link *link)
 {
-	struct poison_report reports[POISON_PUSH_MAX];
+	struct poison_report reports[POISON_EXPORT_MAX];
 	struct poison_net *net = arg;
 	int n;
 
 	if (link->outgoing && !net->flood)
 		return;
-	n = poison_export(&net->board->poison, reports, POISON_PUSH_MAX);
+	n = poison_export(&net->board->poison, reports, POISON_EXPORT_MAX);
 	if (n)
 		send_reports(link, reports, n);
 }
@@ -88,7 +88,7 @@
 	if (report.n_servers)
 		memcpy(report.servers, entry->servers,
 		       (size_t)report.n_servers * sizeof(*report.servers));
-	return poison_learn(&net->board->poison, &report);
+	return poison_apply_report(&net->board->poison, &report);
 }
 
 /* Ends by itself: what comes back is no news. */
@@ -153,7 +153,7 @@
 			 net);
 }
 
-void poison_net_beat(struct poison_net *net)
+void poison_net_tick(struct poison_net *net)
 {
 	poison_expire(&net->board->poison);
 }
--- a/poison_net.h
+++ b/poison_net.h
@@ -25,8 +25,8 @@
 		     struct peers *peers);
 
 /**
- * poison_net_beat() - let time pass
+ * poison_net_tick() - let time pass
  */
-void poison_net_beat(struct poison_net *net);
+void poison_net_tick(struct poison_net *net);
 
 #endif
--- a/policy.c
+++ b/policy.c
@@ -89,9 +89,9 @@
 			 const struct observe_result *result)
 {
 	observe_done(&policy->observe, server, instance, was_late, result);
-	replica_review(&policy->observe, server,
-		       observe_outcome_of(result->code, result->sent),
-		       result->elapsed_us);
+	replica_update_ejection(&policy->observe, server,
+				observe_outcome_of(result->code, result->sent),
+				result->elapsed_us);
 }
 
 void policy_hedge_cancelled(struct policy *policy,
@@ -109,7 +109,7 @@
 	struct observe_service *stats = find_stats(policy, service);
 
 	if (stats)
-		observe_searched(&policy->observe, stats, elapsed_us);
+		observe_search_done(&policy->observe, stats, elapsed_us);
 }
 
 /*
@@ -193,7 +193,7 @@
 	if (doublings > RETRY_DOUBLINGS_MAX)
 		doublings = RETRY_DOUBLINGS_MAX;
 	return (int64_t)((double)(RETRY_DELAY_US << doublings) *
-			 (1 + rng_unit(&policy->rng)));
+			 (1 + rng_uniform(&policy->rng)));
 }
 
 /*
--- a/replica.c
+++ b/replica.c
@@ -68,12 +68,12 @@
 
 	/* It starts to warm up when it no longer says it is cold. */
 	if (replica->is_cold) {
-		server->warm_since = now;
+		server->slow_start_at = now;
 		return SLOW_START_FLOOR;
 	}
-	if (now - server->warm_since >= length)
+	if (now - server->slow_start_at >= length)
 		return 1;
-	part = (double)(now - server->warm_since) / (double)length;
+	part = (double)(now - server->slow_start_at) / (double)length;
 	return part > SLOW_START_FLOOR ? part : SLOW_START_FLOOR;
 }
 
@@ -133,7 +133,7 @@
 		if (i != not &&tier_of(&replicas[i], now) == tier)
 			total += weight_of(observe, &replicas[i], now);
 	}
-	point = rng_unit(rng) * total;
+	point = rng_uniform(rng) * total;
 	for (i = 0; i < n; i++) {
 		if (i == not || tier_of(&replicas[i], now) != tier)
 			continue;
@@ -269,7 +269,7 @@
 		if (replica->homes[i].instance == avoid)
 			fill += 1e9;
 		/* A little chance breaks ties. */
-		fill *= 1 + rng_unit(rng) / 64;
+		fill *= 1 + rng_uniform(rng) / 64;
 		if (fill >= least)
 			continue;
 		least = fill;
@@ -350,7 +350,7 @@
 	server->failures_in_row = 0;
 	server->mean_us = (float)elapsed_us;
 	server->sampled_at = now;
-	server->warm_since = now - length * 3 / 4;
+	server->slow_start_at = now - length * 3 / 4;
 	LOG_INFO("server_readmitted", LOG_TEXT("server", server->name));
 }
 
@@ -409,8 +409,9 @@
 	       is_slow(observe, server, server->mean_us);
 }
 
-void replica_review(struct observe *observe, struct observe_server *server,
-		    enum observe_outcome outcome, int64_t elapsed_us)
+void replica_update_ejection(struct observe *observe,
+			     struct observe_server *server,
+			     enum observe_outcome outcome, int64_t elapsed_us)
 {
 	int64_t now = clock_now(observe->clock);
 
--- a/replica.h
+++ b/replica.h
@@ -82,7 +82,7 @@
 			 const struct replica *replica, double share);
 
 /**
- * replica_review() - eject or readmit a server after a request is over
+ * replica_update_ejection() - eject or readmit a server after a request is over
  * @outcome: of that request
  * @elapsed_us: how long it took
  *
@@ -91,8 +91,9 @@
  * At most half a group, rounded down, and eject_max_ratio of a service, but
  * at least one server of it, are ejected at once: a market is never emptied.
  */
-void replica_review(struct observe *observe, struct observe_server *server,
-		    enum observe_outcome outcome, int64_t elapsed_us);
+void replica_update_ejection(struct observe *observe,
+			     struct observe_server *server,
+			     enum observe_outcome outcome, int64_t elapsed_us);
 
 /**
  * replica_ejected() - whether a server is left out now
--- a/run.c
+++ b/run.c
@@ -22,7 +22,7 @@
 struct run_call {
 	uint64_t id;
 	uint64_t sequence;
-	struct run_wait *wait;
+	struct run_waiter *wait;
 	int64_t deadline;
 	char *peer; /* the instance that has the frame */
 	char *strings;
@@ -65,7 +65,7 @@
 	}
 }
 
-int run_code(int status, int code, bool sent)
+int run_reply_error(int status, int code, bool sent)
 {
 	switch (status) {
 	case 0:
@@ -90,7 +90,7 @@
 	return code;
 }
 
-uint16_t run_point(struct str key)
+uint16_t run_key_point(struct str key)
 {
 	return (uint16_t)(str_hash(key) & UINT16_MAX);
 }
@@ -126,7 +126,7 @@
 	copy_part(at, &call->request.payload);
 }
 
-static struct run_call *add_call(struct run_book *book)
+static struct run_call *add_call(struct run_tracker *book)
 {
 	struct run_call *call = mem_zalloc(sizeof(*call));
 
@@ -136,7 +136,7 @@
 	return call;
 }
 
-static void drop_call(struct run_book *book, struct run_call *call)
+static void drop_call(struct run_tracker *book, struct run_call *call)
 {
 	int i;
 
@@ -151,7 +151,7 @@
 	free(call);
 }
 
-static void leave(struct run_wait *wait)
+static void leave(struct run_waiter *wait)
 {
 	if (!wait->book)
 		return;
@@ -163,13 +163,14 @@
 	wait->call = NULL;
 }
 
-static void reply(struct run_wait *wait, const struct ticket_answer *answer)
+static void reply(struct run_waiter *wait, const struct ticket_answer *answer)
 {
 	leave(wait);
 	wait->answered(wait, answer);
 }
 
-static void reply_code(struct run_wait *wait, int code, uint32_t retry_after_ms)
+static void reply_code(struct run_waiter *wait, int code,
+		       uint32_t retry_after_ms)
 {
 	struct ticket_answer answer = {
 		.code = code,
@@ -182,15 +183,15 @@
 static void on_answer(struct ticket_waiter *waiter,
 		      const struct ticket_answer *answer)
 {
-	struct run_wait *wait =
-		(struct run_wait *)((char *)waiter -
-				    offsetof(struct run_wait, waiter));
+	struct run_waiter *wait =
+		(struct run_waiter *)((char *)waiter -
+				      offsetof(struct run_waiter, waiter));
 
 	reply(wait, answer);
 }
 
 /* The last word on a request executed here. */
-static void settle(struct run_book *book, struct run_call *call,
+static void settle(struct run_tracker *book, struct run_call *call,
 		   const struct ticket_answer *answer)
 {
 	uint64_t sequence = call->sequence;
@@ -202,8 +203,8 @@
 	ticket_answer(book->tickets, sequence, &final);
 }
 
-static void settle_code(struct run_book *book, struct run_call *call, int code,
-			uint32_t retry_after_ms)
+static void settle_code(struct run_tracker *book, struct run_call *call,
+			int code, uint32_t retry_after_ms)
 {
 	struct ticket_answer answer = {
 		.code = code,
@@ -213,7 +214,7 @@
 	settle(book, call, &answer);
 }
 
-static int send_to(struct run_book *book, struct run_call *call,
+static int send_to(struct run_tracker *book, struct run_call *call,
 		   const struct run_target *target, int64_t left)
 {
 	call->tried[call->n_tried++] =
@@ -230,7 +231,7 @@
  * time is read before each attempt, so that a process that was stopped and
  * wakes late sends nothing that nobody waits for any more.
  */
-static void try_next(struct run_book *book, struct run_call *call, int code,
+static void try_next(struct run_tracker *book, struct run_call *call, int code,
 		     uint32_t retry_after_ms)
 {
 	while (call->n_tried < RUN_ATTEMPTS_MAX) {
@@ -247,7 +248,7 @@
 		for (i = 0; i < call->n_tried; i++)
 			tried[i] = str_from(call->tried[i]);
 		ret = book->ops->pick(book->ctx, call->request.service,
-				      run_point(call->request.key), tried,
+				      run_key_point(call->request.key), tried,
 				      call->n_tried, &target);
 		if (ret) {
 			code = call->n_tried ? code : ret;
@@ -261,12 +262,12 @@
 	settle_code(book, call, code, retry_after_ms);
 }
 
-static void execute(struct run_book *book, uint64_t sequence,
+static void execute(struct run_tracker *book, uint64_t sequence,
 		    const struct run_message *request, int64_t deadline)
 {
 	struct run_call *call = add_call(book);
-	int64_t expires =
-		clock_now(book->clock) + ticket_left(book->tickets, sequence);
+	int64_t expires = clock_now(book->clock) +
+			  ticket_time_left(book->tickets, sequence);
 
 	call->sequence = sequence;
 	call->deadline = deadline < expires ? deadline : expires;
@@ -274,7 +275,7 @@
 	try_next(book, call, ERR_NOT_RUN, 0);
 }
 
-static void close_overloaded(struct run_book *book, uint64_t sequence)
+static void close_overloaded(struct run_tracker *book, uint64_t sequence)
 {
 	static const struct ticket_answer overload = {
 		.code = ERR_OVERLOAD,
@@ -285,8 +286,9 @@
 }
 
 /* This incarnation issued the ticket. */
-static void accept_own(struct run_book *book, const struct ticket_id *id,
-		       const struct run_message *request, struct run_wait *wait)
+static void accept_own(struct run_tracker *book, const struct ticket_id *id,
+		       const struct run_message *request,
+		       struct run_waiter *wait)
 {
 	struct ticket_answer answer;
 	int state = ticket_use(book->tickets, id, request->service,
@@ -314,8 +316,8 @@
  * An earlier frame of the same ticket may be on its way or may have run, so
  * that even where no byte of this one left, the outcome is not known here.
  */
-static void forward(struct run_book *book, const struct ticket_id *id,
-		    const struct run_message *request, struct run_wait *wait)
+static void forward(struct run_tracker *book, const struct ticket_id *id,
+		    const struct run_message *request, struct run_waiter *wait)
 {
 	struct run_call *call;
 	int ret;
@@ -336,8 +338,9 @@
 	reply_code(wait, ERR_UNAVAILABLE, ASK_AGAIN_MS);
 }
 
-static void start_wait(struct run_book *book, const struct run_message *request,
-		       struct run_wait *wait)
+static void start_wait(struct run_tracker *book,
+		       const struct run_message *request,
+		       struct run_waiter *wait)
 {
 	wait->book = book;
 	wait->call = NULL;
@@ -346,8 +349,8 @@
 	DL_APPEND(book->waits, wait);
 }
 
-static void accept(struct run_book *book, const struct run_message *request,
-		   struct run_wait *wait, bool may_forward)
+static void accept(struct run_tracker *book, const struct run_message *request,
+		   struct run_waiter *wait, bool may_forward)
 {
 	struct ticket_id id;
 
@@ -364,9 +367,9 @@
 		forward(book, &id, request, wait);
 }
 
-void run_book_init(struct run_book *book, const struct clock *clock,
-		   struct ticket_book *tickets, const struct run_ops *ops,
-		   void *ctx)
+void run_tracker_init(struct run_tracker *book, const struct clock *clock,
+		      struct ticket_store *tickets, const struct run_ops *ops,
+		      void *ctx)
 {
 	memset(book, 0, sizeof(*book));
 	book->clock = clock;
@@ -378,7 +381,7 @@
 	book->last_id = tickets->incarnation;
 }
 
-void run_book_finish(struct run_book *book)
+void run_tracker_finish(struct run_tracker *book)
 {
 	struct run_call *call;
 	struct run_call *tmp;
@@ -389,30 +392,30 @@
 		drop_call(book, call);
 }
 
-void run_accept(struct run_book *book, const struct run_message *request,
-		struct run_wait *wait)
+void run_accept(struct run_tracker *book, const struct run_message *request,
+		struct run_waiter *wait)
 {
 	accept(book, request, wait, true);
 }
 
-void run_accept_forwarded(struct run_book *book,
+void run_accept_forwarded(struct run_tracker *book,
 			  const struct run_message *request,
-			  struct run_wait *wait)
+			  struct run_waiter *wait)
 {
 	accept(book, request, wait, false);
 }
 
-void run_abandon(struct run_wait *wait)
+void run_abandon(struct run_waiter *wait)
 {
 	struct run_call *call = wait->call;
-	struct run_book *book = wait->book;
+	struct run_tracker *book = wait->book;
 
 	leave(wait);
 	if (call)
 		drop_call(book, call);
 }
 
-static struct run_call *find_call(const struct run_book *book, uint64_t id)
+static struct run_call *find_call(const struct run_tracker *book, uint64_t id)
 {
 	struct run_call *call;
 
@@ -420,18 +423,18 @@
 	return call;
 }
 
-static void end_forwarded(struct run_book *book, struct run_call *call,
+static void end_forwarded(struct run_tracker *book, struct run_call *call,
 			  const struct ticket_answer *answer)
 {
-	struct run_wait *wait = call->wait;
+	struct run_waiter *wait = call->wait;
 
 	drop_call(book, call);
 	if (wait)
 		reply(wait, answer);
 }
 
-void run_result(struct run_book *book, uint64_t id, struct str from,
-		const struct ticket_answer *answer)
+void run_handle_result(struct run_tracker *book, uint64_t id, struct str from,
+		       const struct ticket_answer *answer)
 {
 	struct run_call *call = find_call(book, id);
 
@@ -456,7 +459,7 @@
  * The ids of the calls that match, so that whoever is answered may change the
  * list. Free the array.
  */
-static uint64_t *collect(const struct run_book *book,
+static uint64_t *collect(const struct run_tracker *book,
 			 bool (*match)(const struct run_call *call,
 				       const void *arg),
 			 const void *arg, int *n)
@@ -482,7 +485,7 @@
 	return call->deadline + GRACE <= *(const int64_t *)now;
 }
 
-static void end_calls(struct run_book *book, const uint64_t *ids, int n,
+static void end_calls(struct run_tracker *book, const uint64_t *ids, int n,
 		      const struct ticket_answer *forwarded, int executed_code)
 {
 	int i;
@@ -499,7 +502,7 @@
 	}
 }
 
-void run_peer_lost(struct run_book *book, struct str instance)
+void run_peer_lost(struct run_tracker *book, struct str instance)
 {
 	static const struct ticket_answer lost = {
 		.code = ERR_UNAVAILABLE,
@@ -512,9 +515,10 @@
 	free(ids);
 }
 
-static struct run_wait *first_late(const struct run_book *book, int64_t now)
+static struct run_waiter *first_late(const struct run_tracker *book,
+				     int64_t now)
 {
-	struct run_wait *wait;
+	struct run_waiter *wait;
 
 	DL_FOREACH (book->waits, wait) {
 		if (wait->deadline <= now)
@@ -523,13 +527,13 @@
 	return NULL;
 }
 
-int64_t run_tick(struct run_book *book)
+int64_t run_tick(struct run_tracker *book)
 {
 	static const struct ticket_answer late = {.code = ERR_UNKNOWN};
 	int64_t now = clock_now(book->clock);
 	int64_t next = INT64_MAX;
 	struct run_call *call;
-	struct run_wait *wait;
+	struct run_waiter *wait;
 	uint64_t *ids;
 	int n;
 
--- a/run.h
+++ b/run.h
@@ -19,7 +19,7 @@
 
 /* Backend servers tried for one request, all provably without a run but one. */
 #define RUN_ATTEMPTS_MAX 4
-/* Default for struct run_book: requests in progress at one instance. */
+/* Default for struct run_tracker: requests in progress at one instance. */
 #define RUN_CALLS_MAX 4096
 
 /**
@@ -80,48 +80,49 @@
 };
 
 /**
- * struct run_wait - who waits for the answer, a caller or a forwarding instance
+ * struct run_waiter - who waits for the answer, a caller or a forwarding
+ * instance
  * @answered: called once, maybe within run_accept(); @answer is borrowed
  */
-struct run_wait {
+struct run_waiter {
 	struct ticket_waiter waiter;
-	void (*answered)(struct run_wait *wait,
+	void (*answered)(struct run_waiter *wait,
 			 const struct ticket_answer *answer);
-	struct run_book *book;
+	struct run_tracker *book;
 	struct run_call *call;
 	int64_t deadline;
-	struct run_wait *prev;
-	struct run_wait *next;
+	struct run_waiter *prev;
+	struct run_waiter *next;
 };
 
 /**
- * struct run_book - requests in progress at one instance
+ * struct run_tracker - requests in progress at one instance
  * @tickets: of this incarnation
  * @calls: waiting for a frame from an issuer or a home, by id
  * @waits: who waits, of all requests
  * @calls_max: bound of @calls; more are refused
  * @last_id: of a frame
  */
-struct run_book {
+struct run_tracker {
 	const struct clock *clock;
-	struct ticket_book *tickets;
+	struct ticket_store *tickets;
 	const struct run_ops *ops;
 	void *ctx;
 	struct run_call *calls;
-	struct run_wait *waits;
+	struct run_waiter *waits;
 	int n_calls;
 	int calls_max;
 	uint64_t last_id;
 };
 
-void run_book_init(struct run_book *book, const struct clock *clock,
-		   struct ticket_book *tickets, const struct run_ops *ops,
-		   void *ctx);
+void run_tracker_init(struct run_tracker *book, const struct clock *clock,
+		      struct ticket_store *tickets, const struct run_ops *ops,
+		      void *ctx);
 
 /**
- * run_book_finish() - answer everyone ERR_UNKNOWN and free the calls
+ * run_tracker_finish() - answer everyone ERR_UNKNOWN and free the calls
  */
-void run_book_finish(struct run_book *book);
+void run_tracker_finish(struct run_tracker *book);
 
 /**
  * run_outcome() - what a code says about the run
@@ -130,7 +131,7 @@
 enum run_outcome run_outcome(int code);
 
 /**
- * run_code() - what a backend server's reply to POST /v1/run says
+ * run_reply_error() - what a backend server's reply to POST /v1/run says
  * @status: of the reply, 0 if none came
  * @code: why none came
  * @sent: bytes of the request may have reached the server
@@ -140,12 +141,12 @@
  *
  * Return: 0, or an error for run_outcome().
  */
-int run_code(int status, int code, bool sent);
+int run_reply_error(int status, int code, bool sent);
 
 /**
- * run_point() - the point a record key hashes to, see docs/PROTOCOL.md
+ * run_key_point() - the point a record key hashes to, see docs/PROTOCOL.md
  */
-uint16_t run_point(struct str key);
+uint16_t run_key_point(struct str key);
 
 /**
  * run_accept() - take a request from a caller
@@ -154,8 +155,8 @@
  *
  * A ticket of another instance is forwarded.
  */
-void run_accept(struct run_book *book, const struct run_message *request,
-		struct run_wait *wait);
+void run_accept(struct run_tracker *book, const struct run_message *request,
+		struct run_waiter *wait);
 
 /**
  * run_accept_forwarded() - take a request that another instance forwarded
@@ -163,35 +164,35 @@
  * Never forwarded again: a ticket of an earlier incarnation is answered
  * ERR_TICKET_LOST.
  */
-void run_accept_forwarded(struct run_book *book,
+void run_accept_forwarded(struct run_tracker *book,
 			  const struct run_message *request,
-			  struct run_wait *wait);
+			  struct run_waiter *wait);
 
 /**
  * run_abandon() - the one who waits is gone; the request goes on
  */
-void run_abandon(struct run_wait *wait);
+void run_abandon(struct run_waiter *wait);
 
 /**
- * run_result() - an issuer or a home answered
+ * run_handle_result() - an issuer or a home answered
  * @id: of the frame it answers; one not known is ignored
  * @from: the instance that sent it; an answer of another is ignored
  */
-void run_result(struct run_book *book, uint64_t id, struct str from,
-		const struct ticket_answer *answer);
+void run_handle_result(struct run_tracker *book, uint64_t id, struct str from,
+		       const struct ticket_answer *answer);
 
 /**
  * run_peer_lost() - the connection to an instance broke
  *
  * Whatever was handed to it may have run.
  */
-void run_peer_lost(struct run_book *book, struct str instance);
+void run_peer_lost(struct run_tracker *book, struct str instance);
 
 /**
  * run_tick() - answer those whose deadline passed
  *
  * Return: time of the next call, microseconds; INT64_MAX if nothing waits.
  */
-int64_t run_tick(struct run_book *book);
+int64_t run_tick(struct run_tracker *book);
 
 #endif
--- a/run_net.c
+++ b/run_net.c
@@ -17,7 +17,7 @@
 
 /* A request that another instance handed to this one, its ticket's issuer. */
 struct run_forwarded {
-	struct run_wait wait;
+	struct run_waiter wait;
 	struct run_net *net;
 	struct peer_link *link;
 	uint64_t id;
@@ -210,7 +210,7 @@
 	free(forwarded);
 }
 
-static void on_forwarded_answer(struct run_wait *wait,
+static void on_forwarded_answer(struct run_waiter *wait,
 				const struct ticket_answer *answer)
 {
 	struct run_forwarded *forwarded = (struct run_forwarded *)wait;
@@ -265,7 +265,8 @@
 		.retry_after_ms = result->retry_after_ms,
 	};
 
-	run_result(&net->runs, result->id, str_from(link->instance), &answer);
+	run_handle_result(&net->runs, result->id, str_from(link->instance),
+			  &answer);
 	wake_timer_arm(&net->timer, run_tick(&net->runs));
 }
 
@@ -310,7 +311,7 @@
 		.answer_reserve = tunables->ticket_answer_bytes,
 	};
 
-	ticket_book_set_limits(&net->tickets, &limits);
+	ticket_store_set_limits(&net->tickets, &limits);
 	net->runs.calls_max = (int)tunables->run_max;
 }
 
@@ -320,10 +321,10 @@
 	memset(net, 0, sizeof(*net));
 	net->board = board;
 	net->peers = peers;
-	ticket_book_init(&net->tickets, board->clock,
-			 str_from(board->settings->instance),
-			 board->incarnation, draw);
-	run_book_init(&net->runs, board->clock, &net->tickets, &ops, net);
+	ticket_store_init(&net->tickets, board->clock,
+			  str_from(board->settings->instance),
+			  board->incarnation, draw);
+	run_tracker_init(&net->runs, board->clock, &net->tickets, &ops, net);
 	on_table(net);
 	wake_timer_init(&net->timer, board->base, board->clock, on_timer, net);
 	net->handler.frame = on_frame;
@@ -337,8 +338,8 @@
 
 void run_net_finish(struct run_net *net)
 {
-	run_book_finish(&net->runs);
-	ticket_book_finish(&net->tickets);
+	run_tracker_finish(&net->runs);
+	ticket_store_finish(&net->tickets);
 	wake_timer_finish(&net->timer);
 }
 
@@ -374,7 +375,7 @@
 }
 
 void run_net_run(struct run_net *net, struct run_message *message,
-		 struct run_wait *wait)
+		 struct run_waiter *wait)
 {
 	const struct service *service = find_service(net, message->service);
 	int64_t most = service ? service->deadline_ms : DEADLINE_DEFAULT_MS;
--- a/run_net.h
+++ b/run_net.h
@@ -14,14 +14,14 @@
 struct run_forwarded;
 
 /**
- * struct run_net - the wiring of struct run_book
+ * struct run_net - the wiring of struct run_tracker
  * @forwarded: requests that other instances handed to this one
  */
 struct run_net {
 	struct blackboard *board;
 	struct peers *peers;
-	struct ticket_book tickets;
-	struct run_book runs;
+	struct ticket_store tickets;
+	struct run_tracker runs;
 	struct peer_handler handler;
 	struct run_forwarded *forwarded;
 	struct wake_timer timer;
@@ -52,6 +52,6 @@
  * Its deadline is bounded by that of the service.
  */
 void run_net_run(struct run_net *net, struct run_message *message,
-		 struct run_wait *wait);
+		 struct run_waiter *wait);
 
 #endif
--- a/search_hedge.c
+++ b/search_hedge.c
@@ -61,7 +61,7 @@
 	int i;
 
 	if (!part->is_late)
-		observe_late(part->seen);
+		observe_mark_late(part->seen);
 	part->is_late = true;
 	part->hedge_at = INT64_MAX;
 	if (search->watched)
--- a/search_result.c
+++ b/search_result.c
@@ -129,8 +129,8 @@
 	if (was_hedged(search, part))
 		cancel_losers(search);
 	if (search->watched)
-		poison_cleared(&search->searches->board->poison,
-			       search->fingerprint);
+		poison_mark_cleared(&search->searches->board->poison,
+				    search->fingerprint);
 	search->watched = false;
 }
 
--- a/serve.c
+++ b/serve.c
@@ -49,7 +49,7 @@
 {
 	struct instance *instance = arg;
 
-	poison_net_beat(&instance->poison);
+	poison_net_tick(&instance->poison);
 	entry_net_tick(&instance->entry, lag);
 }
 
--- a/share.c
+++ b/share.c
@@ -192,13 +192,14 @@
 		share->ops->changed(share->arg);
 }
 
-void share_in_use(struct share *share, int row, int slots, int connections)
+void share_report_usage(struct share *share, int row, int slots,
+			int connections)
 {
 	share->rows[row].used.slots = slots;
 	share->rows[row].used.connections = connections;
 }
 
-void share_confirmed(struct share *share, int64_t sent_at)
+void share_confirm_lease(struct share *share, int64_t sent_at)
 {
 	refresh(share);
 	if (sent_at > share->confirmed)
@@ -255,7 +256,7 @@
 	return share_lease_runs(share);
 }
 
-void share_view_state(struct share *share, const Peer__ViewState *state)
+void share_receive_view_state(struct share *share, const Peer__ViewState *state)
 {
 	refresh(share);
 	share_pool_hear(share, state);
--- a/share.h
+++ b/share.h
@@ -101,8 +101,8 @@
  * struct share_ops - what the shares want done
  * @send_view: by TCP; the message is borrowed during the call
  * @changed: some of the shares may be other than before; may be NULL
- * @report: call share_in_use() for all that is used, now; may be NULL if each
- *	change of it is reported at once
+ * @report: call share_report_usage() for all that is used, now; may be NULL if
+ *each change of it is reported at once
  */
 struct share_ops {
 	void (*send_view)(void *arg, const struct member *to,
@@ -181,20 +181,22 @@
 void share_table_changed(struct share *share, const struct table *table);
 
 /**
- * share_view_state() - a ViewState frame came
+ * share_receive_view_state() - a ViewState frame came
  */
-void share_view_state(struct share *share, const struct Peer__ViewState *state);
+void share_receive_view_state(struct share *share,
+			      const struct Peer__ViewState *state);
 
 /**
- * share_in_use() - report what is used of a server
+ * share_report_usage() - report what is used of a server
  */
-void share_in_use(struct share *share, int row, int slots, int connections);
+void share_report_usage(struct share *share, int row, int slots,
+			int connections);
 
 /**
- * share_confirmed() - a peer holds this instance for present
+ * share_confirm_lease() - a peer holds this instance for present
  * @sent_at: when it was asked, microseconds
  */
-void share_confirmed(struct share *share, int64_t sent_at);
+void share_confirm_lease(struct share *share, int64_t sent_at);
 
 /**
  * share_tick() - time passed; call at least 5 times a probe period
--- a/tests/fake_fleet.c
+++ b/tests/fake_fleet.c
@@ -181,9 +181,9 @@
 	struct fake_job *job = &fleet->jobs[index];
 	struct fake_server *server = &fleet->servers[job->server];
 	double usec = fleet->config.service_us *
-		      (0.7 + 0.6 * rng_unit(&fleet->rng)) * server->slow;
+		      (0.7 + 0.6 * rng_uniform(&fleet->rng)) * server->slow;
 
-	if (rng_unit(&fleet->rng) < fleet->config.straggler_ratio)
+	if (rng_uniform(&fleet->rng) < fleet->config.straggler_ratio)
 		usec *= fleet->config.straggler_factor;
 	server->busy++;
 	job->running = true;
@@ -199,7 +199,7 @@
 	server->received++;
 	if (server->down)
 		job->fail_code = ERR_CONNECT;
-	else if (rng_unit(&fleet->rng) < server->shed_ratio)
+	else if (rng_uniform(&fleet->rng) < server->shed_ratio)
 		job->fail_code = ERR_SHED;
 	if (job->fail_code) {
 		push(fleet, now_of(fleet) + REFUSAL_US, EVENT_DONE, index, 0);
@@ -442,7 +442,7 @@
 	if (!job->alive)
 		return;
 	if (!job->late)
-		observe_late(fleet->servers[job->server].seen);
+		observe_mark_late(fleet->servers[job->server].seen);
 	job->late = true;
 	if (state->newest != index)
 		return;
@@ -528,7 +528,7 @@
 
 	/* Arrivals with chance between them, as from many callers. */
 	for (i = 0; i < n; i++) {
-		at += (int64_t)(2 * rng_unit(&fleet->rng) * USEC_PER_SEC /
+		at += (int64_t)(2 * rng_uniform(&fleet->rng) * USEC_PER_SEC /
 				fleet->config.rate);
 		push(fleet, at, EVENT_ARRIVE, 0, 0);
 	}
--- a/tests/fuzz/fuzz_home.c
+++ b/tests/fuzz/fuzz_home.c
@@ -125,8 +125,8 @@
 	home_init(&world->home, &world->board, &ops, world);
 	for (i = 0; i < 2; i++)
 		home_set_share(&world->home,
-			       home_put_server(&world->home,
-					       str_from(names[i])),
+			       home_find_or_add_server(&world->home,
+						       str_from(names[i])),
 			       SLOTS, SLOTS);
 }
 
--- a/tests/fuzz/fuzz_http.c
+++ b/tests/fuzz/fuzz_http.c
@@ -21,9 +21,9 @@
 	int i;
 
 	for (i = 0; i < message->n_fields; i++)
-		http_field_is_hop(message,
-				  http_message_span(message,
-						    message->fields[i].name));
+		http_field_is_hop_by_hop(
+			message,
+			http_message_span(message, message->fields[i].name));
 	server_load_parse(http_message_field(message, STR("x-server-load")),
 			  &load);
 	http_message_field(message, STR("x-request-id"));
--- a/tests/matrix_cluster.c
+++ b/tests/matrix_cluster.c
@@ -995,7 +995,7 @@
 
 		if (!is_home_of(instance->index, i))
 			continue;
-		server = home_put_server(
+		server = home_find_or_add_server(
 			&instance->home,
 			str_from(instance->cluster->servers[i].name));
 		home_set_share(&instance->home, server, SERVER_SLOTS / 2,
--- a/tests/member_sim.c
+++ b/tests/member_sim.c
@@ -187,7 +187,7 @@
 	struct sim_node *node = arg;
 
 	if (node->sim->table)
-		share_confirmed(&node->share, sent_at);
+		share_confirm_lease(&node->share, sent_at);
 }
 
 static uint64_t random_bits(void *arg)
@@ -376,7 +376,8 @@
 		use->used = use->usable;
 		use->drain_at = 0;
 	}
-	share_in_use(&node->share, row, use->used.slots, use->used.connections);
+	share_report_usage(&node->share, row, use->used.slots,
+			   use->used.connections);
 }
 
 /* Updates the sums and the overshoot after a possible change of shares. */
@@ -580,7 +581,7 @@
 		peer__view_state__unpack(NULL, message->len,
 					 (const uint8_t *)message->data);
 
-	share_view_state(&node->share, state);
+	share_receive_view_state(&node->share, state);
 	peer__view_state__free_unpacked(state, NULL);
 }
 
--- a/tests/test_home.c
+++ b/tests/test_home.c
@@ -112,7 +112,7 @@
 				 uint32_t slots)
 {
 	struct home_server *server =
-		home_put_server(&world->home, str_from(name));
+		home_find_or_add_server(&world->home, str_from(name));
 
 	home_set_share(&world->home, server, slots, slots * 2);
 	return server;
--- a/tests/test_http_message.c
+++ b/tests/test_http_message.c
@@ -68,11 +68,11 @@
 	CU_ASSERT(str_eq_text(http_message_target(&message), "/x"));
 	CU_ASSERT(
 		str_eq_text(http_message_field(&message, STR("HOST")), "here"));
-	CU_ASSERT(http_message_has(&message, STR("empty")));
-	CU_ASSERT(!http_message_has(&message, STR("none")));
-	CU_ASSERT(http_field_is_hop(&message, STR("x-hop")));
-	CU_ASSERT(http_field_is_hop(&message, STR("Content-Length")));
-	CU_ASSERT(!http_field_is_hop(&message, STR("X-End")));
+	CU_ASSERT(http_message_has_field(&message, STR("empty")));
+	CU_ASSERT(!http_message_has_field(&message, STR("none")));
+	CU_ASSERT(http_field_is_hop_by_hop(&message, STR("x-hop")));
+	CU_ASSERT(http_field_is_hop_by_hop(&message, STR("Content-Length")));
+	CU_ASSERT(!http_field_is_hop_by_hop(&message, STR("X-End")));
 	CU_ASSERT(!message.keep_alive);
 	http_message_finish(&message);
 	evbuffer_free(in);
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -102,8 +102,8 @@
 	struct fixture f;
 
 	setup(&f);
-	poison_well(&f.poison, F);
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_FREE);
+	poison_mark_safe(&f.poison, F);
+	CU_ASSERT_EQUAL(verdict(&f, F), POISON_KNOWN_SAFE);
 	begin(&f, &old, F, "b3", false);
 	begin(&f, &run, F, "b1", false);
 	lose(&f, "b1");
@@ -113,7 +113,7 @@
 	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
 	CU_ASSERT_EQUAL(begin(&f, &run, F, "b2", true), 0);
 	poison_end(&f.poison, &run, true);
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_FREE);
+	CU_ASSERT_EQUAL(verdict(&f, F), POISON_KNOWN_SAFE);
 	CU_ASSERT_EQUAL(f.reports, 2);
 	CU_ASSERT_FALSE(f.last.unwatched);
 	poison_finish(&f.poison);
@@ -130,12 +130,12 @@
 	struct fixture f;
 
 	setup(&f);
-	poison_well(&f.poison, G);
+	poison_mark_safe(&f.poison, G);
 	begin(&f, &good, G, "b1", false);
 	begin(&f, &bad, F, "b1", true);
 	lose(&f, "b1");
 	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
-	CU_ASSERT_EQUAL(verdict(&f, G), POISON_FREE);
+	CU_ASSERT_EQUAL(verdict(&f, G), POISON_KNOWN_SAFE);
 	poison_end(&f.poison, &good, true);
 	poison_finish(&f.poison);
 }
@@ -150,7 +150,7 @@
 	struct fixture f;
 
 	setup(&f);
-	poison_well(&f.poison, F);
+	poison_mark_safe(&f.poison, F);
 	begin(&f, &runs[0], F, "b1", false);
 	begin(&f, &runs[1], F, "b2", false);
 	lose(&f, "b1");
@@ -174,11 +174,11 @@
 	begin(&b, &run, F, "b1", true);
 	lose(&b, "b1");
 	report = a.last;
-	CU_ASSERT_FALSE(poison_learn(&b.poison, &report));
+	CU_ASSERT_FALSE(poison_apply_report(&b.poison, &report));
 	CU_ASSERT_EQUAL(verdict(&b, F), POISON_PROBATION);
 	begin(&a, &run, F, "b2", true);
 	lose(&a, "b2");
-	CU_ASSERT(poison_learn(&b.poison, &a.last));
+	CU_ASSERT(poison_apply_report(&b.poison, &a.last));
 	CU_ASSERT_EQUAL(verdict(&b, F), POISON_BANNED);
 	poison_finish(&a.poison);
 	poison_finish(&b.poison);
@@ -200,7 +200,7 @@
 	lose(&a, "b1");
 	begin(&b, &run, F, "b2", true);
 	lose(&b, "b2");
-	CU_ASSERT(poison_learn(&b.poison, &a.last));
+	CU_ASSERT(poison_apply_report(&b.poison, &a.last));
 	CU_ASSERT_EQUAL(verdict(&b, F), POISON_BANNED);
 	poison_finish(&a.poison);
 	poison_finish(&b.poison);
@@ -241,7 +241,7 @@
 	CU_ASSERT_EQUAL(begin(&f, &runs[0], F, "b2", true), 0);
 	poison_end(&f.poison, &runs[0], true);
 	poison_end(&f.poison, &runs[1], true);
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_FREE);
+	CU_ASSERT_EQUAL(verdict(&f, F), POISON_KNOWN_SAFE);
 	poison_finish(&f.poison);
 }
 
@@ -273,7 +273,7 @@
 	CU_ASSERT_EQUAL(poison_pick(&f.poison, F, candidates, 3), 2);
 	candidates[1].changed = clock_now(&f.clock);
 	CU_ASSERT_EQUAL(poison_pick(&f.poison, F, candidates, 3), ERR_NO_SLOT);
-	clock_advance(&f.clock, POISON_SETTLE);
+	clock_advance(&f.clock, POISON_REPORT_WAIT);
 	CU_ASSERT_EQUAL(poison_pick(&f.poison, F, candidates, 3), 2);
 	candidates[2].reachable = false;
 	CU_ASSERT_EQUAL(poison_pick(&f.poison, F, candidates, 3), 0);
@@ -297,21 +297,21 @@
 
 	setup(&f);
 	setup(&peer);
-	poison_well(&f.poison, F);
+	poison_mark_safe(&f.poison, F);
 	begin(&f, &run, F, "b1", false);
 	lose(&f, "b1");
 	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
-	CU_ASSERT(poison_learn(&peer.poison, &f.last));
+	CU_ASSERT(poison_apply_report(&peer.poison, &f.last));
 	CU_ASSERT_EQUAL(verdict(&peer, F), POISON_PROBATION);
 	begin(&f, &run, F, "b2", true);
 	lose(&f, "b2");
 	CU_ASSERT_EQUAL(verdict(&f, F), POISON_PROBATION);
-	CU_ASSERT(poison_learn(&peer.poison, &f.last));
+	CU_ASSERT(poison_apply_report(&peer.poison, &f.last));
 	CU_ASSERT_EQUAL(verdict(&peer, F), POISON_PROBATION);
 	begin(&f, &run, F, "b3", true);
 	lose(&f, "b3");
 	CU_ASSERT_EQUAL(verdict(&f, F), POISON_BANNED);
-	CU_ASSERT(poison_learn(&peer.poison, &f.last));
+	CU_ASSERT(poison_apply_report(&peer.poison, &f.last));
 	CU_ASSERT_EQUAL(verdict(&peer, F), POISON_BANNED);
 	poison_finish(&f.poison);
 	poison_finish(&peer.poison);
@@ -331,11 +331,11 @@
 	setup(&home);
 	begin(&home, &run, F, "b1", false);
 	lose(&home, "b1");
-	poison_learn(&f.poison, &home.last);
+	poison_apply_report(&f.poison, &home.last);
 	begin(&home, &run, F, "b2", true);
 	poison_end(&home.poison, &run, true);
-	CU_ASSERT(poison_learn(&f.poison, &home.last));
-	CU_ASSERT_EQUAL(verdict(&f, F), POISON_FREE);
+	CU_ASSERT(poison_apply_report(&f.poison, &home.last));
+	CU_ASSERT_EQUAL(verdict(&f, F), POISON_KNOWN_SAFE);
 	begin(&f, &run, F, "b3", false);
 	lose(&f, "b3");
 	begin(&f, &run, F, "b4", true);
@@ -358,17 +358,17 @@
 
 	setup(&f);
 	setup(&home);
-	poison_well(&home.poison, F);
+	poison_mark_safe(&home.poison, F);
 	begin(&f, &run, F, "b1", false);
 	lose(&f, "b1");
 	begin(&home, &run, F, "b2", false);
 	lose(&home, "b2");
-	CU_ASSERT(poison_learn(&home.poison, &f.last));
-	poison_learn(&f.poison, &home.last);
+	CU_ASSERT(poison_apply_report(&home.poison, &f.last));
+	poison_apply_report(&f.poison, &home.last);
 	begin(&home, &run, F, "b3", true);
 	lose(&home, "b3");
 	CU_ASSERT_EQUAL(verdict(&home, F), POISON_BANNED);
-	CU_ASSERT(poison_learn(&f.poison, &home.last));
+	CU_ASSERT(poison_apply_report(&f.poison, &home.last));
 	CU_ASSERT_EQUAL(verdict(&f, F), POISON_BANNED);
 	poison_finish(&f.poison);
 	poison_finish(&home.poison);
@@ -382,29 +382,29 @@
 		.servers = {1},
 		.left = MSEC(1000),
 	};
-	struct poison_report all[POISON_PUSH_MAX];
+	struct poison_report all[POISON_EXPORT_MAX];
 	struct fixture f;
 	int i;
 
 	setup(&f);
 	report.hash = 5;
 	report.banned = true;
-	poison_learn(&f.poison, &report);
+	poison_apply_report(&f.poison, &report);
 	report.banned = false;
 	for (i = 0; i < 1000; i++) {
 		report.hash = 1000 + (uint64_t)i;
-		poison_learn(&f.poison, &report);
-		poison_well(&f.poison, 10000 + (uint64_t)i);
+		poison_apply_report(&f.poison, &report);
+		poison_mark_safe(&f.poison, 10000 + (uint64_t)i);
 	}
-	CU_ASSERT_EQUAL(poison_export(&f.poison, all, POISON_PUSH_MAX), 64);
+	CU_ASSERT_EQUAL(poison_export(&f.poison, all, POISON_EXPORT_MAX), 64);
 	CU_ASSERT_EQUAL(poison_export(&f.poison, all, 10), 10);
 	CU_ASSERT_EQUAL(all[9].hash, 1999);
 	CU_ASSERT_EQUAL(verdict(&f, 5), POISON_BANNED);
-	CU_ASSERT_EQUAL(verdict(&f, 10999), POISON_FREE);
+	CU_ASSERT_EQUAL(verdict(&f, 10999), POISON_KNOWN_SAFE);
 	CU_ASSERT_EQUAL(verdict(&f, 10000), POISON_CANARY);
 	clock_advance(&f.clock, MSEC(60000));
 	poison_expire(&f.poison);
-	CU_ASSERT_EQUAL(poison_export(&f.poison, all, POISON_PUSH_MAX), 0);
+	CU_ASSERT_EQUAL(poison_export(&f.poison, all, POISON_EXPORT_MAX), 0);
 	CU_ASSERT_PTR_NULL(f.poison.goods);
 	poison_finish(&f.poison);
 }
@@ -420,12 +420,12 @@
 	struct fixture f;
 
 	setup(&f);
-	CU_ASSERT(poison_learn(&f.poison, &report));
-	CU_ASSERT_FALSE(poison_learn(&f.poison, &report));
+	CU_ASSERT(poison_apply_report(&f.poison, &report));
+	CU_ASSERT_FALSE(poison_apply_report(&f.poison, &report));
 	clock_advance(&f.clock, MSEC(50));
 	CU_ASSERT_EQUAL(verdict(&f, F), POISON_CANARY);
 	report.left = 0;
-	CU_ASSERT_FALSE(poison_learn(&f.poison, &report));
+	CU_ASSERT_FALSE(poison_apply_report(&f.poison, &report));
 	poison_finish(&f.poison);
 }
 
@@ -619,7 +619,8 @@
 {
 	if (answered) {
 		model->answered++;
-		poison_well(&model->nodes[query->node].poison, query->hash);
+		poison_mark_safe(&model->nodes[query->node].poison,
+				 query->hash);
 	} else {
 		model->refused++;
 	}
@@ -634,7 +635,7 @@
 			     &retry);
 	int server;
 
-	if (model->plain || how == POISON_FREE) {
+	if (model->plain || how == POISON_KNOWN_SAFE) {
 		send_all(model, query, -1);
 	} else if (how != POISON_BANNED) {
 		server = pick_server(model, query);
@@ -744,7 +745,7 @@
 				   str_from(model->servers[act->server].name));
 		break;
 	case ACT_REPORT:
-		poison_learn(poison, &act->report);
+		poison_apply_report(poison, &act->report);
 		break;
 	case ACT_RETRY:
 		start_query(model, act->query);
@@ -887,13 +888,13 @@
  */
 static void test_model_poison(void)
 {
-	CU_ASSERT(poison_losses(false) <= POISON_CRASHES);
+	CU_ASSERT(poison_losses(false) <= POISON_BAN_AFTER_CRASHES);
 }
 
 /* Plain fan-out loses all servers at once, and again as they come back. */
 static void test_model_poison_plain(void)
 {
-	CU_ASSERT(poison_losses(true) > POISON_CRASHES);
+	CU_ASSERT(poison_losses(true) > POISON_BAN_AFTER_CRASHES);
 }
 
 /* The same poison from many callers at the same moment. */
@@ -907,7 +908,7 @@
 	for (i = 0; i < 40; i++)
 		offer(&model, 700, i % NODES, true);
 	model_run(&model, 3000, 0);
-	CU_ASSERT(model.crashes_by_poison <= POISON_CRASHES);
+	CU_ASSERT(model.crashes_by_poison <= POISON_BAN_AFTER_CRASHES);
 	CU_ASSERT_EQUAL(poison_check(&model.nodes[0].poison, 700,
 				     &(uint32_t){0}),
 			POISON_BANNED);
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -341,14 +341,14 @@
 	struct world world;
 
 	set_up(&world, 2);
-	observe_hint(world.replicas[0].server, 0);
+	observe_set_health(world.replicas[0].server, 0);
 	run(&world, 1000, 1000);
 	CU_ASSERT(world.chosen[0] > 200);
 	CU_ASSERT_FALSE(replica_ejected(world.replicas[0].server));
-	observe_hint(world.replicas[1].server, 1);
+	observe_set_health(world.replicas[1].server, 1);
 	fail_often(&world, 1);
 	CU_ASSERT(replica_ejected(world.replicas[1].server));
-	observe_hint(world.replicas[1].server, 1);
+	observe_set_health(world.replicas[1].server, 1);
 	CU_ASSERT(replica_ejected(world.replicas[1].server));
 	tear_down(&world);
 }
--- a/tests/test_run.c
+++ b/tests/test_run.c
@@ -79,13 +79,13 @@
 	struct fleet *fleet;
 	int index;
 	char name[NAME_SIZE];
-	struct ticket_book tickets;
-	struct run_book runs;
+	struct ticket_store tickets;
+	struct run_tracker runs;
 	int64_t stopped_until;
 };
 
 struct wait {
-	struct run_wait base;
+	struct run_waiter base;
 	struct fleet *fleet;
 	bool from_caller;
 	int call;
@@ -257,16 +257,17 @@
 	node->fleet = fleet;
 	node->index = index;
 	snprintf(node->name, sizeof(node->name), "node-%d", index);
-	ticket_book_init(&node->tickets, &fleet->clock, str_from(node->name),
-			 next_random() | 1, next_random);
-	ticket_book_set_limits(&node->tickets, &limits);
-	run_book_init(&node->runs, &fleet->clock, &node->tickets, &ops, node);
+	ticket_store_init(&node->tickets, &fleet->clock, str_from(node->name),
+			  next_random() | 1, next_random);
+	ticket_store_set_limits(&node->tickets, &limits);
+	run_tracker_init(&node->runs, &fleet->clock, &node->tickets, &ops,
+			 node);
 }
 
 static void node_finish(struct node *node)
 {
-	run_book_finish(&node->runs);
-	ticket_book_finish(&node->tickets);
+	run_tracker_finish(&node->runs);
+	ticket_store_finish(&node->tickets);
 }
 
 static void note_answer(struct fleet *fleet, int t, int code, int body)
@@ -314,7 +315,7 @@
 	return body.len ? atoi(body.data) : -1;
 }
 
-static void on_answered(struct run_wait *base,
+static void on_answered(struct run_waiter *base,
 			const struct ticket_answer *answer)
 {
 	struct wait *wait = (struct wait *)base;
@@ -457,8 +458,8 @@
 
 	snprintf(body, sizeof(body), "%d", event->body);
 	answer.body = str_from(body);
-	run_result(&fleet->nodes[event->node].runs, event->id,
-		   str_from(fleet->nodes[event->from].name), &answer);
+	run_handle_result(&fleet->nodes[event->node].runs, event->id,
+			  str_from(fleet->nodes[event->from].name), &answer);
 }
 
 static void on_crash(struct fleet *fleet, const struct event *event)
@@ -700,8 +701,8 @@
 /* Fixed surroundings for the steps below. */
 struct bench {
 	struct clock clock;
-	struct ticket_book tickets;
-	struct run_book runs;
+	struct ticket_store tickets;
+	struct run_tracker runs;
 	char text[TICKET_TEXT_SIZE];
 	int picks;
 	int sends;
@@ -712,7 +713,7 @@
 };
 
 struct bench_wait {
-	struct run_wait base;
+	struct run_waiter base;
 	int calls;
 	int code;
 	uint32_t retry_after_ms;
@@ -778,21 +779,21 @@
 	memset(bench, 0, sizeof(*bench));
 	random_state = 1;
 	clock_init_paused(&bench->clock, MSEC(1));
-	ticket_book_init(&bench->tickets, &bench->clock, STR("a"), 42,
-			 next_random);
-	ticket_book_set_limits(&bench->tickets, &limits);
-	run_book_init(&bench->runs, &bench->clock, &bench->tickets, &bench_ops,
-		      bench);
+	ticket_store_init(&bench->tickets, &bench->clock, STR("a"), 42,
+			  next_random);
+	ticket_store_set_limits(&bench->tickets, &limits);
+	run_tracker_init(&bench->runs, &bench->clock, &bench->tickets,
+			 &bench_ops, bench);
 	ticket_issue(&bench->tickets, STR("desk"), bench->text, &retry);
 }
 
 static void bench_finish(struct bench *bench)
 {
-	run_book_finish(&bench->runs);
-	ticket_book_finish(&bench->tickets);
+	run_tracker_finish(&bench->runs);
+	ticket_store_finish(&bench->tickets);
 }
 
-static void bench_answered(struct run_wait *base,
+static void bench_answered(struct run_waiter *base,
 			   const struct ticket_answer *answer)
 {
 	struct bench_wait *wait = (struct bench_wait *)base;
@@ -827,7 +828,7 @@
 {
 	struct ticket_answer answer = {.code = code};
 
-	run_result(&bench->runs, bench->id, str_from(from), &answer);
+	run_handle_result(&bench->runs, bench->id, str_from(from), &answer);
 }
 
 /*
@@ -1111,20 +1112,24 @@
 				     499, 500, 502, 504, 999};
 	size_t i;
 
-	CU_ASSERT_EQUAL(run_code(200, ERR_DRAINING, true), 0);
+	CU_ASSERT_EQUAL(run_reply_error(200, ERR_DRAINING, true), 0);
 	for (i = 0; i < sizeof(proofs) / sizeof(*proofs); i++)
-		CU_ASSERT_EQUAL(run_outcome(run_code(proofs[i], 0, true)),
+		CU_ASSERT_EQUAL(run_outcome(
+					run_reply_error(proofs[i], 0, true)),
 				RUN_NOT_RUN);
 	for (i = 0; i < sizeof(others) / sizeof(*others); i++)
-		CU_ASSERT_EQUAL(run_outcome(run_code(others[i], ERR_TOO_LATE,
-						     true)),
+		CU_ASSERT_EQUAL(run_outcome(run_reply_error(others[i],
+							    ERR_TOO_LATE,
+							    true)),
 				RUN_UNKNOWN);
-	CU_ASSERT_EQUAL(run_outcome(run_code(400, 0, true)), RUN_REFUSED);
-	CU_ASSERT_EQUAL(run_outcome(run_code(0, ERR_CONNECT, false)),
+	CU_ASSERT_EQUAL(run_outcome(run_reply_error(400, 0, true)),
+			RUN_REFUSED);
+	CU_ASSERT_EQUAL(run_outcome(run_reply_error(0, ERR_CONNECT, false)),
 			RUN_NOT_RUN);
-	CU_ASSERT_EQUAL(run_outcome(run_code(0, ERR_CONNECT, true)),
+	CU_ASSERT_EQUAL(run_outcome(run_reply_error(0, ERR_CONNECT, true)),
+			RUN_UNKNOWN);
+	CU_ASSERT_EQUAL(run_outcome(run_reply_error(0, ERR_LOST, true)),
 			RUN_UNKNOWN);
-	CU_ASSERT_EQUAL(run_outcome(run_code(0, ERR_LOST, true)), RUN_UNKNOWN);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_search.c
+++ b/tests/test_search.c
@@ -779,8 +779,8 @@
 {
 	const struct trace *trace = NULL;
 
-	CU_ASSERT_EQUAL_FATAL(trace_book_find(&world->path.board.traces,
-					      STR("r"), NULL, &trace),
+	CU_ASSERT_EQUAL_FATAL(trace_store_find(&world->path.board.traces,
+					       STR("r"), NULL, &trace),
 			      0);
 	return trace;
 }
@@ -791,7 +791,7 @@
 	struct burn *burn = &world->path.board.burn;
 	struct burn_service *service = burn_find(burn, STR(PATH_SERVICE));
 
-	burn_sum(burn, service, BURN_5M, counts);
+	burn_count_window(burn, service, BURN_5M, counts);
 	return service;
 }
 
@@ -833,10 +833,10 @@
 	CU_ASSERT_EQUAL(counts.total, 1);
 	CU_ASSERT_EQUAL(counts.partial, 1);
 	CU_ASSERT_EQUAL(counts.refused, 0);
-	burn_top(&world.path.board.burn, service, BURN_SERVER, &top);
+	burn_top_causes(&world.path.board.burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 1);
 	CU_ASSERT_STRING_EQUAL(top.entries[0].key, "b2");
-	burn_top(&world.path.board.burn, service, BURN_SHARD, &top);
+	burn_top_causes(&world.path.board.burn, service, BURN_SHARD, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 1);
 	CU_ASSERT_STRING_EQUAL(top.entries[0].key, "32768-65535");
 	tear_down(&world);
@@ -856,8 +856,8 @@
 	CU_ASSERT_EQUAL(recorded(&world)->summary.n_reasons, 0);
 	burned(&world, &counts);
 	CU_ASSERT_EQUAL(counts.total, 1);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_LATENCY), 0);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_COVERAGE), 0);
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_LATENCY), 0);
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_COVERAGE), 0);
 	tear_down(&world);
 }
 
@@ -872,8 +872,8 @@
 	CU_ASSERT_EQUAL(recorded(&world)->summary.code, ERR_NO_SNAPSHOT);
 	burned(&world, &counts);
 	CU_ASSERT_EQUAL(counts.refused, 1);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_LATENCY), 1);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_COVERAGE), 1);
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_LATENCY), 1);
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_COVERAGE), 1);
 	tear_down(&world);
 }
 
--- a/tests/test_ticket.c
+++ b/tests/test_ticket.c
@@ -18,7 +18,7 @@
 
 struct fixture {
 	struct clock clock;
-	struct ticket_book book;
+	struct ticket_store book;
 	char text[TICKET_TEXT_SIZE];
 	struct ticket_id id;
 	struct ticket_answer answer;
@@ -33,14 +33,14 @@
 		.answer_reserve = 64,
 	};
 
-	ticket_book_set_limits(&f->book, &limits);
+	ticket_store_set_limits(&f->book, &limits);
 }
 
 static void setup(struct fixture *f)
 {
 	memset(f, 0, sizeof(*f));
 	clock_init_paused(&f->clock, MSEC(5));
-	ticket_book_init(&f->book, &f->clock, STR("be1-a"), 42, count_up);
+	ticket_store_init(&f->book, &f->clock, STR("be1-a"), 42, count_up);
 	set_limits(f, 100, 1 << 20);
 }
 
@@ -108,7 +108,7 @@
 	CU_ASSERT(str_eq_text(f.answer.body, "van 7"));
 	CU_ASSERT_EQUAL(ticket_wait(&f.book, f.id.sequence, &first.base),
 			ERR_TICKET);
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.book);
 }
 
 /*
@@ -139,7 +139,7 @@
 	CU_ASSERT_EQUAL(ticket_use(&f.book, &f.id, STR("desk"), DIGEST + 1,
 				   &f.answer),
 			ERR_BAD_REQUEST);
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.book);
 }
 
 static void test_parse(void)
@@ -182,7 +182,7 @@
 	CU_ASSERT(ticket_is_own(&f.book, &f.id));
 	f.book.incarnation = 43;
 	CU_ASSERT_FALSE(ticket_is_own(&f.book, &f.id));
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.book);
 }
 
 /*
@@ -202,7 +202,7 @@
 	used = f.id;
 	issue(&f);
 	clock_advance(&f.clock, LIFETIME - 1);
-	CU_ASSERT_EQUAL(ticket_left(&f.book, used.sequence), 1);
+	CU_ASSERT_EQUAL(ticket_time_left(&f.book, used.sequence), 1);
 	clock_advance(&f.clock, 1);
 	CU_ASSERT_EQUAL(use(&f), ERR_TICKET_EXPIRED);
 	CU_ASSERT_EQUAL(ticket_use(&f.book, &used, STR("desk"), DIGEST,
@@ -217,7 +217,7 @@
 			ERR_TICKET_LOST);
 	f.book.issued += TICKET_HISTORY;
 	CU_ASSERT_EQUAL(use(&f), ERR_TICKET_LOST);
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.book);
 }
 
 /* A request that runs when its ticket expires is still answered. */
@@ -237,7 +237,7 @@
 	CU_ASSERT_EQUAL(waiter.calls, 1);
 	ticket_expire(&f.book);
 	CU_ASSERT_EQUAL(f.book.n_entries, 0);
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.book);
 }
 
 /*
@@ -265,7 +265,7 @@
 		n++;
 	CU_ASSERT(n > 1);
 	CU_ASSERT(f.book.bytes <= 2000);
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.book);
 }
 
 /*
@@ -287,7 +287,7 @@
 	CU_ASSERT_EQUAL(use(&f), TICKET_ANSWERED);
 	CU_ASSERT_EQUAL(f.answer.code, 0);
 	CU_ASSERT_EQUAL(f.answer.body.len, 0);
-	ticket_book_finish(&f.book);
+	ticket_store_finish(&f.book);
 }
 
 static const struct unit_test tests[] = {
--- a/ticket.c
+++ b/ticket.c
@@ -38,7 +38,7 @@
 	UT_hash_handle hh;
 };
 
-static struct ticket_entry *find(const struct ticket_book *book,
+static struct ticket_entry *find(const struct ticket_store *book,
 				 uint64_t sequence)
 {
 	struct ticket_entry *entry;
@@ -47,7 +47,7 @@
 	return entry;
 }
 
-static uint8_t *used_byte(const struct ticket_book *book, uint64_t sequence)
+static uint8_t *used_byte(const struct ticket_store *book, uint64_t sequence)
 {
 	return &book->used[sequence % TICKET_HISTORY / 8];
 }
@@ -57,7 +57,7 @@
 	return (uint8_t)(1U << (sequence % 8));
 }
 
-static void drop(struct ticket_book *book, struct ticket_entry *entry)
+static void drop(struct ticket_store *book, struct ticket_entry *entry)
 {
 	HASH_DEL(book->entries, entry);
 	DL_DELETE(book->oldest, entry);
@@ -67,9 +67,9 @@
 	free(entry);
 }
 
-void ticket_book_init(struct ticket_book *book, const struct clock *clock,
-		      struct str instance, uint64_t incarnation,
-		      uint64_t (*random)(void))
+void ticket_store_init(struct ticket_store *book, const struct clock *clock,
+		       struct str instance, uint64_t incarnation,
+		       uint64_t (*random)(void))
 {
 	memset(book, 0, sizeof(*book));
 	book->clock = clock;
@@ -79,7 +79,7 @@
 	book->used = mem_zalloc(TICKET_HISTORY / 8);
 }
 
-void ticket_book_finish(struct ticket_book *book)
+void ticket_store_finish(struct ticket_store *book)
 {
 	static const struct ticket_answer unknown = {.code = ERR_UNKNOWN};
 	struct ticket_entry *entry;
@@ -94,20 +94,20 @@
 	book->used = NULL;
 }
 
-void ticket_book_set_limits(struct ticket_book *book,
-			    const struct ticket_limits *limits)
+void ticket_store_set_limits(struct ticket_store *book,
+			     const struct ticket_limits *limits)
 {
 	book->limits = *limits;
 }
 
-static int64_t entry_cost(const struct ticket_book *book)
+static int64_t entry_cost(const struct ticket_store *book)
 {
 	return (int64_t)sizeof(struct ticket_entry) +
 	       book->limits.answer_reserve;
 }
 
 /* Until the oldest entry goes, spread so that not all come back at once. */
-static uint32_t retry_after(const struct ticket_book *book, int64_t now)
+static uint32_t retry_after(const struct ticket_store *book, int64_t now)
 {
 	int64_t ms = RETRY_MIN_MS;
 
@@ -120,7 +120,7 @@
 	return (uint32_t)(ms + (int64_t)(book->random() % (uint64_t)ms) / 2);
 }
 
-int ticket_issue(struct ticket_book *book, struct str service, char *text,
+int ticket_issue(struct ticket_store *book, struct str service, char *text,
 		 uint32_t *retry_after_ms)
 {
 	int64_t now = clock_now(book->clock);
@@ -187,14 +187,14 @@
 	return 0;
 }
 
-bool ticket_is_own(const struct ticket_book *book, const struct ticket_id *id)
+bool ticket_is_own(const struct ticket_store *book, const struct ticket_id *id)
 {
 	return id->incarnation == book->incarnation &&
 	       str_eq(id->instance, book->instance);
 }
 
 /* A ticket whose entry is gone, or whose time is over before its first use. */
-static int judge_expired(const struct ticket_book *book, uint64_t sequence)
+static int judge_expired(const struct ticket_store *book, uint64_t sequence)
 {
 	if (!sequence || sequence > book->issued)
 		return ERR_TICKET;
@@ -205,7 +205,7 @@
 	return ERR_TICKET_EXPIRED;
 }
 
-int ticket_use(struct ticket_book *book, const struct ticket_id *id,
+int ticket_use(struct ticket_store *book, const struct ticket_id *id,
 	       struct str service, uint64_t digest,
 	       struct ticket_answer *answer)
 {
@@ -236,7 +236,7 @@
 	return TICKET_FIRST;
 }
 
-int64_t ticket_left(const struct ticket_book *book, uint64_t sequence)
+int64_t ticket_time_left(const struct ticket_store *book, uint64_t sequence)
 {
 	const struct ticket_entry *entry = find(book, sequence);
 	int64_t left = entry ? entry->expires - clock_now(book->clock) : 0;
@@ -244,7 +244,7 @@
 	return left > 0 ? left : 0;
 }
 
-int ticket_wait(struct ticket_book *book, uint64_t sequence,
+int ticket_wait(struct ticket_store *book, uint64_t sequence,
 		struct ticket_waiter *waiter)
 {
 	struct ticket_entry *entry = find(book, sequence);
@@ -266,7 +266,7 @@
 
 /* The body is kept in what was set aside, and above that while there is room.
  */
-static void keep_answer(struct ticket_book *book, struct ticket_entry *entry,
+static void keep_answer(struct ticket_store *book, struct ticket_entry *entry,
 			const struct ticket_answer *answer)
 {
 	int64_t bytes = (int64_t)sizeof(*entry) + (int64_t)answer->body.len;
@@ -286,7 +286,7 @@
 	book->bytes += bytes;
 }
 
-void ticket_answer(struct ticket_book *book, uint64_t sequence,
+void ticket_answer(struct ticket_store *book, uint64_t sequence,
 		   const struct ticket_answer *answer)
 {
 	struct ticket_entry *entry = find(book, sequence);
@@ -303,7 +303,7 @@
 	}
 }
 
-void ticket_expire(struct ticket_book *book)
+void ticket_expire(struct ticket_store *book)
 {
 	int64_t now = clock_now(book->clock);
 	struct ticket_entry *entry;
--- a/ticket.h
+++ b/ticket.h
@@ -72,7 +72,7 @@
 };
 
 /**
- * struct ticket_book - the tickets that one incarnation has issued
+ * struct ticket_store - the tickets that one incarnation has issued
  * @instance: name of this instance; borrowed
  * @incarnation: of this process, never 0
  * @random: source of nonces; must not be predictable in production
@@ -82,7 +82,7 @@
  * @bytes: in use or set aside
  * @used: a bit for each of the last %TICKET_HISTORY sequence numbers
  */
-struct ticket_book {
+struct ticket_store {
 	const struct clock *clock;
 	struct str instance;
 	uint64_t incarnation;
@@ -103,24 +103,24 @@
 	TICKET_ANSWERED,  /* the answer is filled in */
 };
 
-void ticket_book_init(struct ticket_book *book, const struct clock *clock,
-		      struct str instance, uint64_t incarnation,
-		      uint64_t (*random)(void));
+void ticket_store_init(struct ticket_store *book, const struct clock *clock,
+		       struct str instance, uint64_t incarnation,
+		       uint64_t (*random)(void));
 
 /**
- * ticket_book_finish() - free the entries
+ * ticket_store_finish() - free the entries
  *
  * Waiters are told ERR_UNKNOWN.
  */
-void ticket_book_finish(struct ticket_book *book);
+void ticket_store_finish(struct ticket_store *book);
 
 /**
- * ticket_book_set_limits() - take new bounds
+ * ticket_store_set_limits() - take new bounds
  *
  * Tickets already issued keep the lifetime their holders were told.
  */
-void ticket_book_set_limits(struct ticket_book *book,
-			    const struct ticket_limits *limits);
+void ticket_store_set_limits(struct ticket_store *book,
+			     const struct ticket_limits *limits);
 
 /**
  * ticket_issue() - make a ticket for one request
@@ -130,7 +130,7 @@
  *
  * Return: 0, or ERR_OVERLOAD while the book is full.
  */
-int ticket_issue(struct ticket_book *book, struct str service, char *text,
+int ticket_issue(struct ticket_store *book, struct str service, char *text,
 		 uint32_t *retry_after_ms);
 
 /**
@@ -143,7 +143,7 @@
 /**
  * ticket_is_own() - whether this incarnation issued, and so may run, a ticket
  */
-bool ticket_is_own(const struct ticket_book *book, const struct ticket_id *id);
+bool ticket_is_own(const struct ticket_store *book, const struct ticket_id *id);
 
 /**
  * ticket_use() - present a ticket of this incarnation
@@ -159,16 +159,16 @@
  * ERR_TICKET_EXPIRED: expired unused: it has not run and never will;
  * ERR_TICKET_LOST: expired, and it may have been used.
  */
-int ticket_use(struct ticket_book *book, const struct ticket_id *id,
+int ticket_use(struct ticket_store *book, const struct ticket_id *id,
 	       struct str service, uint64_t digest,
 	       struct ticket_answer *answer);
 
 /**
- * ticket_left() - time until a ticket expires
+ * ticket_time_left() - time until a ticket expires
  *
  * Return: microseconds, 0 for one that is expired or not known.
  */
-int64_t ticket_left(const struct ticket_book *book, uint64_t sequence);
+int64_t ticket_time_left(const struct ticket_store *book, uint64_t sequence);
 
 /**
  * ticket_wait() - be told the answer of a running request
@@ -176,7 +176,7 @@
  *
  * Return: 0, or ERR_TICKET if @sequence is not running.
  */
-int ticket_wait(struct ticket_book *book, uint64_t sequence,
+int ticket_wait(struct ticket_store *book, uint64_t sequence,
 		struct ticket_waiter *waiter);
 
 /**
@@ -190,7 +190,7 @@
  * The first answer stays, so that a repeat gets the same one. Does nothing
  * for a ticket that is not running.
  */
-void ticket_answer(struct ticket_book *book, uint64_t sequence,
+void ticket_answer(struct ticket_store *book, uint64_t sequence,
 		   const struct ticket_answer *answer);
 
 /**
@@ -198,6 +198,6 @@
  *
  * An expired entry that still runs stays until it is answered: it has waiters.
  */
-void ticket_expire(struct ticket_book *book);
+void ticket_expire(struct ticket_store *book);
 
 #endif
--- a/upstream_answer.c
+++ b/upstream_answer.c
@@ -95,10 +95,11 @@
 	if (status == STATUS_MISDIRECTED) {
 		result->code = ERR_FOREIGN;
 		result->not_run = true;
-	} else if (http_message_has(&conn->message, names->not_run)) {
+	} else if (http_message_has_field(&conn->message, names->not_run)) {
 		result->code = ERR_SHED;
 		result->not_run = true;
-	} else if (http_message_has(&conn->message, STR("content-encoding")) ||
+	} else if (http_message_has_field(&conn->message,
+					  STR("content-encoding")) ||
 		   (status / 100 == 2 && !result->stamp.len)) {
 		result->code = ERR_PROTOCOL;
 	}
