--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -269,7 +269,7 @@
 	for (i = 0; i < sim->n; i++) {
 		int64_t took = sim->nodes[i].reached_at - published_at;
 
-		if (sim->nodes[i].seen != revision)
+		if (sim->nodes[i].seen_revision != revision)
 			exit_on_error(ERR_TOO_LATE);
 		nodes->values[nodes->n++] = took;
 		if (took > last)
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -298,7 +298,7 @@
 	int i;
 
 	start_fleet(&sim, NODES);
-	sim_list_mode(&sim, SIM_LIST_FLAPPING);
+	sim_set_list_mode(&sim, SIM_LIST_FLAPPING);
 	sim_run(&sim, MSEC(120000));
 	for (i = 0; i < NODES; i++)
 		CU_ASSERT_EQUAL(count_status(&sim, i, MEMBER_GONE), 0);
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -54,8 +54,8 @@
 			result.reassigned = reassigned;
 		if (sim.slots_overshoot > result.over)
 			result.over = sim.slots_overshoot;
-		if (sim.over_used > result.over_used)
-			result.over_used = sim.over_used;
+		if (sim.used_overshoot > result.over_used)
+			result.over_used = sim.used_overshoot;
 		if (sim.connections_overshoot > 0 && !result.over)
 			result.over = 1;
 		sim_finish(&sim);
@@ -331,7 +331,7 @@
  */
 static int64_t scenario_list_flaps(struct sim *sim)
 {
-	sim_list_mode(sim, SIM_LIST_FLAPPING);
+	sim_set_list_mode(sim, SIM_LIST_FLAPPING);
 	sim_run(sim, MSEC(30000));
 	CU_ASSERT(sim_all_shared(sim));
 	sim_crash(sim, 3);
@@ -356,7 +356,7 @@
 	sim_crash(sim, 5);
 	sim_set_listed(sim, 5, false);
 	sim_run(sim, MSEC(2000));
-	sim_list_mode(sim, SIM_LIST_STALE);
+	sim_set_list_mode(sim, SIM_LIST_STALE);
 	sim_crash(sim, 2);
 	sim_start(sim, 5);
 	if (time_until_reassigned(sim) < 0)
@@ -406,7 +406,7 @@
 	if (sim_random(sim) % 2)
 		sim_set_listed(sim, i, node->up && !node->paused);
 	else
-		sim_list_mode(sim, sim_random(sim) % 3);
+		sim_set_list_mode(sim, sim_random(sim) % 3);
 }
 
 /*
@@ -483,7 +483,7 @@
 {
 	int i;
 
-	sim_list_mode(sim, SIM_LIST_GOOD);
+	sim_set_list_mode(sim, SIM_LIST_GOOD);
 	sim_heal(sim);
 	for (i = 0; i < NODES; i++) {
 		struct sim_node *node = &sim->nodes[i];
@@ -548,7 +548,7 @@
 {
 	CU_ASSERT_EQUAL(sim->slots_overshoot, 0);
 	CU_ASSERT_EQUAL(sim->connections_overshoot, 0);
-	CU_ASSERT_EQUAL(sim->over_used, 0);
+	CU_ASSERT_EQUAL(sim->used_overshoot, 0);
 }
 
 static void partition_in_half(struct sim *sim)
--- a/tests/test_table_sync.c
+++ b/tests/test_table_sync.c
@@ -100,8 +100,8 @@
 	(void)answer;
 }
 
-static void naive_heard(void *state, const char *peer, uint64_t revision,
-			uint64_t digest, uint32_t age_ms)
+static void naive_heartbeat(void *state, const char *peer, uint64_t revision,
+			    uint64_t digest, uint32_t age_ms)
 {
 	Peer__TableRequest request = PEER__TABLE_REQUEST__INIT;
 	struct naive *naive = state;
@@ -162,7 +162,7 @@
 	.tick = naive_tick,
 	.answered = naive_answered,
 	.part = naive_part,
-	.heard = naive_heard,
+	.heartbeat = naive_heartbeat,
 	.digest = naive_digest,
 	.request = naive_request,
 	.update = naive_update,
@@ -189,7 +189,7 @@
 
 static void world_finish(struct world *world)
 {
-	CU_ASSERT_EQUAL(world->sim.mixed, 0);
+	CU_ASSERT_EQUAL(world->sim.unpublished, 0);
 	sim_finish(&world->sim);
 	sheets_finish(&world->sheets);
 }
