--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -152,19 +152,19 @@
 	size_t len = 0;
 	int i;
 
-	sheets_init(&sheets, args->rows);
+	table_gen_init(&sheets, args->rows);
 	for (i = 0; i < ROUNDS; i++) {
 		struct table_delta delta;
 		struct table tables[3];
 		char *texts[2];
 		int64_t start;
 
-		texts[0] = sheets_text(&sheets, &len);
+		texts[0] = table_gen_text(&sheets, &len);
 		heap = heap_bytes();
 		exit_on_error(table_init(&tables[0], texts[0], len, 1, NULL));
 		heap = heap_bytes() - heap;
 		sheets.slots[i % args->rows]++;
-		texts[1] = sheets_text(&sheets, &len);
+		texts[1] = table_gen_text(&sheets, &len);
 		start = cpu_usec();
 		exit_on_error(table_init(&tables[1], texts[1], len, 2, NULL));
 		parse_us[i] = cpu_usec() - start;
@@ -197,7 +197,7 @@
 	print_durations("diff", &(struct durations){diff_us, ROUNDS});
 	print_durations("apply", &(struct durations){apply_us, ROUNDS});
 	printf("}\n");
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 static uint64_t sent_bytes(const struct sim *sim)
@@ -359,7 +359,7 @@
 	struct sim sim;
 	size_t heap;
 
-	sheets_init(&sheets, args->rows);
+	table_gen_init(&sheets, args->rows);
 	sim_init(&sim, &sim_table_sync, args->nodes, args->data_centres, 1);
 	sim.timed = true;
 	publish(args, &sim, &sheets, FIRST_REVISION);
@@ -385,7 +385,7 @@
 	free(nodes.values);
 	free(all.values);
 	sim_finish(&sim);
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 int main(int argc, char **argv)
--- a/tests/fuzz/fuzz_search.c
+++ b/tests/fuzz/fuzz_search.c
@@ -18,7 +18,7 @@
  * @parts: part numbers of the last query
  */
 struct world {
-	struct path_board path;
+	struct board_fixture path;
 	struct searches searches;
 	uint64_t id;
 	uint32_t parts[PARTS_MAX];
@@ -92,7 +92,8 @@
 	struct search_request request = {.limit = 3, .mode = REQUEST_RECORDS};
 
 	request.where = mem_dup("{}");
-	str_copy(request.service, sizeof(request.service), STR(PATH_SERVICE));
+	str_copy(request.service, sizeof(request.service),
+		 STR(FIXTURE_SERVICE));
 	str_copy(request.request_id, sizeof(request.request_id), STR("r"));
 	search_start(&world->searches, &request, NULL);
 }
@@ -103,20 +104,20 @@
 	int i;
 
 	memset(&world, 0, sizeof(world));
-	path_board_init(&world.path, 1);
+	board_fixture_init(&world.path, 1);
 	searches_init(&world.searches, &world.path.board, &ops, &world, 3);
-	path_put(&world.path, "h1", "b1", 1, 2, "01");
+	board_fixture_put_server(&world.path, "h1", "b1", 1, 2, "01");
 	start(&world);
 	for (i = 0; i < ROUNDS_MAX && !world.n_done; i++) {
 		answer(&world, data, size);
 		clock_advance(&world.path.clock, MSEC(20));
 		searches_tick(&world.searches);
 	}
-	clock_advance(&world.path.clock, MSEC(PATH_DEADLINE_MS));
+	clock_advance(&world.path.clock, MSEC(FIXTURE_DEADLINE_MS));
 	searches_tick(&world.searches);
 	if (world.n_done != 1)
 		__builtin_trap();
 	searches_finish(&world.searches);
-	path_board_finish(&world.path);
+	board_fixture_finish(&world.path);
 	return 0;
 }
--- a/tests/matrix_change.c
+++ b/tests/matrix_change.c
@@ -256,11 +256,11 @@
 	struct change_cell *cell = calloc(1, sizeof(*cell));
 	const char *reason;
 
-	sheets_init(&cell->sheets, TABLE_ROWS);
+	table_gen_init(&cell->sheets, TABLE_ROWS);
 	sim_init(&cell->sim, &sim_table_sync, INSTANCES, DATA_CENTRES, seed);
 	reason = run_change(cell, fault, step);
 	sim_finish(&cell->sim);
-	sheets_finish(&cell->sheets);
+	table_gen_finish(&cell->sheets);
 	free(cell);
 	return reason;
 }
--- a/tests/sheets.c
+++ b/tests/sheets.c
@@ -7,7 +7,7 @@
 
 #define SERVERS_A_SERVICE 10
 
-void sheets_init(struct sheets *sheets, int n)
+void table_gen_init(struct sheets *sheets, int n)
 {
 	int i;
 
@@ -17,7 +17,7 @@
 		sheets->slots[i] = 2;
 }
 
-void sheets_finish(struct sheets *sheets)
+void table_gen_finish(struct sheets *sheets)
 {
 	free(sheets->slots);
 }
@@ -83,7 +83,7 @@
 	fputs("]}", out);
 }
 
-char *sheets_text(const struct sheets *sheets, size_t *len)
+char *table_gen_text(const struct sheets *sheets, size_t *len)
 {
 	char *text;
 	FILE *out = open_memstream(&text, len);
--- a/tests/sheets.h
+++ b/tests/sheets.h
@@ -21,15 +21,15 @@
 	bool swapped;
 };
 
-void sheets_init(struct sheets *sheets, int n);
-void sheets_finish(struct sheets *sheets);
+void table_gen_init(struct sheets *sheets, int n);
+void table_gen_finish(struct sheets *sheets);
 
 /**
- * sheets_text() - the document of an operator, with comments
+ * table_gen_text() - the document of an operator, with comments
  * @len: length of the text
  *
  * Return: the text; release with free().
  */
-char *sheets_text(const struct sheets *sheets, size_t *len);
+char *table_gen_text(const struct sheets *sheets, size_t *len);
 
 #endif
--- a/tests/store_world.c
+++ b/tests/store_world.c
@@ -8,7 +8,8 @@
 
 #define START MSEC(1000000)
 
-int world_read_server(const struct store_item *item, struct server_entry *entry)
+int fixture_decode_server(const struct store_item *item,
+			  struct server_entry *entry)
 {
 	memset(entry, 0, sizeof(*entry));
 	if (str_eq(item->value, STR("unreadable")))
@@ -21,7 +22,7 @@
 }
 
 static const struct store_ops format = {
-	.decode_server = world_read_server,
+	.decode_server = fixture_decode_server,
 };
 
 static void on_call(void *arg, const struct store_call *call, int64_t timeout)
@@ -90,7 +91,7 @@
 	store_sync_tick(&world->sync);
 }
 
-struct store_item item_of(const char *name, uint64_t at, bool removed)
+struct store_item make_item(const char *name, uint64_t at, bool removed)
 {
 	struct store_item item = {.changed_at = at, .removed = removed};
 
@@ -99,8 +100,8 @@
 	return item;
 }
 
-void world_answer(struct world *world, enum store_topic topic, uint64_t read_at,
-		  struct store_item *items, int n)
+void fixture_answer(struct world *world, enum store_topic topic,
+		    uint64_t read_at, struct store_item *items, int n)
 {
 	struct store_answer answer = {.era = world->era,
 				      .revision = read_at,
@@ -110,33 +111,33 @@
 	store_sync_answered(&world->sync, topic, &answer);
 }
 
-void world_fail(struct world *world, enum store_topic topic, int code)
+void fixture_fail(struct world *world, enum store_topic topic, int code)
 {
 	struct store_answer answer = {.code = code, .era = world->era};
 
 	store_sync_answered(&world->sync, topic, &answer);
 }
 
-bool world_knows(const struct world *world, const char *id)
+bool fixture_has_server(const struct world *world, const char *id)
 {
 	return registry_find(&world->registry, str_from(id));
 }
 
-void world_give_routes(struct world *world, int version)
+void fixture_answer_routes(struct world *world, int version)
 {
-	struct store_item item = item_of("", 1, false);
+	struct store_item item = make_item("", 1, false);
 	char text[100];
 
 	snprintf(text, sizeof(text),
 		 "{\"version\":%d,\"routes\":[],\"services\":[]}", version);
 	item.value = str_from(text);
-	world_answer(world, STORE_ROUTES, 1, &item, 1);
+	fixture_answer(world, STORE_ROUTES, 1, &item, 1);
 }
 
-void world_list_servers(struct world *world)
+void fixture_answer_servers(struct world *world)
 {
-	struct store_item items[] = {item_of("a", 1, false),
-				     item_of("b", 2, false)};
+	struct store_item items[] = {make_item("a", 1, false),
+				     make_item("b", 2, false)};
 
-	world_answer(world, STORE_SERVERS, 2, items, 2);
+	fixture_answer(world, STORE_SERVERS, 2, items, 2);
 }
--- a/tests/store_world.h
+++ b/tests/store_world.h
@@ -20,17 +20,17 @@
 /* Lets time pass, and calls what is due. */
 void world_pass(struct world *world, int64_t ms);
 /* An item that says "ready", or its removal. */
-struct store_item item_of(const char *name, uint64_t at, bool removed);
+struct store_item make_item(const char *name, uint64_t at, bool removed);
 /* The store answers the call under way. */
-void world_answer(struct world *world, enum store_topic topic, uint64_t read_at,
-		  struct store_item *items, int n);
-void world_fail(struct world *world, enum store_topic topic, int code);
-bool world_knows(const struct world *world, const char *id);
-void world_give_routes(struct world *world, int version);
+void fixture_answer(struct world *world, enum store_topic topic,
+		    uint64_t read_at, struct store_item *items, int n);
+void fixture_fail(struct world *world, enum store_topic topic, int code);
+bool fixture_has_server(const struct world *world, const char *id);
+void fixture_answer_routes(struct world *world, int version);
 /* A list of the servers a and b. */
-void world_list_servers(struct world *world);
+void fixture_answer_servers(struct world *world);
 /* How the store speaks of servers here: their state, or "unreadable". */
-int world_read_server(const struct store_item *item,
-		      struct server_entry *entry);
+int fixture_decode_server(const struct store_item *item,
+			  struct server_entry *entry);
 
 #endif
--- a/tests/table_sim.c
+++ b/tests/table_sim.c
@@ -376,7 +376,7 @@
 		       uint64_t revision)
 {
 	size_t len;
-	char *text = sheets_text(sheets, &len);
+	char *text = table_gen_text(sheets, &len);
 
 	return sim_publish(sim, text, len, revision);
 }
@@ -407,7 +407,7 @@
 	size_t manifest_len;
 	FILE *out = open_memstream(&manifest, &manifest_len);
 	size_t len;
-	char *text = sheets_text(sheets, &len);
+	char *text = table_gen_text(sheets, &len);
 	int version;
 	int i;
 
--- a/tests/test_store_sync.c
+++ b/tests/test_store_sync.c
@@ -12,9 +12,9 @@
 	world_init(&world);
 	CU_ASSERT(!world.calls[STORE_SERVERS].watch);
 	CU_ASSERT(!store_sync_ready(&world.sync));
-	world_give_routes(&world, 3);
+	fixture_answer_routes(&world, 3);
 	CU_ASSERT(!store_sync_ready(&world.sync));
-	world_list_servers(&world);
+	fixture_answer_servers(&world);
 	CU_ASSERT(store_sync_ready(&world.sync));
 	world_pass(&world, 900);
 	CU_ASSERT(world.calls[STORE_SERVERS].watch);
@@ -29,7 +29,7 @@
  */
 static void test_pages(void)
 {
-	struct store_item items[] = {item_of("a", 1, false)};
+	struct store_item items[] = {make_item("a", 1, false)};
 	struct store_answer page = {.revision = 10,
 				    .more = true,
 				    .items = items,
@@ -42,12 +42,13 @@
 	CU_ASSERT(world.sync.feeds[STORE_SERVERS].fresh_at < 0);
 	world_pass(&world, 1);
 	CU_ASSERT_STRING_EQUAL(world.calls[STORE_SERVERS].from, "servers/a");
-	items[0] = item_of("b", 2, false);
-	world_answer(&world, STORE_SERVERS, 15, items, 1);
+	items[0] = make_item("b", 2, false);
+	fixture_answer(&world, STORE_SERVERS, 15, items, 1);
 	world_pass(&world, 900);
 	CU_ASSERT(world.calls[STORE_SERVERS].watch);
 	CU_ASSERT(world.calls[STORE_SERVERS].after == 10);
-	CU_ASSERT(world_knows(&world, "a") && world_knows(&world, "b"));
+	CU_ASSERT(fixture_has_server(&world, "a") &&
+		  fixture_has_server(&world, "b"));
 	world_finish(&world);
 }
 
@@ -57,8 +58,8 @@
 	struct world world;
 
 	world_init(&world);
-	world_give_routes(&world, 7);
-	world_give_routes(&world, 5);
+	fixture_answer_routes(&world, 7);
+	fixture_answer_routes(&world, 5);
 	CU_ASSERT(world.sync.routes->version == 7);
 	CU_ASSERT(store_sync_apply_routes(
 			  &world.sync,
@@ -72,15 +73,15 @@
 
 static void test_removed_at_once(void)
 {
-	struct store_item items[] = {item_of("a", 5, true)};
+	struct store_item items[] = {make_item("a", 5, true)};
 	struct world world;
 
 	world_init(&world);
-	world_list_servers(&world);
+	fixture_answer_servers(&world);
 	world_pass(&world, 900);
-	world_answer(&world, STORE_SERVERS, 5, items, 1);
-	CU_ASSERT(!world_knows(&world, "a"));
-	CU_ASSERT(world_knows(&world, "b"));
+	fixture_answer(&world, STORE_SERVERS, 5, items, 1);
+	CU_ASSERT(!fixture_has_server(&world, "a"));
+	CU_ASSERT(fixture_has_server(&world, "b"));
 	world_finish(&world);
 }
 
@@ -91,27 +92,28 @@
  */
 static void test_expired_while_store_was_down(void)
 {
-	struct store_item gone[] = {item_of("a", 5, true),
-				    item_of("b", 6, true)};
-	struct store_item back[] = {item_of("a", 8, false)};
+	struct store_item gone[] = {make_item("a", 5, true),
+				    make_item("b", 6, true)};
+	struct store_item back[] = {make_item("a", 8, false)};
 	struct world world;
 	int i;
 
 	world_init(&world);
-	world_list_servers(&world);
+	fixture_answer_servers(&world);
 	for (i = 0; i < 5; i++) {
 		world_pass(&world, 1500);
-		world_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
+		fixture_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
 	}
-	CU_ASSERT(world_knows(&world, "a"));
+	CU_ASSERT(fixture_has_server(&world, "a"));
 	world_pass(&world, 1500);
-	world_answer(&world, STORE_SERVERS, 6, gone, 2);
-	CU_ASSERT(world_knows(&world, "a") && world_knows(&world, "b"));
+	fixture_answer(&world, STORE_SERVERS, 6, gone, 2);
+	CU_ASSERT(fixture_has_server(&world, "a") &&
+		  fixture_has_server(&world, "b"));
 	world_pass(&world, 1500);
-	world_answer(&world, STORE_SERVERS, 8, back, 1);
+	fixture_answer(&world, STORE_SERVERS, 8, back, 1);
 	world_pass(&world, 1500);
-	CU_ASSERT(world_knows(&world, "a"));
-	CU_ASSERT(!world_knows(&world, "b"));
+	CU_ASSERT(fixture_has_server(&world, "a"));
+	CU_ASSERT(!fixture_has_server(&world, "b"));
 	world_finish(&world);
 }
 
@@ -123,24 +125,26 @@
  */
 static void check_expired_without_servers_failure(int failed_calls)
 {
-	struct store_item gone[] = {item_of("a", 5, true),
-				    item_of("b", 6, true)};
+	struct store_item gone[] = {make_item("a", 5, true),
+				    make_item("b", 6, true)};
 	struct world world;
 	int i;
 
 	world_init(&world);
-	world_give_routes(&world, 1);
-	world_list_servers(&world);
+	fixture_answer_routes(&world, 1);
+	fixture_answer_servers(&world);
 	store_sync_set_max_view_age(&world.sync, MSEC(4000), 20);
 	for (i = 0; i < failed_calls; i++) {
 		world_pass(&world, 1000);
-		world_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
+		fixture_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
 	}
 	world_pass(&world, 4000);
-	world_answer(&world, STORE_SERVERS, 6, gone, 2);
-	CU_ASSERT(world_knows(&world, "a") && world_knows(&world, "b"));
+	fixture_answer(&world, STORE_SERVERS, 6, gone, 2);
+	CU_ASSERT(fixture_has_server(&world, "a") &&
+		  fixture_has_server(&world, "b"));
 	world_pass(&world, 2400);
-	CU_ASSERT(!world_knows(&world, "a") && !world_knows(&world, "b"));
+	CU_ASSERT(!fixture_has_server(&world, "a") &&
+		  !fixture_has_server(&world, "b"));
 	world_finish(&world);
 }
 
@@ -157,20 +161,20 @@
 /* Removals some time after the store is back are applied at once. */
 static void test_removal_after_return(void)
 {
-	struct store_item gone[] = {item_of("a", 5, true)};
+	struct store_item gone[] = {make_item("a", 5, true)};
 	struct world world;
 
 	world_init(&world);
-	world_give_routes(&world, 1);
-	world_list_servers(&world);
+	fixture_answer_routes(&world, 1);
+	fixture_answer_servers(&world);
 	world_pass(&world, 900);
-	world_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
-	world_answer(&world, STORE_SERVERS, 3, NULL, 0);
+	fixture_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
+	fixture_answer(&world, STORE_SERVERS, 3, NULL, 0);
 	world_pass(&world, 1200);
-	world_answer(&world, STORE_SERVERS, 4, NULL, 0);
+	fixture_answer(&world, STORE_SERVERS, 4, NULL, 0);
 	world_pass(&world, 1200);
-	world_answer(&world, STORE_SERVERS, 5, gone, 1);
-	CU_ASSERT(!world_knows(&world, "a"));
+	fixture_answer(&world, STORE_SERVERS, 5, gone, 1);
+	CU_ASSERT(!fixture_has_server(&world, "a"));
 	world_finish(&world);
 }
 
@@ -180,18 +184,18 @@
  */
 static void test_history_gone(void)
 {
-	struct store_item items[] = {item_of("b", 2, false)};
+	struct store_item items[] = {make_item("b", 2, false)};
 	struct world world;
 
 	world_init(&world);
-	world_list_servers(&world);
+	fixture_answer_servers(&world);
 	world_pass(&world, 900);
-	world_fail(&world, STORE_SERVERS, ERR_STALE);
+	fixture_fail(&world, STORE_SERVERS, ERR_STALE);
 	world_pass(&world, 1);
 	CU_ASSERT(!world.calls[STORE_SERVERS].watch);
-	world_answer(&world, STORE_SERVERS, 30, items, 1);
-	CU_ASSERT(!world_knows(&world, "a"));
-	CU_ASSERT(world_knows(&world, "b"));
+	fixture_answer(&world, STORE_SERVERS, 30, items, 1);
+	CU_ASSERT(!fixture_has_server(&world, "a"));
+	CU_ASSERT(fixture_has_server(&world, "b"));
 	world_finish(&world);
 }
 
@@ -203,16 +207,16 @@
 	int i;
 
 	world_init(&world);
-	world_list_servers(&world);
+	fixture_answer_servers(&world);
 	n = world.n_calls[STORE_SERVERS];
 	for (i = 0; i < 100; i++) {
 		world_pass(&world, 100);
 		if (world.sync.feeds[STORE_SERVERS].busy)
-			world_fail(&world, STORE_SERVERS, ERR_BUDGET);
+			fixture_fail(&world, STORE_SERVERS, ERR_BUDGET);
 	}
 	CU_ASSERT(world.n_calls[STORE_SERVERS] - n < 16);
 	CU_ASSERT(world.n_calls[STORE_SERVERS] - n > 5);
-	CU_ASSERT(world_knows(&world, "a"));
+	CU_ASSERT(fixture_has_server(&world, "a"));
 	world_finish(&world);
 }
 
@@ -224,7 +228,7 @@
 	int i;
 
 	world_init(&world);
-	world_list_servers(&world);
+	fixture_answer_servers(&world);
 	store_sync_set_max_view_age(&world.sync, MSEC(1500), 0);
 	n = world.n_calls[STORE_SERVERS];
 	for (i = 0; i < 20; i++) {
@@ -250,8 +254,8 @@
 	struct world world;
 
 	world_init(&world);
-	world_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
-	world_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
+	fixture_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
+	fixture_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
 	world_restart(&world);
 	store_sync_set_max_view_age(&world.sync, MSEC(1700), 0);
 	world.n_calls[STORE_SERVERS] = 0;
@@ -289,17 +293,17 @@
 static void test_unreadable_entry(void)
 {
 	struct world world;
-	struct store_item item = item_of("a", 3, false);
+	struct store_item item = make_item("a", 3, false);
 
 	world_init(&world);
-	world_list_servers(&world);
+	fixture_answer_servers(&world);
 	item.value = STR("unreadable");
-	world_answer(&world, STORE_SERVERS, 3, &item, 1);
-	CU_ASSERT(!world_knows(&world, "a"));
-	CU_ASSERT(world_knows(&world, "b"));
-	item = item_of("a", 4, false);
-	world_answer(&world, STORE_SERVERS, 4, &item, 1);
-	CU_ASSERT(world_knows(&world, "a"));
+	fixture_answer(&world, STORE_SERVERS, 3, &item, 1);
+	CU_ASSERT(!fixture_has_server(&world, "a"));
+	CU_ASSERT(fixture_has_server(&world, "b"));
+	item = make_item("a", 4, false);
+	fixture_answer(&world, STORE_SERVERS, 4, &item, 1);
+	CU_ASSERT(fixture_has_server(&world, "a"));
 	world_finish(&world);
 }
 
--- a/tests/test_table_delta.c
+++ b/tests/test_table_delta.c
@@ -13,7 +13,7 @@
 	struct error err = {0};
 	struct table table;
 	size_t len;
-	char *text = sheets_text(sheets, &len);
+	char *text = table_gen_text(sheets, &len);
 
 	CU_ASSERT_EQUAL_FATAL(table_init(&table, text, len, revision, &err), 0);
 	free(text);
@@ -62,7 +62,7 @@
 	struct table two;
 	struct table again;
 
-	sheets_init(&sheets, ROWS);
+	table_gen_init(&sheets, ROWS);
 	one = make_table(&sheets, 3);
 	sheets.reversed = true;
 	sheets.swapped = true;
@@ -77,7 +77,7 @@
 	table_finish(&one);
 	table_finish(&two);
 	table_finish(&again);
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 static void change(struct sheets *sheets)
@@ -131,7 +131,7 @@
 	int i;
 
 	srand(1);
-	sheets_init(&sheets, ROWS);
+	table_gen_init(&sheets, ROWS);
 	for (i = 0; i < STEPS; i++) {
 		int k;
 
@@ -161,7 +161,7 @@
 		for (k = 0; k < 3; k++)
 			table_finish(&tables[k]);
 	}
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 /*
@@ -177,7 +177,7 @@
 	struct table to;
 	struct table got;
 
-	sheets_init(&sheets, ROWS);
+	table_gen_init(&sheets, ROWS);
 	from = make_table(&sheets, 1);
 	sheets.slots[3] = 3;
 	to = make_table(&sheets, 2);
@@ -197,7 +197,7 @@
 	table_delta_finish(&delta);
 	table_finish(&from);
 	table_finish(&to);
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 /* If most rows change, the full text is sent instead of a delta. */
@@ -209,7 +209,7 @@
 	struct table to;
 	int i;
 
-	sheets_init(&sheets, ROWS);
+	table_gen_init(&sheets, ROWS);
 	from = make_table(&sheets, 1);
 	for (i = 0; i < ROWS; i++)
 		sheets.slots[i] = 9;
@@ -217,7 +217,7 @@
 	CU_ASSERT_EQUAL(table_delta_init(&delta, &from, &to), ERR_TOO_LARGE);
 	table_finish(&from);
 	table_finish(&to);
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_view_order.c
+++ b/tests/test_view_order.c
@@ -24,13 +24,13 @@
 {
 	struct world world;
 
-	world_init_hubs(&world, 36, 3, 2);
+	cluster_init_hubs(&world, 36, 3, 2);
 	world.draws = seed;
 	world_pass(&world, 4000);
 	world.lost = 20;
 	world.delay = 1500;
 	isolate_half(&world, true);
-	world.nodes[world_reader(&world)].cut_off = true;
+	world.nodes[cluster_reader(&world)].cut_off = true;
 	world_pass(&world, 500 + (int64_t)seed * 170);
 	world.created_at = ++world.revision;
 	if (drains) {
@@ -42,9 +42,9 @@
 	if (seed % 2)
 		world.compacted = world.revision;
 	isolate_half(&world, false);
-	world.nodes[world_reader(&world)].cut_off = false;
+	world.nodes[cluster_reader(&world)].cut_off = false;
 	world_pass(&world, 8000);
-	CU_ASSERT_EQUAL(world_count_knowing(&world), 0);
+	CU_ASSERT_EQUAL(cluster_count_with_server(&world), 0);
 	world_finish(&world);
 }
 
@@ -80,8 +80,8 @@
 
 	world_init(&world, 2);
 	world_pass(&world, 5000);
-	reader = &world.nodes[world_reader(&world)];
-	other = &world.nodes[1 - world_reader(&world)];
+	reader = &world.nodes[cluster_reader(&world)];
+	other = &world.nodes[1 - cluster_reader(&world)];
 	world.revision += MANY;
 	put_servers(reader, MANY, world.revision);
 	world_pass(&world, 2000);
@@ -104,8 +104,8 @@
 
 	world_init(&world, 2);
 	world_pass(&world, 5000);
-	reader = &world.nodes[world_reader(&world)];
-	other = &world.nodes[1 - world_reader(&world)];
+	reader = &world.nodes[cluster_reader(&world)];
+	other = &world.nodes[1 - cluster_reader(&world)];
 	feed = &other->sync.feeds[STORE_SERVERS];
 	at = feed->revision;
 	server_view_store_returned(&reader->sync.servers);
@@ -151,7 +151,7 @@
 
 	for (t = 0; t < ms; t += 100) {
 		world_pass(world, 100);
-		if (world_count_knowing(world) < world->n_nodes)
+		if (cluster_count_with_server(world) < world->n_nodes)
 			CU_FAIL("a server is lost");
 		for (i = 0; i < world->n_nodes; i++) {
 			if (world->nodes[i].sync.routes->version < version)
@@ -170,15 +170,15 @@
 {
 	struct world world;
 
-	world_init_hubs(&world, n, centres, n_large);
+	cluster_init_hubs(&world, n, centres, n_large);
 	world.era = 1;
 	world.revision = 500;
 	world.lost = lost;
 	world.delay = lost * 30;
 	world_pass(&world, 4000);
-	world_change_routes(&world);
+	cluster_change_routes(&world);
 	world_pass(&world, 2500);
-	CU_ASSERT_EQUAL(world_count_version(&world, 2), n);
+	CU_ASSERT_EQUAL(cluster_count_version(&world, 2), n);
 	world.revision += 100;
 	world_pass(&world, 2500);
 	isolate_half(&world, some_first);
@@ -189,13 +189,13 @@
 	world.created_at = ++world.revision;
 	world_drain(&world);
 	CU_ASSERT(world.drained_at < 500);
-	world_change_routes(&world);
+	cluster_change_routes(&world);
 	pass_checked(&world, 4500, 2);
 	isolate_half(&world, false);
-	CU_ASSERT_EQUAL(world_count_drained(&world), n);
-	world_change_routes(&world);
+	CU_ASSERT_EQUAL(cluster_count_drained(&world), n);
+	cluster_change_routes(&world);
 	pass_checked(&world, 4000, 2);
-	CU_ASSERT_EQUAL(world_count_version(&world, 3), n);
+	CU_ASSERT_EQUAL(cluster_count_version(&world, 3), n);
 	CU_ASSERT_EQUAL(count_era(&world), n);
 	world_finish(&world);
 }
@@ -213,18 +213,18 @@
 {
 	struct world world;
 
-	world_init_hubs(&world, 36, 3, 2);
+	cluster_init_hubs(&world, 36, 3, 2);
 	world.era = 1;
 	world.revision = 90;
 	world.lost = 10;
 	world.delay = 300;
 	world_pass(&world, 4000);
-	CU_ASSERT_EQUAL(world_count_knowing(&world), 36);
+	CU_ASSERT_EQUAL(cluster_count_with_server(&world), 36);
 	restore_store(&world, 40);
 	world.missing = true;
 	pass_checked(&world, 2200, 1);
 	world_pass(&world, 6000);
-	CU_ASSERT_EQUAL(world_count_knowing(&world), 0);
+	CU_ASSERT_EQUAL(cluster_count_with_server(&world), 0);
 	world_finish(&world);
 }
 
@@ -234,7 +234,7 @@
 	struct world world;
 	int i;
 
-	world_init_hubs(&world, 36, 3, 2);
+	cluster_init_hubs(&world, 36, 3, 2);
 	world.era = 1;
 	world.revision = 900;
 	world_pass(&world, 4000);
@@ -246,10 +246,10 @@
 		pass_checked(&world, 300 * (i + 1), 1);
 	}
 	world_drain(&world);
-	world_change_routes(&world);
+	cluster_change_routes(&world);
 	pass_checked(&world, 5000, 1);
-	CU_ASSERT_EQUAL(world_count_drained(&world), 36);
-	CU_ASSERT_EQUAL(world_count_version(&world, 2), 36);
+	CU_ASSERT_EQUAL(cluster_count_drained(&world), 36);
+	CU_ASSERT_EQUAL(cluster_count_version(&world, 2), 36);
 	printf("\n%d calls of 36 instances in 11 s", world.n_calls);
 	world_finish(&world);
 }
@@ -266,14 +266,14 @@
 	world.revision = 50;
 	world_pass(&world, 5000);
 	node = &world.nodes[0];
-	node_hear_server(node, 1, 1000, 70);
+	node_receive_server(node, 1, 1000, 70);
 	server = registry_find(&node->registry, STR("server"));
 	CU_ASSERT(!server->entry.started_at_ms);
 	CU_ASSERT(node->sync.feeds[STORE_SERVERS].revision < 70);
-	node_hear_server(node, 0, 1000, 70);
+	node_receive_server(node, 0, 1000, 70);
 	CU_ASSERT(!server->entry.started_at_ms);
 	/* A view of a later era is applied, whatever its revision. */
-	node_hear_server(node, 3, 1000, 7);
+	node_receive_server(node, 3, 1000, 7);
 	server = registry_find(&node->registry, STR("server"));
 	CU_ASSERT_EQUAL(server->entry.started_at_ms, 1000);
 	CU_ASSERT_EQUAL(node->sync.era, 3);
--- a/tests/test_view_share.c
+++ b/tests/test_view_share.c
@@ -39,12 +39,12 @@
 
 	world_init(&world, 76);
 	world_pass(&world, 5000);
-	CU_ASSERT(world_count_version(&world, 1) == 76);
+	CU_ASSERT(cluster_count_version(&world, 1) == 76);
 	world_drain(&world);
-	world_change_routes(&world);
+	cluster_change_routes(&world);
 	world_pass(&world, 1200);
-	CU_ASSERT(world_count_drained(&world) == 76);
-	CU_ASSERT(world_count_version(&world, 2) == 76);
+	CU_ASSERT(cluster_count_drained(&world) == 76);
+	CU_ASSERT(cluster_count_version(&world, 2) == 76);
 	world_finish(&world);
 }
 
@@ -58,12 +58,12 @@
 
 	world_init(&world, 8);
 	world_pass(&world, 5000);
-	world.nodes[world_reader(&world)].dead = true;
+	world.nodes[cluster_reader(&world)].dead = true;
 	world_drain(&world);
-	world_change_routes(&world);
+	cluster_change_routes(&world);
 	world_pass(&world, 2700);
-	CU_ASSERT(world_count_drained(&world) == 7);
-	CU_ASSERT(world_count_version(&world, 2) == 7);
+	CU_ASSERT(cluster_count_drained(&world) == 7);
+	CU_ASSERT(cluster_count_version(&world, 2) == 7);
 	world_finish(&world);
 }
 
@@ -81,10 +81,10 @@
 	for (i = 0; i < 8; i++)
 		world.nodes[i].cut_off = world.nodes[i].share.rank < 3;
 	world_drain(&world);
-	world_change_routes(&world);
+	cluster_change_routes(&world);
 	world_pass(&world, 2900);
-	CU_ASSERT(world_count_drained(&world) == 8);
-	CU_ASSERT(world_count_version(&world, 2) == 8);
+	CU_ASSERT(cluster_count_drained(&world) == 8);
+	CU_ASSERT(cluster_count_version(&world, 2) == 8);
 	world_finish(&world);
 }
 
@@ -101,13 +101,13 @@
 
 	world_init(&world, 7);
 	world_pass(&world, 5000);
-	reader = &world.nodes[world_reader(&world)];
+	reader = &world.nodes[cluster_reader(&world)];
 	reader->cut_off = true;
 	world_pass(&world, 8000 + ms);
 	world.removed_at = ++world.revision;
 	reader->cut_off = false;
 	world_pass(&world, 2800);
-	CU_ASSERT(world_count_knowing(&world) == 0);
+	CU_ASSERT(cluster_count_with_server(&world) == 0);
 	world_finish(&world);
 }
 
@@ -131,14 +131,14 @@
 	world_init(&world, 5);
 	world_pass(&world, 3000);
 	world.away = true;
-	started = (world_reader(&world) + 1) % 5;
+	started = (cluster_reader(&world) + 1) % 5;
 	node_stop(&world.nodes[started]);
 	node_start(&world, started);
-	world_tell_fleet(&world);
+	cluster_update_members(&world);
 	world_pass(&world, 1000);
 	CU_ASSERT(!store_sync_ready(&world.nodes[started].sync));
 	view_share_member_reachable(&world.nodes[started].share,
-				    world.nodes[world_reader(&world)].name);
+				    world.nodes[cluster_reader(&world)].name);
 	CU_ASSERT(store_sync_ready(&world.nodes[started].sync));
 	world.n_messages = 0;
 	view_share_member_reachable(&world.nodes[started].share,
@@ -160,14 +160,14 @@
 
 	world_init(&world, 8);
 	world_pass(&world, 5000);
-	receiver = &world.nodes[(world_reader(&world) + 1) % 8];
+	receiver = &world.nodes[(cluster_reader(&world) + 1) % 8];
 	receiver->dead = true;
 	world_drain(&world);
 	world_pass(&world, 1000);
 	receiver->dead = false;
-	CU_ASSERT(!node_knows_drain(receiver));
+	CU_ASSERT(!node_sees_drain(receiver));
 	world_pass(&world, 1000);
-	CU_ASSERT(node_knows_drain(receiver));
+	CU_ASSERT(node_sees_drain(receiver));
 	world_finish(&world);
 }
 
@@ -181,7 +181,7 @@
 
 	world_init(&world, NODES_MAX);
 	world_pass(&world, 1000);
-	CU_ASSERT(world_count_version(&world, 1) == NODES_MAX);
+	CU_ASSERT(cluster_count_version(&world, 1) == NODES_MAX);
 	CU_ASSERT(world.n_calls < 30);
 	world_finish(&world);
 }
@@ -200,13 +200,13 @@
 	for (i = 0; i < world.n_nodes; i++)
 		store_sync_set_max_view_age(&world.nodes[i].sync, 0, 0);
 	world_pass(&world, 1000);
-	CU_ASSERT(world_count_version(&world, 1) == 60);
+	CU_ASSERT(cluster_count_version(&world, 1) == 60);
 	CU_ASSERT(world.n_whole <= 60);
 	world_drain(&world);
-	world_change_routes(&world);
+	cluster_change_routes(&world);
 	world_pass(&world, 1000);
-	CU_ASSERT(world_count_drained(&world) == 60);
-	CU_ASSERT(world_count_version(&world, 2) == 60);
+	CU_ASSERT(cluster_count_drained(&world) == 60);
+	CU_ASSERT(cluster_count_version(&world, 2) == 60);
 	world_finish(&world);
 }
 
@@ -265,7 +265,7 @@
 
 static void apply_server(struct node *node, int64_t born, uint64_t revision)
 {
-	node_hear_server(node, 0, born, revision);
+	node_receive_server(node, 0, born, revision);
 }
 
 /*
@@ -315,13 +315,13 @@
 
 	world_init(&world, 2);
 	world_pass(&world, 5000);
-	other = &world.nodes[1 - world_reader(&world)];
+	other = &world.nodes[1 - cluster_reader(&world)];
 	server_view_remove(&other->sync.servers, "server", ++world.revision,
 			   "not_back");
-	CU_ASSERT(world_count_knowing(&world) == 1);
+	CU_ASSERT(cluster_count_with_server(&world) == 1);
 	world.created_at = ++world.revision;
 	world_pass(&world, 1500);
-	CU_ASSERT(world_count_knowing(&world) == 2);
+	CU_ASSERT(cluster_count_with_server(&world) == 2);
 	world_finish(&world);
 }
 
@@ -334,7 +334,7 @@
 	for (i = 0; i < world->n_nodes; i++) {
 		const struct node *node = &world->nodes[i];
 
-		n += !node->dead && node_knows_drain(node) &&
+		n += !node->dead && node_sees_drain(node) &&
 		     node->sync.routes && node->sync.routes->version == version;
 	}
 	return n;
@@ -346,7 +346,7 @@
 	int64_t ms = 0;
 
 	world_drain(world);
-	world_change_routes(world);
+	cluster_change_routes(world);
 	while (ms < 10000 &&
 	       count_current(world, (uint64_t)world->routes_version) < alive) {
 		world_pass(world, 100);
@@ -367,18 +367,18 @@
 	int64_t took;
 	int i;
 
-	world_init_hubs(&world, n, centres, n_large);
+	cluster_init_hubs(&world, n, centres, n_large);
 	world_pass(&world, 5000);
 	world.n_far = 0;
 	world_drain(&world);
-	world_change_routes(&world);
+	cluster_change_routes(&world);
 	world_pass(&world, 1300);
 	CU_ASSERT(count_current(&world, 2) == n);
 	/* Two changes and the messages that confirm an unchanged view. */
 	CU_ASSERT(world.n_far <= 8 * (centres - 1));
 	world_finish(&world);
 
-	world_init_hubs(&world, n, centres, n_large);
+	cluster_init_hubs(&world, n, centres, n_large);
 	world_pass(&world, 5000);
 	world.lost = 10;
 	took = time_to_all(&world, n);
@@ -386,7 +386,7 @@
 	CU_ASSERT(took <= 2900);
 	world_finish(&world);
 
-	world_init_hubs(&world, n, centres, n_large);
+	cluster_init_hubs(&world, n, centres, n_large);
 	world_pass(&world, 5000);
 	for (i = 0; i < n; i++) {
 		struct view_share *share = &world.nodes[i].share;
@@ -421,7 +421,7 @@
 {
 	struct world world;
 
-	world_init_hubs(&world, 295, 6, 3);
+	cluster_init_hubs(&world, 295, 6, 3);
 	world_pass(&world, 5000);
 	world.n_calls = 0;
 	world.away = true;
@@ -465,14 +465,14 @@
 	struct world world;
 	int i;
 
-	world_init_hubs(&world, n, centres, n_large);
+	cluster_init_hubs(&world, n, centres, n_large);
 	world_pass(&world, 5000);
 	world.lost = lost;
 	CU_ASSERT(count_cordoned(&world) == 0);
-	world.nodes[world_reader(&world)].dead = true;
+	world.nodes[cluster_reader(&world)].dead = true;
 	set_cordon(&world);
 	for (i = 0; i < 10; i++) {
-		world_change_routes(&world);
+		cluster_change_routes(&world);
 		world_pass(&world, 300);
 	}
 	CU_ASSERT(count_cordoned(&world) == n - 1);
@@ -499,7 +499,7 @@
 	struct world world;
 	int i;
 
-	world_init_hubs(&world, 66, 4, 2);
+	cluster_init_hubs(&world, 66, 4, 2);
 	world_pass(&world, 5000);
 	for (i = 0; i < 66; i++)
 		world.nodes[i].cut_off = i % 3 != 2;
@@ -515,7 +515,7 @@
 	world_pass(&world, 3000);
 	node_stop(&world.nodes[7]);
 	node_start(&world, 7);
-	world_tell_fleet(&world);
+	cluster_update_members(&world);
 	world_pass(&world, 3000);
 	CU_ASSERT(count_cordoned(&world) == 66);
 	world_finish(&world);
--- a/tests/view_world.c
+++ b/tests/view_world.c
@@ -176,7 +176,7 @@
 	(void)server;
 }
 
-void world_tell_fleet(struct world *world)
+void cluster_update_members(struct world *world)
 {
 	struct fleet fleet;
 	int i;
@@ -231,7 +231,7 @@
 	registry_finish(&node->registry);
 }
 
-void world_init_hubs(struct world *world, int n, int centres, int n_large)
+void cluster_init_hubs(struct world *world, int n, int centres, int n_large)
 {
 	int i;
 
@@ -246,12 +246,12 @@
 	world->routes_version = 1;
 	for (i = 0; i < n; i++)
 		node_start(world, i);
-	world_tell_fleet(world);
+	cluster_update_members(world);
 }
 
 void world_init(struct world *world, int n)
 {
-	world_init_hubs(world, n, 3, 0);
+	cluster_init_hubs(world, n, 3, 0);
 }
 
 void world_finish(struct world *world)
@@ -409,7 +409,7 @@
 	}
 }
 
-bool node_knows_drain(const struct node *node)
+bool node_sees_drain(const struct node *node)
 {
 	const struct registry_server *server =
 		registry_find(&node->registry, STR("server"));
@@ -417,18 +417,17 @@
 	return server && server->entry.draining;
 }
 
-int world_count_drained(const struct world *world)
+int cluster_count_drained(const struct world *world)
 {
 	int n = 0;
 	int i;
 
 	for (i = 0; i < world->n_nodes; i++)
-		n += !world->nodes[i].dead &&
-		     node_knows_drain(&world->nodes[i]);
+		n += !world->nodes[i].dead && node_sees_drain(&world->nodes[i]);
 	return n;
 }
 
-int world_count_version(const struct world *world, uint64_t version)
+int cluster_count_version(const struct world *world, uint64_t version)
 {
 	int n = 0;
 	int i;
@@ -447,13 +446,13 @@
 	world->drained_at = ++world->revision;
 }
 
-void world_change_routes(struct world *world)
+void cluster_change_routes(struct world *world)
 {
 	world->routes_at = ++world->revision;
 	world->routes_version++;
 }
 
-int world_reader(const struct world *world)
+int cluster_reader(const struct world *world)
 {
 	int i;
 
@@ -464,7 +463,7 @@
 	return 0;
 }
 
-int world_count_knowing(const struct world *world)
+int cluster_count_with_server(const struct world *world)
 {
 	int n = 0;
 	int i;
@@ -475,8 +474,8 @@
 	return n;
 }
 
-void node_hear_server(struct node *node, uint64_t era, int64_t born,
-		      uint64_t revision)
+void node_receive_server(struct node *node, uint64_t era, int64_t born,
+			 uint64_t revision)
 {
 	Peer__ViewServer row = PEER__VIEW_SERVER__INIT;
 	Peer__ViewServer *rows[] = {&row};
--- a/tests/view_world.h
+++ b/tests/view_world.h
@@ -62,28 +62,28 @@
 };
 
 /* @n_large: instances of a data centre that can be hubs. */
-void world_init_hubs(struct world *world, int n, int centres, int n_large);
+void cluster_init_hubs(struct world *world, int n, int centres, int n_large);
 void world_init(struct world *world, int n);
 void world_finish(struct world *world);
 /* Its instance @i. */
 void node_start(struct world *world, int i);
 void node_stop(struct node *node);
 /* All that live know of each other. */
-void world_tell_fleet(struct world *world);
+void cluster_update_members(struct world *world);
 /* Lets time pass, and all that is due in it. */
 void world_pass(struct world *world, int64_t ms);
 /* What the server and the operators write to the store. */
 void world_drain(struct world *world);
-void world_change_routes(struct world *world);
+void cluster_change_routes(struct world *world);
 /* Index of the first in rank. */
-int world_reader(const struct world *world);
+int cluster_reader(const struct world *world);
 /* Instances that live, and know that. */
-int world_count_drained(const struct world *world);
-int world_count_version(const struct world *world, uint64_t version);
-int world_count_knowing(const struct world *world);
-bool node_knows_drain(const struct node *node);
+int cluster_count_drained(const struct world *world);
+int cluster_count_version(const struct world *world, uint64_t version);
+int cluster_count_with_server(const struct world *world);
+bool node_sees_drain(const struct node *node);
 /* What a peer says of the one server, as a change that came at @revision. */
-void node_hear_server(struct node *node, uint64_t era, int64_t born,
-		      uint64_t revision);
+void node_receive_server(struct node *node, uint64_t era, int64_t born,
+			 uint64_t revision);
 
 #endif
