--- a/tests/fuzz/fuzz.h
+++ b/tests/fuzz/fuzz.h
@@ -1,4 +1,4 @@
-/* What libFuzzer calls with each input; an entry returns 0. */
+/* Entry point that libFuzzer calls with each input; always returns 0. */
 #ifndef FUZZ_H
 #define FUZZ_H
 
--- a/tests/fuzz/fuzz_entry.c
+++ b/tests/fuzz/fuzz_entry.c
@@ -1,12 +1,12 @@
-/* What a backend server, or any other writer, publishes under a server's id. */
+/* Fuzzes the decoder of server entries that are read from the store. */
 #include "fuzz.h"
 
 #include <stdlib.h>
 
 #include "platform/names.h"
 
-/* An entry that is taken names a server that requests can be sent to. */
-static void check(const struct server_entry *entry)
+/* A decoded entry must identify a server that requests can be sent to. */
+static void check_entry(const struct server_entry *entry)
 {
 	if (!entry->id[0] || !entry->service[0] || !entry->data_centre[0])
 		abort();
@@ -22,6 +22,6 @@
 	struct server_entry entry;
 
 	if (!platform_store.decode_server(&item, &entry))
-		check(&entry);
+		check_entry(&entry);
 	return 0;
 }
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -1,4 +1,4 @@
-/* Frames of a peer, and what the catalog makes of their messages. */
+/* Fuzzes the frame reader, and the catalog with the messages of a peer. */
 #include "fuzz.h"
 
 #include <string.h>
@@ -21,8 +21,9 @@
 	"[\"b2\",\"desk\",\"dc1\",\"127.0.0.1:2\"]]}}";
 
 /**
- * struct peer - what a peer that knows how digests are made would send
- * @digests: of its maps, by version
+ * struct peer - catalog, and the valid digests of a peer's maps
+ * @catalog: processes the messages of the peer
+ * @digests: latest map digest, by version modulo PEER_VERSIONS
  */
 struct peer {
 	struct catalog catalog;
@@ -40,8 +41,8 @@
 	return true;
 }
 
-/* Else no input would get beyond the check of the digest. */
-static void sign_map(struct peer *peer, Peer__Map *map)
+/* Without a valid digest, the catalog would reject almost every input. */
+static void set_map_digest(struct peer *peer, Peer__Map *map)
 {
 	if (!has_ranges(map))
 		return;
@@ -50,7 +51,7 @@
 	peer->digests[map->version % PEER_VERSIONS] = map->digest;
 }
 
-static void take_state(struct peer *peer, Peer__ServerState *state)
+static void process_state(struct peer *peer, Peer__ServerState *state)
 {
 	size_t i;
 
@@ -60,15 +61,15 @@
 	catalog_put_state(&peer->catalog, STR("peer"), state);
 }
 
-static void take_states(struct peer *peer, const Peer__ServerStates *states)
+static void process_states(struct peer *peer, const Peer__ServerStates *states)
 {
 	size_t i;
 
 	for (i = 0; i < states->n_states; i++)
-		take_state(peer, states->states[i]);
+		process_state(peer, states->states[i]);
 }
 
-static void check_best(struct catalog *catalog)
+static void check_best_placement(struct catalog *catalog)
 {
 	const struct catalog_placement *best =
 		catalog_best_placement(catalog, STR("desk"));
@@ -77,25 +78,25 @@
 		__builtin_trap();
 }
 
-static void take_frame(struct peer *peer, const struct frame *frame)
+static void process_frame(struct peer *peer, const struct frame *frame)
 {
 	if (frame->type == FRAME_SERVER_STATES)
-		take_states(peer, (Peer__ServerStates *)frame->message);
+		process_states(peer, (Peer__ServerStates *)frame->message);
 	if (frame->type == FRAME_MAP) {
-		sign_map(peer, (Peer__Map *)frame->message);
+		set_map_digest(peer, (Peer__Map *)frame->message);
 		catalog_put_map(&peer->catalog, (Peer__Map *)frame->message);
 	}
-	check_best(&peer->catalog);
+	check_best_placement(&peer->catalog);
 }
 
-static void take_input(struct peer *peer, const uint8_t *data, size_t size)
+static void process_input(struct peer *peer, const uint8_t *data, size_t size)
 {
 	struct evbuffer *in = evbuffer_new();
 	struct frame frame;
 
 	evbuffer_add(in, data, size);
 	while (frame_read(in, &frame) > 0) {
-		take_frame(peer, &frame);
+		process_frame(peer, &frame);
 		frame_finish(&frame);
 	}
 	evbuffer_free(in);
@@ -112,11 +113,11 @@
 		__builtin_trap();
 	catalog_init(&peer.catalog, &clock);
 	catalog_set_table(&peer.catalog, &table);
-	/* Twice: maps are only kept once a server is known to hold them. */
-	take_input(&peer, data, size);
-	take_input(&peer, data, size);
+	/* Twice, as the catalog only keeps maps that some server holds. */
+	process_input(&peer, data, size);
+	process_input(&peer, data, size);
 	catalog_remove_instance(&peer.catalog, STR("peer"));
-	check_best(&peer.catalog);
+	check_best_placement(&peer.catalog);
 	catalog_finish(&peer.catalog);
 	table_finish(&table);
 	return 0;
--- a/tests/fuzz/fuzz_home.c
+++ b/tests/fuzz/fuzz_home.c
@@ -1,6 +1,6 @@
 /*
- * Frames of an entry to a home: queries, runs and cancellations of any shape.
- * Jobs end one after the other, with the input's own bytes as answers.
+ * Fuzzes the frames that an entry sends to a home: queries, runs and
+ * cancellations. Jobs end in order, with the input's own bytes as the answer.
  */
 #include "fuzz.h"
 
@@ -14,7 +14,7 @@
 #define SLOTS 2
 #define RUNNING_MAX 16
 
-struct world {
+struct fixture {
 	struct clock clock;
 	struct settings settings;
 	struct blackboard board;
@@ -26,12 +26,12 @@
 
 static void on_start(void *arg, struct home_job *job)
 {
-	struct world *world = arg;
+	struct fixture *fixture = arg;
 
 	if (job->server->in_flight > SLOTS ||
-	    clock_now(&world->clock) >= job->query->deadline_at)
+	    clock_now(&fixture->clock) >= job->query->deadline_at)
 		__builtin_trap();
-	world->running[world->n_running++] = job;
+	fixture->running[fixture->n_running++] = job;
 }
 
 static void on_cancel(void *arg, struct home_job *job)
@@ -71,34 +71,35 @@
 	.want_flush = on_want_flush,
 };
 
-static void end_job(struct world *world, int code)
+static void end_job(struct fixture *fixture, int code)
 {
-	struct home_job *job = world->running[0];
+	struct home_job *job = fixture->running[0];
 
-	world->n_running--;
-	memmove(world->running, world->running + 1,
-		(size_t)world->n_running * sizeof(*world->running));
-	home_job_done(&world->home, job, code, true, 0,
-		      code ? STR("") : world->answer);
+	fixture->n_running--;
+	memmove(fixture->running, fixture->running + 1,
+		(size_t)fixture->n_running * sizeof(*fixture->running));
+	home_job_done(&fixture->home, job, code, true, 0,
+		      code ? STR("") : fixture->answer);
 }
 
-static void take_frame(struct world *world, struct frame *frame)
+static void process_frame(struct fixture *fixture, struct frame *frame)
 {
 	static char link;
 
 	switch (frame->type) {
 	case FRAME_QUERY:
-		home_query(&world->home, &link, (Peer__Query *)frame->message);
+		home_query(&fixture->home, &link,
+			   (Peer__Query *)frame->message);
 		return;
 	case FRAME_RUN:
-		home_run(&world->home, &link, (Peer__Run *)frame->message);
+		home_run(&fixture->home, &link, (Peer__Run *)frame->message);
 		return;
 	case FRAME_CANCEL:
-		home_cancel(&world->home, &link,
+		home_cancel(&fixture->home, &link,
 			    (Peer__Cancel *)frame->message);
 		break;
 	case FRAME_FAILURE:
-		home_link_lost(&world->home, &link);
+		home_link_lost(&fixture->home, &link);
 		break;
 	default:
 		break;
@@ -106,26 +107,26 @@
 	frame_finish(frame);
 }
 
-static void pass_time(struct world *world)
+static void advance_clock(struct fixture *fixture)
 {
-	clock_advance(&world->clock, MSEC(1));
-	home_tick(&world->home);
-	home_flush(&world->home);
+	clock_advance(&fixture->clock, MSEC(1));
+	home_tick(&fixture->home);
+	home_flush(&fixture->home);
 }
 
-static void set_up(struct world *world)
+static void fixture_init(struct fixture *fixture)
 {
 	static const char *const names[] = {"b1", "b2"};
 	int i;
 
-	memset(world, 0, sizeof(*world));
-	clock_init_paused(&world->clock, USEC_PER_SEC);
-	blackboard_init(&world->board, &world->clock, &world->settings, NULL,
-			1);
-	home_init(&world->home, &world->board, &ops, world);
+	memset(fixture, 0, sizeof(*fixture));
+	clock_init_paused(&fixture->clock, USEC_PER_SEC);
+	blackboard_init(&fixture->board, &fixture->clock, &fixture->settings,
+			NULL, 1);
+	home_init(&fixture->home, &fixture->board, &ops, fixture);
 	for (i = 0; i < 2; i++)
-		home_set_share(&world->home,
-			       home_find_or_add_server(&world->home,
+		home_set_share(&fixture->home,
+			       home_find_or_add_server(&fixture->home,
 						       str_from(names[i])),
 			       SLOTS, SLOTS);
 }
@@ -133,25 +134,25 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct evbuffer *in = evbuffer_new();
-	struct world world;
+	struct fixture fixture;
 	struct frame frame;
 
-	set_up(&world);
-	world.answer = (struct str){(const char *)data, size};
+	fixture_init(&fixture);
+	fixture.answer = (struct str){(const char *)data, size};
 	evbuffer_add(in, data, size);
 	while (frame_read(in, &frame) > 0) {
-		take_frame(&world, &frame);
-		pass_time(&world);
-		if (world.n_running > SLOTS)
-			end_job(&world, 0);
+		process_frame(&fixture, &frame);
+		advance_clock(&fixture);
+		if (fixture.n_running > SLOTS)
+			end_job(&fixture, 0);
 	}
-	while (world.n_running)
-		end_job(&world, world.n_running % 2 ? ERR_LOST : 0);
-	home_flush(&world.home);
-	if (!home_is_idle(&world.home))
+	while (fixture.n_running)
+		end_job(&fixture, fixture.n_running % 2 ? ERR_LOST : 0);
+	home_flush(&fixture.home);
+	if (!home_is_idle(&fixture.home))
 		__builtin_trap();
-	home_finish(&world.home);
-	blackboard_finish(&world.board);
+	home_finish(&fixture.home);
+	blackboard_finish(&fixture.board);
 	evbuffer_free(in);
 	return 0;
 }
--- a/tests/fuzz/fuzz_http.c
+++ b/tests/fuzz/fuzz_http.c
@@ -1,4 +1,4 @@
-/* Requests of callers and answers of backend servers, in pieces. */
+/* Fuzzes the HTTP parser with requests and responses, whole or in chunks. */
 #include "fuzz.h"
 
 #include <event2/buffer.h>
@@ -6,16 +6,16 @@
 #include "http_message.h"
 #include "server_load.h"
 
-#define PIECE 7
+#define CHUNK_SIZE 7
 
 static const struct http_limits limits = {.head = 2048, .body = 4096};
 
-/* The first byte of an input: what it is read as, and whether it ends there. */
+/* Flags in the first byte of an input: how the rest of it is parsed. */
 #define AS_RESPONSE 1
-#define TO_HEAD 2
-#define IN_PIECES 4
+#define RESPONSE_TO_HEAD 2
+#define IN_CHUNKS 4
 
-static void look(const struct http_message *message)
+static void read_fields(const struct http_message *message)
 {
 	struct server_load load;
 	int i;
@@ -31,11 +31,11 @@
 	http_message_body(message);
 }
 
-static void read_all(struct http_message *message, struct evbuffer *in,
-		     bool no_body)
+static void read_messages(struct http_message *message, struct evbuffer *in,
+			  bool no_body)
 {
 	while (evbuffer_get_length(in) && http_message_read(message, in) == 1) {
-		look(message);
+		read_fields(message);
 		http_message_reset(message);
 		message->no_body = no_body;
 	}
@@ -51,8 +51,8 @@
 
 	if (!size)
 		return 0;
-	no_body = data[0] & TO_HEAD;
-	step = data[0] & IN_PIECES ? PIECE : size;
+	no_body = data[0] & RESPONSE_TO_HEAD;
+	step = data[0] & IN_CHUNKS ? CHUNK_SIZE : size;
 	in = evbuffer_new();
 	http_message_init(&message,
 			  data[0] & AS_RESPONSE ? HTTP_RESPONSE : HTTP_REQUEST,
@@ -61,7 +61,7 @@
 	for (; at < size && !message.error; at += step) {
 		evbuffer_add(in, data + at,
 			     size - at < step ? size - at : step);
-		read_all(&message, in, no_body);
+		read_messages(&message, in, no_body);
 	}
 	http_message_eof(&message);
 	http_message_finish(&message);
--- a/tests/fuzz/fuzz_request.c
+++ b/tests/fuzz/fuzz_request.c
@@ -1,4 +1,4 @@
-/* Bodies of callers. */
+/* Fuzzes the parsers of search and run request bodies. */
 #include "fuzz.h"
 
 #include <string.h>
--- a/tests/fuzz/fuzz_search.c
+++ b/tests/fuzz/fuzz_search.c
@@ -1,6 +1,6 @@
 /*
- * Answers of a backend server. Whatever they are, an outcome must not state
- * more than the snapshot holds, and must come by the deadline.
+ * Fuzzes the answers of a backend server. For any answer, a search must not
+ * report more records than the snapshot holds, and must end by its deadline.
  */
 #include "fuzz.h"
 
@@ -14,11 +14,13 @@
 #define PARTS_MAX 8
 
 /**
- * struct world - a search and what it asked
+ * struct fixture - a search and the last query that it sent
+ * @id: of the last query
  * @parts: part numbers of the last query
+ * @n_done: times that the search ended
  */
-struct world {
-	struct path_board path;
+struct fixture {
+	struct path_board board_fixture;
 	struct searches searches;
 	uint64_t id;
 	uint32_t parts[PARTS_MAX];
@@ -28,14 +30,14 @@
 
 static int on_send(void *arg, struct str home, const Peer__Query *query)
 {
-	struct world *world = arg;
+	struct fixture *fixture = arg;
 	size_t i;
 
 	(void)home;
-	world->id = query->id;
-	world->n_parts = 0;
+	fixture->id = query->id;
+	fixture->n_parts = 0;
 	for (i = 0; i < query->n_parts && i < PARTS_MAX; i++)
-		world->parts[world->n_parts++] = query->parts[i]->part;
+		fixture->parts[fixture->n_parts++] = query->parts[i]->part;
 	return 0;
 }
 
@@ -48,9 +50,9 @@
 
 static void on_done(void *arg, struct search *search)
 {
-	struct world *world = arg;
+	struct fixture *fixture = arg;
 
-	world->n_done++;
+	fixture->n_done++;
 	if (search->covered > search_total(search) ||
 	    search->count > search->covered ||
 	    search->merge.n > search->request.limit)
@@ -63,60 +65,63 @@
 	.done = on_done,
 };
 
-static void answer(struct world *world, const uint8_t *data, size_t size)
+static void answer_parts(struct fixture *fixture, const uint8_t *data,
+			 size_t size)
 {
 	Peer__QueryResult result = PEER__QUERY_RESULT__INIT;
 	Peer__ServerResult items[PARTS_MAX];
 	Peer__ServerResult *pointers[PARTS_MAX];
 	int i;
 
-	result.id = world->id;
+	result.id = fixture->id;
 	result.results = pointers;
-	result.n_results = (size_t)world->n_parts;
-	for (i = 0; i < world->n_parts; i++) {
+	result.n_results = (size_t)fixture->n_parts;
+	for (i = 0; i < fixture->n_parts; i++) {
 		peer__server_result__init(&items[i]);
-		items[i].part = world->parts[i];
+		items[i].part = fixture->parts[i];
 		items[i].sent = true;
 		items[i].answer.data = (uint8_t *)data;
 		items[i].answer.len = size;
 		pointers[i] = &items[i];
 	}
-	searches_result(&world->searches, STR("h1"), &result);
+	searches_result(&fixture->searches, STR("h1"), &result);
 }
 
-/* Ids of requests on the wire begin with the caller's and are told apart by
- * numbers that are the same in each run, so that inputs can hit them.
+/*
+ * A request ID on the wire is the caller's ID and a number that is the same in
+ * each run, so that inputs can match it.
  */
-static void start(struct world *world)
+static void start_search(struct fixture *fixture)
 {
 	struct search_request request = {.limit = 3, .mode = REQUEST_RECORDS};
 
 	request.where = mem_dup("{}");
 	str_copy(request.service, sizeof(request.service), STR(PATH_SERVICE));
 	str_copy(request.request_id, sizeof(request.request_id), STR("r"));
-	search_start(&world->searches, &request, NULL);
+	search_start(&fixture->searches, &request, NULL);
 }
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	struct world world;
+	struct fixture fixture;
 	int i;
 
-	memset(&world, 0, sizeof(world));
-	path_board_init(&world.path, 1);
-	searches_init(&world.searches, &world.path.board, &ops, &world, 3);
-	path_put(&world.path, "h1", "b1", 1, 2, "01");
-	start(&world);
-	for (i = 0; i < ROUNDS_MAX && !world.n_done; i++) {
-		answer(&world, data, size);
-		clock_advance(&world.path.clock, MSEC(20));
-		searches_tick(&world.searches);
+	memset(&fixture, 0, sizeof(fixture));
+	path_board_init(&fixture.board_fixture, 1);
+	searches_init(&fixture.searches, &fixture.board_fixture.board, &ops,
+		      &fixture, 3);
+	path_put(&fixture.board_fixture, "h1", "b1", 1, 2, "01");
+	start_search(&fixture);
+	for (i = 0; i < ROUNDS_MAX && !fixture.n_done; i++) {
+		answer_parts(&fixture, data, size);
+		clock_advance(&fixture.board_fixture.clock, MSEC(20));
+		searches_tick(&fixture.searches);
 	}
-	clock_advance(&world.path.clock, MSEC(PATH_DEADLINE_MS));
-	searches_tick(&world.searches);
-	if (world.n_done != 1)
+	clock_advance(&fixture.board_fixture.clock, MSEC(PATH_DEADLINE_MS));
+	searches_tick(&fixture.searches);
+	if (fixture.n_done != 1)
 		__builtin_trap();
-	searches_finish(&world.searches);
-	path_board_finish(&world.path);
+	searches_finish(&fixture.searches);
+	path_board_finish(&fixture.board_fixture);
 	return 0;
 }
--- a/tests/fuzz/fuzz_settings.c
+++ b/tests/fuzz/fuzz_settings.c
@@ -1,4 +1,4 @@
-/* Settings files. */
+/* Fuzzes the parser of settings files. */
 #include "fuzz.h"
 
 #include "settings.h"
--- a/tests/fuzz/fuzz_store.c
+++ b/tests/fuzz/fuzz_store.c
@@ -1,10 +1,10 @@
-/* Answers of the platform's store, the routes and entries in them. */
+/* Fuzzes the decoding of store answers, including their routes and entries. */
 #include "fuzz.h"
 
 #include "platform/names.h"
 #include "routes.h"
 
-static void take(enum store_topic topic, int status, struct str body)
+static void decode_reply(enum store_topic topic, int status, struct str body)
 {
 	const struct store_reply reply = {.status = status,
 					  .era = body,
@@ -33,8 +33,8 @@
 	struct route_set *set;
 	struct error err;
 
-	take(STORE_ROUTES, 200, text);
-	take(STORE_SERVERS, 200, text);
+	decode_reply(STORE_ROUTES, 200, text);
+	decode_reply(STORE_SERVERS, 200, text);
 	if (!route_set_parse(text, &set, &err)) {
 		route_set_find(set, STR("h"), STR("/x/y"));
 		route_set_unref(set);
--- a/tests/fuzz/fuzz_table.c
+++ b/tests/fuzz/fuzz_table.c
@@ -1,4 +1,7 @@
-/* Tables. The canonical text of one that was taken must give the same one. */
+/*
+ * Fuzzes the table parser. Parsing the canonical text of an accepted table must
+ * give the same table.
+ */
 #include "fuzz.h"
 
 #include "table.h"
--- a/tests/fuzz/fuzz_ticket.c
+++ b/tests/fuzz/fuzz_ticket.c
@@ -1,4 +1,4 @@
-/* Texts of tickets. */
+/* Fuzzes the ticket parser. */
 #include "fuzz.h"
 
 #include "ticket.h"
--- a/tests/fuzz/fuzz_view.c
+++ b/tests/fuzz/fuzz_view.c
@@ -1,10 +1,10 @@
-/* What another gateway tells of its view, and asks for. */
+/* Fuzzes the view updates and view requests of another gateway. */
 #include "fuzz.h"
 
 #include "platform/names.h"
 #include "view_share.h"
 
-struct world {
+struct fixture {
 	struct clock clock;
 	struct registry registry;
 	struct store_sync sync;
@@ -26,9 +26,9 @@
 static void on_server(void *arg, const char *id, uint64_t changed_at,
 		      bool removed)
 {
-	struct world *world = arg;
+	struct fixture *fixture = arg;
 
-	view_share_record_change(&world->share, id, changed_at, removed);
+	view_share_record_change(&fixture->share, id, changed_at, removed);
 }
 
 static void on_closing(void *arg, struct registry_server *server)
@@ -66,57 +66,58 @@
 	.request = on_request,
 };
 
-static void start(struct world *world)
+static void fixture_init(struct fixture *fixture)
 {
-	clock_init_paused(&world->clock, MSEC(1000000));
-	registry_init(&world->registry, STR("dc"), on_closing, NULL);
-	store_sync_init(&world->sync, &world->clock, &platform_store, &sync_ops,
-			world, &world->registry);
-	view_share_init(&world->share, &world->clock, &share_ops, world,
-			&world->sync, "self", "dc");
+	clock_init_paused(&fixture->clock, MSEC(1000000));
+	registry_init(&fixture->registry, STR("dc"), on_closing, NULL);
+	store_sync_init(&fixture->sync, &fixture->clock, &platform_store,
+			&sync_ops, fixture, &fixture->registry);
+	view_share_init(&fixture->share, &fixture->clock, &share_ops, fixture,
+			&fixture->sync, "self", "dc");
 }
 
-static void finish(struct world *world)
+static void fixture_finish(struct fixture *fixture)
 {
-	view_share_finish(&world->share);
-	store_sync_finish(&world->sync);
-	registry_finish(&world->registry);
+	view_share_finish(&fixture->share);
+	store_sync_finish(&fixture->sync);
+	registry_finish(&fixture->registry);
 }
 
-static void take(struct world *world, const uint8_t *data, size_t size)
+static void process_message(struct fixture *fixture, const uint8_t *data,
+			    size_t size)
 {
 	Peer__ViewUpdate *update = peer__view_update__unpack(NULL, size, data);
 	Peer__ViewRequest *request =
 		peer__view_request__unpack(NULL, size, data);
 
 	if (update) {
-		view_share_update(&world->share, "peer", update);
+		view_share_update(&fixture->share, "peer", update);
 		peer__view_update__free_unpacked(update, NULL);
 	}
 	if (request) {
-		view_share_request(&world->share, "peer", request);
+		view_share_request(&fixture->share, "peer", request);
 		peer__view_request__free_unpacked(request, NULL);
 	}
-	clock_advance(&world->clock, MSEC(700));
-	store_sync_tick(&world->sync);
-	view_share_publish(&world->share);
+	clock_advance(&fixture->clock, MSEC(700));
+	store_sync_tick(&fixture->sync);
+	view_share_publish(&fixture->share);
 }
 
-/* Several messages, each behind a byte with its length. */
+/* An input holds several messages, each preceded by a length byte. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	static struct world world;
+	static struct fixture fixture;
 	size_t at = 0;
 
-	start(&world);
+	fixture_init(&fixture);
 	while (at < size) {
 		size_t len = data[at++];
 
 		if (len > size - at)
 			len = size - at;
-		take(&world, data + at, len);
+		process_message(&fixture, data + at, len);
 		at += len;
 	}
-	finish(&world);
+	fixture_finish(&fixture);
 	return 0;
 }
--- a/tests/fuzz/replay.c
+++ b/tests/fuzz/replay.c
@@ -1,4 +1,4 @@
-/* Runs a fuzz entry once on each file named, where libFuzzer does not. */
+/* Runs a fuzz entry point once on each file given, without libFuzzer. */
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/tests/unit.h
+++ b/tests/unit.h
@@ -1,4 +1,4 @@
-/* What every CUnit program needs: a list of tests, run with a closing line. */
+/* Runs the tests of a CUnit program as one suite. */
 #ifndef UNIT_H
 #define UNIT_H
 
