--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -143,25 +143,25 @@
 	int64_t whole_us[REPEATS];
 	int64_t diff_us[REPEATS];
 	int64_t apply_us[REPEATS];
-	struct sheets sheets;
+	struct table_gen sheets;
 	size_t heap = 0;
 	size_t canonical = 0;
 	size_t len = 0;
 	int i;
 
-	sheets_init(&sheets, args->rows);
+	table_gen_init(&sheets, args->rows);
 	for (i = 0; i < REPEATS; i++) {
 		struct table_delta delta;
 		struct table tables[3];
 		char *texts[2];
 		int64_t start;
 
-		texts[0] = sheets_text(&sheets, &len);
+		texts[0] = table_gen_text(&sheets, &len);
 		heap = heap_bytes();
 		check(table_init(&tables[0], texts[0], len, 1, NULL));
 		heap = heap_bytes() - heap;
 		sheets.slots[i % args->rows]++;
-		texts[1] = sheets_text(&sheets, &len);
+		texts[1] = table_gen_text(&sheets, &len);
 		start = microseconds();
 		check(table_init(&tables[1], texts[1], len, 2, NULL));
 		parse_us[i] = microseconds() - start;
@@ -192,7 +192,7 @@
 	print_times("diff", &(struct times){diff_us, REPEATS});
 	print_times("apply", &(struct times){apply_us, REPEATS});
 	printf("}\n");
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 static uint64_t sent_bytes(const struct sim *sim)
@@ -272,7 +272,7 @@
 }
 
 static void publish(const struct arguments *args, struct sim *sim,
-		    const struct sheets *sheets, uint64_t revision)
+		    const struct table_gen *sheets, uint64_t revision)
 {
 	if (args->parts)
 		sim_publish_parts(sim, sheets, revision, args->parts);
@@ -282,7 +282,7 @@
 
 /* Slots stay of one digit, so that a change stays within its part. */
 static void make_changes(const struct arguments *args, struct sim *sim,
-			 struct sheets *sheets, struct times *nodes,
+			 struct table_gen *sheets, struct times *nodes,
 			 struct times *all)
 {
 	uint64_t revision = FIRST_REVISION;
@@ -292,7 +292,7 @@
 	for (i = 0; i < args->changes; i++) {
 		int64_t at = clock_now(&sim->clock);
 
-		sheets->slots[i % sheets->n] = 3;
+		sheets->slots[i % sheets->n_servers] = 3;
 		publish(args, sim, sheets, ++revision);
 		sim_run(sim, gap_ms);
 		note_times(sim, revision, at, nodes, all);
@@ -343,11 +343,11 @@
 	struct times all = {mem_zalloc((size_t)args->changes * sizeof(int64_t)),
 			    0};
 	struct window window;
-	struct sheets sheets;
+	struct table_gen sheets;
 	struct sim sim;
 	size_t heap;
 
-	sheets_init(&sheets, args->rows);
+	table_gen_init(&sheets, args->rows);
 	sim_init(&sim, &sim_table_sync, args->nodes, args->data_centres, 1);
 	sim.timed = true;
 	publish(args, &sim, &sheets, FIRST_REVISION);
@@ -373,7 +373,7 @@
 	free(nodes.values);
 	free(all.values);
 	sim_finish(&sim);
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 int main(int argc, char **argv)
--- a/tests/path_board.c
+++ b/tests/board_fixture.c
@@ -1,4 +1,4 @@
-#include "path_board.h"
+#include "board_fixture.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -6,13 +6,13 @@
 
 #include "mem.h"
 
-#define TEXT_SIZE 4096
-#define HERE_MAX 16
+#define TABLE_TEXT_SIZE 4096
+#define SHARDS_HELD_MAX 16
 
 static struct table *make_table(int first, int n)
 {
 	struct table *table = mem_zalloc(sizeof(*table));
-	char text[TEXT_SIZE];
+	char text[TABLE_TEXT_SIZE];
 	struct error err;
 	size_t len;
 	int i;
@@ -21,14 +21,14 @@
 		text, sizeof(text),
 		"{\"markets\":{\"columns\":[\"name\"],\"rows\":[[\"be\"]]},"
 		"\"services\":{\"columns\":[\"name\",\"market\",\"mode\","
-		"\"deadline_ms\"],\"rows\":[[\"" PATH_SERVICE
+		"\"deadline_ms\"],\"rows\":[[\"" FIXTURE_SERVICE
 		"\",\"be\",\"latency\",%d]]},"
 		"\"servers\":{\"columns\":[\"name\",\"service\","
 		"\"data_centre\",\"address\",\"slots\"],\"rows\":[",
-		PATH_DEADLINE_MS);
+		FIXTURE_DEADLINE_MS);
 	for (i = 0; i < n; i++)
 		len += (size_t)snprintf(text + len, sizeof(text) - len,
-					"%s[\"b%d\",\"" PATH_SERVICE
+					"%s[\"b%d\",\"" FIXTURE_SERVICE
 					"\",\"dc1\",\"127.0.0.1:%d\",2]",
 					i ? "," : "", first + i,
 					9000 + first + i);
@@ -38,36 +38,37 @@
 	return table;
 }
 
-void path_set_servers(struct path_board *path, int first, int n)
+void board_fixture_set_servers(struct board_fixture *fixture, int first, int n)
 {
-	blackboard_set_table(&path->board, make_table(first, n));
-	catalog_set_table(&path->board.catalog, path->board.table);
+	blackboard_set_table(&fixture->board, make_table(first, n));
+	catalog_set_table(&fixture->board.catalog, fixture->board.table);
 }
 
-void path_board_init(struct path_board *path, int n_servers)
+void board_fixture_init(struct board_fixture *fixture, int n_servers)
 {
 	static char instance[] = "e1";
 	static char data_centre[] = "dc1";
 
-	memset(path, 0, sizeof(*path));
-	clock_init_paused(&path->clock, USEC_PER_SEC);
-	path->settings.instance = instance;
-	path->settings.data_centre = data_centre;
-	blackboard_init(&path->board, &path->clock, &path->settings, NULL, 7);
-	path_set_servers(path, 1, n_servers);
+	memset(fixture, 0, sizeof(*fixture));
+	clock_init_paused(&fixture->clock, USEC_PER_SEC);
+	fixture->settings.instance = instance;
+	fixture->settings.data_centre = data_centre;
+	blackboard_init(&fixture->board, &fixture->clock, &fixture->settings,
+			NULL, 7);
+	board_fixture_set_servers(fixture, 1, n_servers);
 }
 
-void path_board_finish(struct path_board *path)
+void board_fixture_finish(struct board_fixture *fixture)
 {
-	blackboard_finish(&path->board);
+	blackboard_finish(&fixture->board);
 }
 
-void path_map_init(Peer__Map *map, uint64_t version, int n_shards)
+void fixture_map_init(Peer__Map *map, uint64_t version, int n_shards)
 {
 	int i;
 
 	peer__map__init(map);
-	map->service = mem_dup(PATH_SERVICE);
+	map->service = mem_dup(FIXTURE_SERVICE);
 	map->version = version;
 	map->n_shards = (size_t)n_shards;
 	map->shards = mem_zalloc((size_t)n_shards * sizeof(*map->shards));
@@ -80,14 +81,14 @@
 		range->lo = (uint32_t)(i * CATALOG_POINTS / n_shards);
 		range->hi = (uint32_t)((i + 1) * CATALOG_POINTS / n_shards - 1);
 		info->shard = range;
-		info->held = PATH_HELD;
+		info->held = FIXTURE_SHARD_RECORDS;
 		map->shards[i] = info;
 	}
 	map->digest = catalog_map_digest(str_from(map->service), version,
 					 map->shards, map->n_shards);
 }
 
-void path_map_finish(Peer__Map *map)
+void fixture_map_finish(Peer__Map *map)
 {
 	size_t i;
 
@@ -99,36 +100,37 @@
 	free(map->service);
 }
 
-int path_put_map(struct path_board *path, uint64_t version, int n_shards)
+int board_fixture_put_map(struct board_fixture *fixture, uint64_t version,
+			  int n_shards)
 {
 	Peer__Map map;
 	int ret;
 
-	path_map_init(&map, version, n_shards);
-	ret = catalog_put_map(&path->board.catalog, &map);
-	path_map_finish(&map);
+	fixture_map_init(&map, version, n_shards);
+	ret = catalog_put_map(&fixture->board.catalog, &map);
+	fixture_map_finish(&map);
 	return ret;
 }
 
-static uint64_t digest_of(uint64_t version, int n_shards)
+static uint64_t map_digest(uint64_t version, int n_shards)
 {
 	Peer__Map map;
 
-	path_map_init(&map, version, n_shards);
-	path_map_finish(&map);
+	fixture_map_init(&map, version, n_shards);
+	fixture_map_finish(&map);
 	return map.digest;
 }
 
-int path_put_state(struct path_board *path, const char *home,
-		   const char *server, uint32_t slots,
-		   const struct path_held *held, int n_held)
+int board_fixture_put_state(struct board_fixture *fixture, const char *home,
+			    const char *server, uint32_t slots,
+			    const struct held_version *held, int n_held)
 {
 	Peer__ServerState state = PEER__SERVER_STATE__INIT;
 	Peer__Held *items = mem_zalloc((size_t)(n_held + 1) * sizeof(*items));
 	Peer__Held **pointers =
 		mem_zalloc((size_t)(n_held + 1) * sizeof(*pointers));
-	uint32_t *here =
-		mem_zalloc((size_t)(n_held + 1) * HERE_MAX * sizeof(*here));
+	uint32_t *here = mem_zalloc((size_t)(n_held + 1) * SHARDS_HELD_MAX *
+				    sizeof(*here));
 	int ret;
 	int i;
 
@@ -139,32 +141,35 @@
 		pointers[i] = &items[i];
 		items[i].version = held[i].version;
 		items[i].map_digest =
-			digest_of(held[i].version, held[i].n_shards);
-		items[i].here = here + i * HERE_MAX;
+			map_digest(held[i].version, held[i].n_shards);
+		items[i].here = here + i * SHARDS_HELD_MAX;
 		for (digit = held[i].here; *digit; digit++)
 			items[i].here[items[i].n_here++] =
 				(uint32_t)(*digit - '0');
 	}
 	state.server = (char *)server;
-	state.service = (char *)PATH_SERVICE;
+	state.service = (char *)FIXTURE_SERVICE;
 	state.slots = slots;
 	state.reachable = true;
 	state.n_held = (size_t)n_held;
 	state.held = pointers;
-	ret = catalog_put_state(&path->board.catalog, str_from(home), &state);
+	ret = catalog_put_state(&fixture->board.catalog, str_from(home),
+				&state);
 	free(here);
 	free(pointers);
 	free(items);
 	return ret;
 }
 
-void path_put(struct path_board *path, const char *home, const char *server,
-	      uint64_t version, int n_shards, const char *here)
+void board_fixture_put_server(struct board_fixture *fixture, const char *home,
+			      const char *server, uint64_t version,
+			      int n_shards, const char *here)
 {
-	struct path_held held = {version, n_shards, here};
+	struct held_version held = {version, n_shards, here};
 
-	/* A map that no server holds is not kept. */
-	if (path_put_state(path, home, server, 1, &held, 1) ||
-	    path_put_map(path, version, n_shards))
+	/* The state goes first: the catalog drops a map that no server holds.
+	 */
+	if (board_fixture_put_state(fixture, home, server, 1, &held, 1) ||
+	    board_fixture_put_map(fixture, version, n_shards))
 		abort();
 }
--- a/tests/fuzz/fuzz_search.c
+++ b/tests/fuzz/fuzz_search.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-#include "../path_board.h"
+#include "../board_fixture.h"
 #include "mem.h"
 #include "search.h"
 
@@ -20,7 +20,7 @@
  * @n_done: times that the search ended
  */
 struct fixture {
-	struct path_board board_fixture;
+	struct board_fixture board_fixture;
 	struct searches searches;
 	uint64_t id;
 	uint32_t parts[PARTS_MAX];
@@ -96,7 +96,8 @@
 	struct search_request request = {.limit = 3, .mode = REQUEST_RECORDS};
 
 	request.where = mem_dup("{}");
-	str_copy(request.service, sizeof(request.service), STR(PATH_SERVICE));
+	str_copy(request.service, sizeof(request.service),
+		 STR(FIXTURE_SERVICE));
 	str_copy(request.request_id, sizeof(request.request_id), STR("r"));
 	search_start(&fixture->searches, &request, NULL);
 }
@@ -107,21 +108,22 @@
 	int i;
 
 	memset(&fixture, 0, sizeof(fixture));
-	path_board_init(&fixture.board_fixture, 1);
+	board_fixture_init(&fixture.board_fixture, 1);
 	searches_init(&fixture.searches, &fixture.board_fixture.board, &ops,
 		      &fixture, 3);
-	path_put(&fixture.board_fixture, "h1", "b1", 1, 2, "01");
+	board_fixture_put_server(&fixture.board_fixture, "h1", "b1", 1, 2,
+				 "01");
 	start_search(&fixture);
 	for (i = 0; i < ROUNDS_MAX && !fixture.n_done; i++) {
 		answer_parts(&fixture, data, size);
 		clock_advance(&fixture.board_fixture.clock, MSEC(20));
 		searches_tick(&fixture.searches);
 	}
-	clock_advance(&fixture.board_fixture.clock, MSEC(PATH_DEADLINE_MS));
+	clock_advance(&fixture.board_fixture.clock, MSEC(FIXTURE_DEADLINE_MS));
 	searches_tick(&fixture.searches);
 	if (fixture.n_done != 1)
 		__builtin_trap();
 	searches_finish(&fixture.searches);
-	path_board_finish(&fixture.board_fixture);
+	board_fixture_finish(&fixture.board_fixture);
 	return 0;
 }
--- a/tests/matrix_change.c
+++ b/tests/matrix_change.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "sheets.h"
+#include "table_gen.h"
 #include "step.h"
 #include "table_sim.h"
 
@@ -27,7 +27,7 @@
 
 struct change_cell {
 	struct sim sim;
-	struct sheets sheets;
+	struct table_gen sheets;
 	int first;
 	int change;
 };
@@ -244,11 +244,11 @@
 	struct change_cell *cell = calloc(1, sizeof(*cell));
 	const char *why;
 
-	sheets_init(&cell->sheets, ROWS);
+	table_gen_init(&cell->sheets, ROWS);
 	sim_init(&cell->sim, &sim_table_sync, NODES, DATA_CENTRES, seed);
 	why = play(cell, fault, step);
 	sim_finish(&cell->sim);
-	sheets_finish(&cell->sheets);
+	table_gen_finish(&cell->sheets);
 	free(cell);
 	return why;
 }
--- a/tests/sheets.c
+++ b/tests/table_gen.c
@@ -1,33 +1,33 @@
-#include "sheets.h"
+#include "table_gen.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "mem.h"
 
-#define SERVERS_A_SERVICE 10
+#define SERVERS_PER_SERVICE 10
 
-void sheets_init(struct sheets *sheets, int n)
+void table_gen_init(struct table_gen *gen, int n)
 {
 	int i;
 
-	*sheets = (struct sheets){.n = n, .lease_ms = 2000};
-	sheets->slots = mem_zalloc((size_t)n * sizeof(int));
+	*gen = (struct table_gen){.n_servers = n, .lease_ms = 2000};
+	gen->slots = mem_zalloc((size_t)n * sizeof(int));
 	for (i = 0; i < n; i++)
-		sheets->slots[i] = 2;
+		gen->slots[i] = 2;
 }
 
-void sheets_finish(struct sheets *sheets)
+void table_gen_finish(struct table_gen *gen)
 {
-	free(sheets->slots);
+	free(gen->slots);
 }
 
-static int n_services(const struct sheets *sheets)
+static int count_services(const struct table_gen *gen)
 {
-	return sheets->n / SERVERS_A_SERVICE + 1;
+	return gen->n_servers / SERVERS_PER_SERVICE + 1;
 }
 
-static void put_services(const struct sheets *sheets, FILE *out)
+static void write_services(const struct table_gen *gen, FILE *out)
 {
 	int i;
 
@@ -36,67 +36,67 @@
 	      "\"services\":{\"columns\":[\"name\",\"market\",\"mode\","
 	      "\"deadline_ms\",\"min_coverage\"],\"rows\":[\n",
 	      out);
-	for (i = 0; i < n_services(sheets); i++)
+	for (i = 0; i < count_services(gen); i++)
 		fprintf(out, "%s[\"desk-%05d\",\"be\",\"coverage\",800,0.90]\n",
 			i ? "," : "", i);
 	fputs("]},\n", out);
 }
 
-static void put_server(const struct sheets *sheets, int i, bool first,
-		       FILE *out)
+static void write_server(const struct table_gen *gen, int i, bool first,
+			 FILE *out)
 {
 	if (!first)
 		fputc(',', out);
-	if (sheets->swapped)
+	if (gen->columns_reordered)
 		fprintf(out,
 			"[%d,25,\"server-%05d\",\"10.0.%d.%d:8000\","
 			"\"be%d\",\"desk-%05d\"] // row %d\n",
-			sheets->slots[i], i, i / 250, i % 250, i % 15,
-			i / SERVERS_A_SERVICE, i);
+			gen->slots[i], i, i / 250, i % 250, i % 15,
+			i / SERVERS_PER_SERVICE, i);
 	else
 		fprintf(out,
 			"[\"server-%05d\", \"desk-%05d\", \"be%d\", "
 			"\"10.0.%d.%d:8000\", %d, 25]\n",
-			i, i / SERVERS_A_SERVICE, i % 15, i / 250, i % 250,
-			sheets->slots[i]);
+			i, i / SERVERS_PER_SERVICE, i % 15, i / 250, i % 250,
+			gen->slots[i]);
 }
 
-static void put_servers(const struct sheets *sheets, FILE *out)
+static void write_servers(const struct table_gen *gen, FILE *out)
 {
 	bool first = true;
 	int i;
 
 	fprintf(out, "\"servers\":{\"columns\":[%s],\"rows\":[\n",
-		sheets->swapped
+		gen->columns_reordered
 			? "\"slots\",\"connections\",\"name\",\"address\","
 			  "\"data_centre\",\"service\""
 			: "\"name\",\"service\",\"data_centre\",\"address\","
 			  "\"slots\",\"connections\"");
-	for (i = 0; i < sheets->n; i++) {
-		int row = sheets->reversed ? sheets->n - 1 - i : i;
+	for (i = 0; i < gen->n_servers; i++) {
+		int row = gen->rows_reversed ? gen->n_servers - 1 - i : i;
 
-		if (!sheets->slots[row])
+		if (!gen->slots[row])
 			continue;
-		put_server(sheets, row, first, out);
+		write_server(gen, row, first, out);
 		first = false;
 	}
 	fputs("]}", out);
 }
 
-char *sheets_text(const struct sheets *sheets, size_t *len)
+char *table_gen_text(const struct table_gen *gen, size_t *len)
 {
 	char *text;
 	FILE *out = open_memstream(&text, len);
 
 	fputs("// made up\n{", out);
-	put_services(sheets, out);
-	put_servers(sheets, out);
-	if (sheets->lease_ms)
+	write_services(gen, out);
+	write_servers(gen, out);
+	if (gen->lease_ms)
 		fprintf(out,
 			",\n\"tunables\":{\"columns\":[\"name\",\"value\"],"
 			"\"rows\":[[\"probe_period_ms\",500],"
 			"[\"lease_ms\",%d]]}",
-			sheets->lease_ms);
+			gen->lease_ms);
 	fputs("}\n", out);
 	fclose(out);
 	return text;
--- a/tests/table_sim.c
+++ b/tests/table_sim.c
@@ -365,11 +365,11 @@
 	return platform->n_versions - 1;
 }
 
-int sim_publish_sheets(struct sim *sim, const struct sheets *sheets,
+int sim_publish_sheets(struct sim *sim, const struct table_gen *sheets,
 		       uint64_t revision)
 {
 	size_t len;
-	char *text = sheets_text(sheets, &len);
+	char *text = table_gen_text(sheets, &len);
 
 	return sim_publish(sim, text, len, revision);
 }
@@ -392,7 +392,7 @@
 		i ? "," : "", part->key, str_hash((struct str){text, len}));
 }
 
-int sim_publish_parts(struct sim *sim, const struct sheets *sheets,
+int sim_publish_parts(struct sim *sim, const struct table_gen *sheets,
 		      uint64_t revision, int n)
 {
 	struct table table;
@@ -400,7 +400,7 @@
 	size_t manifest_len;
 	FILE *out = open_memstream(&manifest, &manifest_len);
 	size_t len;
-	char *text = sheets_text(sheets, &len);
+	char *text = table_gen_text(sheets, &len);
 	int version;
 	int i;
 
--- a/tests/table_sim.h
+++ b/tests/table_sim.h
@@ -6,7 +6,7 @@
 #define TABLE_SIM_H
 
 #include "clock.h"
-#include "sheets.h"
+#include "table_gen.h"
 #include "table_sync.h"
 
 #define SIM_VERSIONS_MAX 2048
@@ -169,13 +169,13 @@
  * Return: its index among the versions.
  */
 int sim_publish(struct sim *sim, char *text, size_t len, uint64_t revision);
-int sim_publish_sheets(struct sim *sim, const struct sheets *sheets,
+int sim_publish_sheets(struct sim *sim, const struct table_gen *sheets,
 		       uint64_t revision);
 
 /**
  * sim_publish_parts() - the same in parts under a manifest
  */
-int sim_publish_parts(struct sim *sim, const struct sheets *sheets,
+int sim_publish_parts(struct sim *sim, const struct table_gen *sheets,
 		      uint64_t revision, int n);
 
 /**
--- a/tests/test_catalog.c
+++ b/tests/test_catalog.c
@@ -2,43 +2,45 @@
 #include <string.h>
 
 #include "mem.h"
-#include "path_board.h"
+#include "board_fixture.h"
 #include "unit.h"
 
-static const struct catalog_placement *best(struct path_board *path)
+static const struct catalog_placement *best(struct board_fixture *path)
 {
-	return catalog_best_placement(&path->board.catalog, STR(PATH_SERVICE));
+	return catalog_best_placement(&path->board.catalog,
+				      STR(FIXTURE_SERVICE));
 }
 
 static void test_coverage_counts_reachable_records(void)
 {
-	struct path_board path;
+	struct board_fixture path;
 
-	path_board_init(&path, 3);
+	board_fixture_init(&path, 3);
 	CU_ASSERT_PTR_NULL(best(&path));
-	path_put(&path, "h1", "b1", 1, 4, "01");
-	CU_ASSERT_EQUAL(best(&path)->covered, 2 * PATH_HELD);
-	CU_ASSERT_EQUAL(best(&path)->map->total, 4 * PATH_HELD);
-	path_put(&path, "h1", "b2", 1, 4, "12");
-	CU_ASSERT_EQUAL(best(&path)->covered, 3 * PATH_HELD);
+	board_fixture_put_server(&path, "h1", "b1", 1, 4, "01");
+	CU_ASSERT_EQUAL(best(&path)->covered, 2 * FIXTURE_SHARD_RECORDS);
+	CU_ASSERT_EQUAL(best(&path)->map->total, 4 * FIXTURE_SHARD_RECORDS);
+	board_fixture_put_server(&path, "h1", "b2", 1, 4, "12");
+	CU_ASSERT_EQUAL(best(&path)->covered, 3 * FIXTURE_SHARD_RECORDS);
 	CU_ASSERT_EQUAL(best(&path)->first[2] - best(&path)->first[1], 2);
 	CU_ASSERT_EQUAL(best(&path)->first[4] - best(&path)->first[3], 0);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 /* A state whose map was not fetched yet counts only once the map arrives. */
 static void test_map_may_arrive_after_the_state(void)
 {
-	struct path_held held = {1, 2, "01"};
-	struct path_board path;
+	struct held_version held = {1, 2, "01"};
+	struct board_fixture path;
 
-	path_board_init(&path, 1);
-	CU_ASSERT_EQUAL(path_put_state(&path, "h1", "b1", 1, &held, 1), 0);
+	board_fixture_init(&path, 1);
+	CU_ASSERT_EQUAL(board_fixture_put_state(&path, "h1", "b1", 1, &held, 1),
+			0);
 	CU_ASSERT_PTR_NULL(best(&path));
-	CU_ASSERT_EQUAL(path_put_map(&path, 1, 2), 0);
+	CU_ASSERT_EQUAL(board_fixture_put_map(&path, 1, 2), 0);
 	CU_ASSERT_EQUAL_FATAL(best(&path) != NULL, true);
-	CU_ASSERT_EQUAL(best(&path)->covered, 2 * PATH_HELD);
-	path_board_finish(&path);
+	CU_ASSERT_EQUAL(best(&path)->covered, 2 * FIXTURE_SHARD_RECORDS);
+	board_fixture_finish(&path);
 }
 
 /*
@@ -47,36 +49,36 @@
  */
 static void test_rollout_does_not_lower_coverage(void)
 {
-	struct path_held first = {1, 2, "0"};
-	struct path_held second[] = {{1, 2, "1"}, {2, 2, "1"}};
-	struct path_board path;
-
-	path_board_init(&path, 2);
-	path_put_state(&path, "h1", "b1", 1, &first, 1);
-	path_put_state(&path, "h1", "b2", 1, second, 2);
-	path_put_map(&path, 1, 2);
-	path_put_map(&path, 2, 2);
+	struct held_version first = {1, 2, "0"};
+	struct held_version second[] = {{1, 2, "1"}, {2, 2, "1"}};
+	struct board_fixture path;
+
+	board_fixture_init(&path, 2);
+	board_fixture_put_state(&path, "h1", "b1", 1, &first, 1);
+	board_fixture_put_state(&path, "h1", "b2", 1, second, 2);
+	board_fixture_put_map(&path, 1, 2);
+	board_fixture_put_map(&path, 2, 2);
 	CU_ASSERT_EQUAL(best(&path)->map->version, 1);
-	CU_ASSERT_EQUAL(best(&path)->covered, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(best(&path)->covered, 2 * FIXTURE_SHARD_RECORDS);
 	first.version = 2;
-	path_put_state(&path, "h1", "b1", 1, &first, 1);
+	board_fixture_put_state(&path, "h1", "b1", 1, &first, 1);
 	CU_ASSERT_EQUAL(best(&path)->map->version, 2);
-	CU_ASSERT_EQUAL(best(&path)->covered, 2 * PATH_HELD);
-	path_board_finish(&path);
+	CU_ASSERT_EQUAL(best(&path)->covered, 2 * FIXTURE_SHARD_RECORDS);
+	board_fixture_finish(&path);
 }
 
 static void test_newest_of_equally_covered(void)
 {
-	struct path_held held[] = {{3, 2, "01"}, {7, 2, "01"}, {5, 2, "01"}};
-	struct path_board path;
-
-	path_board_init(&path, 1);
-	path_put_state(&path, "h1", "b1", 1, held, 3);
-	path_put_map(&path, 3, 2);
-	path_put_map(&path, 7, 2);
-	path_put_map(&path, 5, 2);
+	struct held_version held[] = {{3, 2, "01"}, {7, 2, "01"}, {5, 2, "01"}};
+	struct board_fixture path;
+
+	board_fixture_init(&path, 1);
+	board_fixture_put_state(&path, "h1", "b1", 1, held, 3);
+	board_fixture_put_map(&path, 3, 2);
+	board_fixture_put_map(&path, 7, 2);
+	board_fixture_put_map(&path, 5, 2);
 	CU_ASSERT_EQUAL(best(&path)->map->version, 7);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 /*
@@ -86,38 +88,38 @@
  */
 static void test_repeated_state_keeps_the_map(void)
 {
-	struct path_held held = {1, 1, "0"};
-	struct path_board path;
+	struct held_version held = {1, 1, "0"};
+	struct board_fixture path;
 	int i;
 
-	path_board_init(&path, 1);
-	path_put(&path, "h1", "b1", 1, 1, "0");
+	board_fixture_init(&path, 1);
+	board_fixture_put_server(&path, "h1", "b1", 1, 1, "0");
 	for (i = 0; i < 3; i++)
-		path_put_state(&path, "h1", "b1", 1, &held, 1);
+		board_fixture_put_state(&path, "h1", "b1", 1, &held, 1);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(best(&path));
-	CU_ASSERT_EQUAL(best(&path)->covered, PATH_HELD);
-	path_board_finish(&path);
+	CU_ASSERT_EQUAL(best(&path)->covered, FIXTURE_SHARD_RECORDS);
+	board_fixture_finish(&path);
 }
 
 static void test_homes_are_added_and_removed(void)
 {
-	struct path_held held = {1, 1, "0"};
-	struct path_board path;
+	struct held_version held = {1, 1, "0"};
+	struct board_fixture path;
 
-	path_board_init(&path, 1);
-	path_put(&path, "h1", "b1", 1, 1, "0");
-	path_put(&path, "h2", "b1", 1, 1, "0");
+	board_fixture_init(&path, 1);
+	board_fixture_put_server(&path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&path, "h2", "b1", 1, 1, "0");
 	catalog_remove_instance(&path.board.catalog, STR("h1"));
-	CU_ASSERT_EQUAL(best(&path)->covered, PATH_HELD);
+	CU_ASSERT_EQUAL(best(&path)->covered, FIXTURE_SHARD_RECORDS);
 	/* h2 has no slots any more. */
-	path_put_state(&path, "h2", "b1", 0, &held, 1);
+	board_fixture_put_state(&path, "h2", "b1", 0, &held, 1);
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
-	path_put_state(&path, "h1", "b1", 1, &held, 1);
-	CU_ASSERT_EQUAL(best(&path)->covered, PATH_HELD);
+	board_fixture_put_state(&path, "h1", "b1", 1, &held, 1);
+	CU_ASSERT_EQUAL(best(&path)->covered, FIXTURE_SHARD_RECORDS);
 	catalog_remove_instance(&path.board.catalog, STR("h1"));
 	catalog_remove_instance(&path.board.catalog, STR("h1"));
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 /*
@@ -127,64 +129,64 @@
  */
 static void test_state_may_arrive_before_the_table(void)
 {
-	struct path_board path;
+	struct board_fixture path;
 
-	path_board_init(&path, 1);
-	path_put(&path, "h1", "b2", 1, 1, "0");
+	board_fixture_init(&path, 1);
+	board_fixture_put_server(&path, "h1", "b2", 1, 1, "0");
 	CU_ASSERT_PTR_NULL(best(&path));
-	path_set_servers(&path, 1, 2);
+	board_fixture_set_servers(&path, 1, 2);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(best(&path));
-	CU_ASSERT_EQUAL(best(&path)->covered, PATH_HELD);
-	path_board_finish(&path);
+	CU_ASSERT_EQUAL(best(&path)->covered, FIXTURE_SHARD_RECORDS);
+	board_fixture_finish(&path);
 }
 
 /* A row is deleted and added again before its home has seen either change. */
 static void test_row_is_added_again_while_its_home_stays(void)
 {
-	struct path_board path;
+	struct board_fixture path;
 
-	path_board_init(&path, 2);
-	path_put(&path, "h1", "b2", 1, 1, "0");
-	path_set_servers(&path, 1, 1);
+	board_fixture_init(&path, 2);
+	board_fixture_put_server(&path, "h1", "b2", 1, 1, "0");
+	board_fixture_set_servers(&path, 1, 1);
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
-	path_set_servers(&path, 1, 2);
+	board_fixture_set_servers(&path, 1, 2);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(best(&path));
-	CU_ASSERT_EQUAL(best(&path)->covered, PATH_HELD);
-	path_board_finish(&path);
+	CU_ASSERT_EQUAL(best(&path)->covered, FIXTURE_SHARD_RECORDS);
+	board_fixture_finish(&path);
 }
 
 static void test_server_without_row_and_home_is_forgotten(void)
 {
-	struct path_held held = {1, 1, "0"};
-	struct path_board path;
+	struct held_version held = {1, 1, "0"};
+	struct board_fixture path;
 
-	path_board_init(&path, 1);
-	path_put(&path, "h1", "b2", 1, 1, "0");
-	path_put(&path, "h2", "b2", 1, 1, "0");
-	path_put_state(&path, "h1", "b2", 0, &held, 1);
+	board_fixture_init(&path, 1);
+	board_fixture_put_server(&path, "h1", "b2", 1, 1, "0");
+	board_fixture_put_server(&path, "h2", "b2", 1, 1, "0");
+	board_fixture_put_state(&path, "h1", "b2", 0, &held, 1);
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.servers), 2);
 	catalog_remove_instance(&path.board.catalog, STR("h2"));
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.servers), 1);
 	CU_ASSERT_PTR_NULL(path.board.catalog.maps);
-	path_put_state(&path, "h1", "b2", 0, &held, 1);
+	board_fixture_put_state(&path, "h1", "b2", 0, &held, 1);
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.servers), 1);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
-static int put_altered_map(struct path_board *path, void (*change)(Peer__Map *),
-			   bool fix_digest)
+static int put_altered_map(struct board_fixture *path,
+			   void (*change)(Peer__Map *), bool fix_digest)
 {
 	Peer__Map map;
 	int ret;
 
-	path_map_init(&map, 1, 3);
+	fixture_map_init(&map, 1, 3);
 	change(&map);
 	if (fix_digest)
 		map.digest =
 			catalog_map_digest(str_from(map.service), map.version,
 					   map.shards, map.n_shards);
 	ret = catalog_put_map(&path->board.catalog, &map);
-	path_map_finish(&map);
+	fixture_map_finish(&map);
 	return ret;
 }
 
@@ -246,9 +248,9 @@
 
 static void test_maps_that_do_not_cover_are_refused(void)
 {
-	struct path_board path;
+	struct board_fixture path;
 
-	path_board_init(&path, 1);
+	board_fixture_init(&path, 1);
 	CU_ASSERT_EQUAL(put_altered_map(&path, leave_gap, true), ERR_PROTOCOL);
 	CU_ASSERT_EQUAL(put_altered_map(&path, overlap, true), ERR_PROTOCOL);
 	CU_ASSERT_EQUAL(put_altered_map(&path, end_early, true), ERR_PROTOCOL);
@@ -261,7 +263,7 @@
 	CU_ASSERT_EQUAL(put_altered_map(&path, change_held, false),
 			ERR_PROTOCOL);
 	CU_ASSERT_PTR_NULL(path.board.catalog.maps);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 /*
@@ -270,11 +272,11 @@
  */
 static void test_total_must_not_overflow(void)
 {
-	struct path_board path;
+	struct board_fixture path;
 
-	path_board_init(&path, 1);
+	board_fixture_init(&path, 1);
 	CU_ASSERT_EQUAL(put_altered_map(&path, overflow, true), ERR_PROTOCOL);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 /*
@@ -284,13 +286,13 @@
  */
 static void test_long_service_name_is_refused(void)
 {
-	struct path_board path;
+	struct board_fixture path;
 
-	path_board_init(&path, 1);
+	board_fixture_init(&path, 1);
 	CU_ASSERT_EQUAL(put_altered_map(&path, lengthen_name, true),
 			ERR_PROTOCOL);
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.services), 1);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 /*
@@ -301,78 +303,78 @@
 {
 	struct catalog *catalog;
 	struct catalog_server *server;
-	struct path_board path;
+	struct board_fixture path;
 
-	path_board_init(&path, 2);
+	board_fixture_init(&path, 2);
 	catalog = &path.board.catalog;
-	path_put(&path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&path, "h1", "b1", 1, 1, "0");
 	server = catalog_server_ref(best(&path)->servers[0]);
-	path_set_servers(&path, 2, 1);
+	board_fixture_set_servers(&path, 2, 1);
 	CU_ASSERT_STRING_EQUAL(server->name, "b1");
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
 	/* The home's state may arrive after the table. */
-	path_put(&path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&path, "h1", "b1", 1, 1, "0");
 	CU_ASSERT_TRUE(!best(&path) || !best(&path)->covered);
 	/* The row is added again, then the home pushes its state. */
-	path_set_servers(&path, 1, 2);
-	path_put(&path, "h1", "b1", 1, 1, "0");
+	board_fixture_set_servers(&path, 1, 2);
+	board_fixture_put_server(&path, "h1", "b1", 1, 1, "0");
 	CU_ASSERT_EQUAL_FATAL(best(&path) != NULL, true);
 	CU_ASSERT_PTR_EQUAL(best(&path)->servers[0], server);
-	path_set_servers(&path, 2, 1);
+	board_fixture_set_servers(&path, 2, 1);
 	catalog_server_unref(catalog, server);
 	CU_ASSERT_EQUAL(HASH_COUNT(catalog->servers), 2);
 	catalog_remove_instance(catalog, STR("h1"));
 	CU_ASSERT_EQUAL(HASH_COUNT(catalog->servers), 1);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 /* A running search keeps its map after all replicas got a newer version. */
 static void test_map_stays_while_referenced(void)
 {
 	struct catalog_map *map;
-	struct path_board path;
+	struct board_fixture path;
 
-	path_board_init(&path, 1);
-	path_put(&path, "h1", "b1", 1, 2, "01");
+	board_fixture_init(&path, 1);
+	board_fixture_put_server(&path, "h1", "b1", 1, 2, "01");
 	map = catalog_map_ref(best(&path)->map);
-	path_put(&path, "h1", "b1", 2, 3, "012");
-	path_put(&path, "h1", "b1", 2, 3, "012");
+	board_fixture_put_server(&path, "h1", "b1", 2, 3, "012");
+	board_fixture_put_server(&path, "h1", "b1", 2, 3, "012");
 	CU_ASSERT_EQUAL(map->n_shards, 2);
 	CU_ASSERT_PTR_NULL(catalog_find_placement(&path.board.catalog, map));
 	CU_ASSERT_EQUAL(best(&path)->map->version, 2);
 	catalog_map_unref(&path.board.catalog, map);
 	CU_ASSERT_EQUAL(HASH_COUNT(path.board.catalog.maps), 1);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 static void test_shards_outside_the_map_are_skipped(void)
 {
-	struct path_board path;
+	struct board_fixture path;
 
-	path_board_init(&path, 1);
-	path_put(&path, "h1", "b1", 1, 2, "0");
-	path_put(&path, "h1", "b1", 1, 2, "0729");
-	CU_ASSERT_EQUAL(best(&path)->covered, PATH_HELD);
+	board_fixture_init(&path, 1);
+	board_fixture_put_server(&path, "h1", "b1", 1, 2, "0");
+	board_fixture_put_server(&path, "h1", "b1", 1, 2, "0729");
+	CU_ASSERT_EQUAL(best(&path)->covered, FIXTURE_SHARD_RECORDS);
 	CU_ASSERT_EQUAL(best(&path)->first[2], 1);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 static void test_too_many_versions_are_refused(void)
 {
-	struct path_held held[CATALOG_VERSIONS_MAX + 1];
-	struct path_board path;
+	struct held_version held[CATALOG_VERSIONS_MAX + 1];
+	struct board_fixture path;
 	int i;
 
 	for (i = 0; i <= CATALOG_VERSIONS_MAX; i++)
-		held[i] = (struct path_held){(uint64_t)i + 1, 1, "0"};
-	path_board_init(&path, 1);
-	CU_ASSERT_EQUAL(path_put_state(&path, "h1", "b1", 1, held,
-				       CATALOG_VERSIONS_MAX + 1),
+		held[i] = (struct held_version){(uint64_t)i + 1, 1, "0"};
+	board_fixture_init(&path, 1);
+	CU_ASSERT_EQUAL(board_fixture_put_state(&path, "h1", "b1", 1, held,
+						CATALOG_VERSIONS_MAX + 1),
 			ERR_PROTOCOL);
-	CU_ASSERT_EQUAL(path_put_state(&path, "h1", "b1", 1, held,
-				       CATALOG_VERSIONS_MAX),
+	CU_ASSERT_EQUAL(board_fixture_put_state(&path, "h1", "b1", 1, held,
+						CATALOG_VERSIONS_MAX),
 			0);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_dispatch.c
+++ b/tests/test_dispatch.c
@@ -1,18 +1,22 @@
-#include "dispatch_world.h"
+#include "dispatch_fixture.h"
 
 static void test_all_parts(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 4);
-	CU_ASSERT(result(&world, 0, 0, false, "a") == DISPATCH_PENDING);
-	CU_ASSERT(result(&world, 1, 0, false, "b") == DISPATCH_PENDING);
-	CU_ASSERT(result(&world, 2, 0, false, "c") == DISPATCH_PENDING);
-	CU_ASSERT(result(&world, 3, 0, false, "d") == DISPATCH_COMPLETE);
-	CU_ASSERT(world.dispatch.records.n == 3);
-	world_finish(&world);
+	fixture_init(&fixture);
+	CU_ASSERT(start_dispatch(&fixture, "/shards/") == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 4);
+	CU_ASSERT(deliver_answer(&fixture, 0, 0, false, "a") ==
+		  DISPATCH_PENDING);
+	CU_ASSERT(deliver_answer(&fixture, 1, 0, false, "b") ==
+		  DISPATCH_PENDING);
+	CU_ASSERT(deliver_answer(&fixture, 2, 0, false, "c") ==
+		  DISPATCH_PENDING);
+	CU_ASSERT(deliver_answer(&fixture, 3, 0, false, "d") ==
+		  DISPATCH_COMPLETE);
+	CU_ASSERT(fixture.dispatch.records.n == 3);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -21,22 +25,23 @@
  */
 static void test_hedge(void)
 {
-	struct world world;
-
-	world_init(&world);
-	start(&world, "/shards/");
-	result(&world, 0, 0, false, "a");
-	result(&world, 1, 0, false, "b");
-	result(&world, 2, 0, false, "c");
-	CU_ASSERT(pass(&world, 10) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 4);
-	CU_ASSERT(pass(&world, 15) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 5);
-	CU_ASSERT(world.sent[4]->server != world.sent[3]->server);
-	CU_ASSERT(world.sent[4]->part == world.sent[3]->part);
-	CU_ASSERT(result(&world, 4, 0, false, "d") == DISPATCH_COMPLETE);
-	CU_ASSERT(world.n_abandoned == 1);
-	world_finish(&world);
+	struct fixture fixture;
+
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	deliver_answer(&fixture, 0, 0, false, "a");
+	deliver_answer(&fixture, 1, 0, false, "b");
+	deliver_answer(&fixture, 2, 0, false, "c");
+	CU_ASSERT(advance(&fixture, 10) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 4);
+	CU_ASSERT(advance(&fixture, 15) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 5);
+	CU_ASSERT(fixture.sent[4]->server != fixture.sent[3]->server);
+	CU_ASSERT(fixture.sent[4]->part == fixture.sent[3]->part);
+	CU_ASSERT(deliver_answer(&fixture, 4, 0, false, "d") ==
+		  DISPATCH_COMPLETE);
+	CU_ASSERT(fixture.n_abandoned == 1);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -46,25 +51,25 @@
  */
 static void test_hedge_when_other_recovers(void)
 {
-	struct world world;
+	struct fixture fixture;
 	struct registry_server *other;
 
-	world_init(&world);
-	start(&world, "/any/");
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/any/");
 	other = registry_find(
-		&world.registry,
-		str_eq_text(str_from(world.sent[0]->server->entry.id), "s0-0")
+		&fixture.registry,
+		str_eq_text(str_from(fixture.sent[0]->server->entry.id), "s0-0")
 			? STR("s0-1")
 			: STR("s0-0"));
-	other->score.avoid_until = clock_now(&world.clock) + MSEC(40);
-	CU_ASSERT(pass(&world, 25) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 1);
-	CU_ASSERT(dispatch_due(&world.dispatch) <=
-		  clock_now(&world.clock) + MSEC(5));
-	CU_ASSERT(pass(&world, 16) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 2);
-	CU_ASSERT(world.sent[1]->server == other);
-	world_finish(&world);
+	other->score.avoid_until = clock_now(&fixture.clock) + MSEC(40);
+	CU_ASSERT(advance(&fixture, 25) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 1);
+	CU_ASSERT(dispatch_due(&fixture.dispatch) <=
+		  clock_now(&fixture.clock) + MSEC(5));
+	CU_ASSERT(advance(&fixture, 16) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 2);
+	CU_ASSERT(fixture.sent[1]->server == other);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -74,21 +79,21 @@
  */
 static void test_no_hedges_while_all_are_late(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	start(&world, "/shards/");
-	CU_ASSERT(pass(&world, 50) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 4);
-	result(&world, 0, 0, false, "a");
-	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 4);
-	result(&world, 1, 0, false, "b");
-	CU_ASSERT(dispatch_due(&world.dispatch) <=
-		  clock_now(&world.clock) + MSEC(5));
-	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 6);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	CU_ASSERT(advance(&fixture, 50) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 4);
+	deliver_answer(&fixture, 0, 0, false, "a");
+	CU_ASSERT(advance(&fixture, 5) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 4);
+	deliver_answer(&fixture, 1, 0, false, "b");
+	CU_ASSERT(dispatch_due(&fixture.dispatch) <=
+		  clock_now(&fixture.clock) + MSEC(5));
+	CU_ASSERT(advance(&fixture, 5) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 6);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -98,24 +103,26 @@
  */
 static void test_shard_without_a_free_slot(void)
 {
-	struct world world;
+	struct fixture fixture;
 	int first = 3;
 
-	world_init(&world);
-	start(&world, "/shards/");
-	CU_ASSERT(result(&world, first, ERR_SHED, true, "") ==
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	CU_ASSERT(deliver_answer(&fixture, first, ERR_SHED, true, "") ==
 		  DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 5);
-	CU_ASSERT(result(&world, 4, ERR_SHED, true, "") == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 5);
-	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 6);
-	CU_ASSERT(world.sent[5]->part == &world.dispatch.parts[3]);
-	result(&world, 0, 0, false, "a");
-	result(&world, 1, 0, false, "b");
-	result(&world, 2, 0, false, "c");
-	CU_ASSERT(result(&world, 5, 0, false, "d") == DISPATCH_COMPLETE);
-	world_finish(&world);
+	CU_ASSERT(fixture.n_sent == 5);
+	CU_ASSERT(deliver_answer(&fixture, 4, ERR_SHED, true, "") ==
+		  DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 5);
+	CU_ASSERT(advance(&fixture, 5) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 6);
+	CU_ASSERT(fixture.sent[5]->part == &fixture.dispatch.parts[3]);
+	deliver_answer(&fixture, 0, 0, false, "a");
+	deliver_answer(&fixture, 1, 0, false, "b");
+	deliver_answer(&fixture, 2, 0, false, "c");
+	CU_ASSERT(deliver_answer(&fixture, 5, 0, false, "d") ==
+		  DISPATCH_COMPLETE);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -124,32 +131,36 @@
  */
 static void test_partial_at_goal(void)
 {
-	struct world world;
+	struct fixture fixture;
 	int i;
 
-	world_init(&world);
-	start(&world, "/shards/");
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
 	for (i = 0; i < 3; i++)
-		result(&world, i, 0, false, i == 0 ? "a" : i == 1 ? "b" : "c");
-	CU_ASSERT(pass(&world, 85) == DISPATCH_PENDING);
-	CU_ASSERT(dispatch_due(&world.dispatch) ==
-		  clock_now(&world.clock) + MSEC(5));
-	CU_ASSERT(pass(&world, 5) == DISPATCH_PARTIAL);
-	CU_ASSERT(world.dispatch.n_answered == 3);
-	world_finish(&world);
+		deliver_answer(&fixture, i, 0, false,
+			       i == 0	? "a"
+			       : i == 1 ? "b"
+					: "c");
+	CU_ASSERT(advance(&fixture, 85) == DISPATCH_PENDING);
+	CU_ASSERT(dispatch_due(&fixture.dispatch) ==
+		  clock_now(&fixture.clock) + MSEC(5));
+	CU_ASSERT(advance(&fixture, 5) == DISPATCH_PARTIAL);
+	CU_ASSERT(fixture.dispatch.n_answered == 3);
+	fixture_finish(&fixture);
 }
 
 static void test_late_part_reaches_coverage(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	start(&world, "/shards/");
-	result(&world, 0, 0, false, "a");
-	result(&world, 1, 0, false, "b");
-	CU_ASSERT(pass(&world, 300) == DISPATCH_PENDING);
-	CU_ASSERT(result(&world, 2, 0, false, "c") == DISPATCH_PARTIAL);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	deliver_answer(&fixture, 0, 0, false, "a");
+	deliver_answer(&fixture, 1, 0, false, "b");
+	CU_ASSERT(advance(&fixture, 300) == DISPATCH_PENDING);
+	CU_ASSERT(deliver_answer(&fixture, 2, 0, false, "c") ==
+		  DISPATCH_PARTIAL);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -158,27 +169,28 @@
  */
 static void test_unreachable_coverage_fails_at_once(void)
 {
-	struct world world;
+	struct fixture fixture;
 	enum dispatch_outcome outcome = DISPATCH_PENDING;
 	int i;
 
-	world_init(&world);
-	start(&world, "/shards/");
-	for (i = 0; i < world.n_sent && !outcome; i++) {
-		if (world.sent[i]->part - world.dispatch.parts < 2)
-			outcome = result(&world, i, ERR_LOST, false, "");
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	for (i = 0; i < fixture.n_sent && !outcome; i++) {
+		if (fixture.sent[i]->part - fixture.dispatch.parts < 2)
+			outcome = deliver_answer(&fixture, i, ERR_LOST, false,
+						 "");
 	}
 	CU_ASSERT(outcome == DISPATCH_FAILED);
-	CU_ASSERT(clock_now(&world.clock) == world.dispatch.start);
-	world_finish(&world);
+	CU_ASSERT(clock_now(&fixture.clock) == fixture.dispatch.start);
+	fixture_finish(&fixture);
 }
 
 /* Has connections to all servers of a service fail several times in a row. */
-static void make_unreachable(struct world *world, const char *name)
+static void make_unreachable(struct fixture *fixture, const char *name)
 {
 	struct registry_service *service =
-		registry_service(&world->registry, str_from(name));
-	int64_t now = clock_now(&world->clock);
+		registry_service(&fixture->registry, str_from(name));
+	int64_t now = clock_now(&fixture->clock);
 	int i;
 	int j;
 
@@ -198,17 +210,17 @@
  */
 static void test_lost_shards_refuse_at_once(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	make_unreachable(&world, "s1");
-	make_unreachable(&world, "s2");
-	clock_advance(&world.clock, MSEC(300));
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_REFUSED);
-	CU_ASSERT(world.n_sent == 0);
-	CU_ASSERT(world.dispatch.code == ERR_NO_REPLICA);
-	CU_ASSERT(dispatch_retry_after(&world.dispatch) == 300);
-	world_finish(&world);
+	fixture_init(&fixture);
+	make_unreachable(&fixture, "s1");
+	make_unreachable(&fixture, "s2");
+	clock_advance(&fixture.clock, MSEC(300));
+	CU_ASSERT(start_dispatch(&fixture, "/shards/") == DISPATCH_REFUSED);
+	CU_ASSERT(fixture.n_sent == 0);
+	CU_ASSERT(fixture.dispatch.code == ERR_NO_REPLICA);
+	CU_ASSERT(dispatch_retry_after(&fixture.dispatch) == 300);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -217,22 +229,22 @@
  */
 static void test_refused_for_load(void)
 {
-	struct world world;
+	struct fixture fixture;
 	struct load_limit *load;
 
-	world_init(&world);
-	make_unreachable(&world, "s1");
-	clock_advance(&world.clock, MSEC(3000));
-	load = &registry_service(&world.registry, STR("s0"))->load;
-	load_limit_count_request(load, 0, 1, clock_now(&world.clock));
-	load_limit_admit_always(load, 0, 2, clock_now(&world.clock));
+	fixture_init(&fixture);
+	make_unreachable(&fixture, "s1");
+	clock_advance(&fixture.clock, MSEC(3000));
+	load = &registry_service(&fixture.registry, STR("s0"))->load;
+	load_limit_count_request(load, 0, 1, clock_now(&fixture.clock));
+	load_limit_admit_always(load, 0, 2, clock_now(&fixture.clock));
 	load->limit = 2;
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_REFUSED);
-	CU_ASSERT(world.n_sent == 0);
-	CU_ASSERT(world.dispatch.code == ERR_OVERLOAD);
-	CU_ASSERT(dispatch_retry_after(&world.dispatch) == 100);
+	CU_ASSERT(start_dispatch(&fixture, "/shards/") == DISPATCH_REFUSED);
+	CU_ASSERT(fixture.n_sent == 0);
+	CU_ASSERT(fixture.dispatch.code == ERR_OVERLOAD);
+	CU_ASSERT(dispatch_retry_after(&fixture.dispatch) == 100);
 	CU_ASSERT(load->in_progress == 2);
-	world_finish(&world);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -241,17 +253,18 @@
  */
 static void test_lost_shard_does_not_delay(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	make_unreachable(&world, "s1");
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 3);
-	result(&world, 0, 0, false, "a");
-	result(&world, 1, 0, false, "b");
-	CU_ASSERT(result(&world, 2, 0, false, "c") == DISPATCH_PARTIAL);
-	CU_ASSERT(clock_now(&world.clock) == world.dispatch.start);
-	world_finish(&world);
+	fixture_init(&fixture);
+	make_unreachable(&fixture, "s1");
+	CU_ASSERT(start_dispatch(&fixture, "/shards/") == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 3);
+	deliver_answer(&fixture, 0, 0, false, "a");
+	deliver_answer(&fixture, 1, 0, false, "b");
+	CU_ASSERT(deliver_answer(&fixture, 2, 0, false, "c") ==
+		  DISPATCH_PARTIAL);
+	CU_ASSERT(clock_now(&fixture.clock) == fixture.dispatch.start);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -260,19 +273,19 @@
  */
 static void test_shard_recovers(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	make_unreachable(&world, "s1");
-	make_unreachable(&world, "s2");
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_REFUSED);
-	dispatch_finish(&world.dispatch);
-	outage_tick(&world.outage);
-	CU_ASSERT(world.n_checks == 4);
-	outage_check_done(&world.outage, world.check, true);
-	CU_ASSERT(start(&world, "/shards/") == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 3);
-	world_finish(&world);
+	fixture_init(&fixture);
+	make_unreachable(&fixture, "s1");
+	make_unreachable(&fixture, "s2");
+	CU_ASSERT(start_dispatch(&fixture, "/shards/") == DISPATCH_REFUSED);
+	dispatch_finish(&fixture.dispatch);
+	outage_tick(&fixture.outage);
+	CU_ASSERT(fixture.n_checks == 4);
+	outage_check_done(&fixture.outage, fixture.outage_check, true);
+	CU_ASSERT(start_dispatch(&fixture, "/shards/") == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 3);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -281,53 +294,58 @@
  */
 static void test_once_is_not_repeated(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	start(&world, "/once/");
-	CU_ASSERT(pass(&world, 200) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 1);
-	CU_ASSERT(result(&world, 0, ERR_LOST, false, "") == DISPATCH_FAILED);
-	CU_ASSERT(world.n_sent == 1);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/once/");
+	CU_ASSERT(advance(&fixture, 200) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 1);
+	CU_ASSERT(deliver_answer(&fixture, 0, ERR_LOST, false, "") ==
+		  DISPATCH_FAILED);
+	CU_ASSERT(fixture.n_sent == 1);
+	fixture_finish(&fixture);
 }
 
 static void test_once_goes_on_if_not_run(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	start(&world, "/once/");
-	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 2);
-	CU_ASSERT(result(&world, 1, ERR_SHED, true, "") == DISPATCH_REFUSED);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/once/");
+	CU_ASSERT(deliver_answer(&fixture, 0, ERR_SHED, true, "") ==
+		  DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 2);
+	CU_ASSERT(deliver_answer(&fixture, 1, ERR_SHED, true, "") ==
+		  DISPATCH_REFUSED);
+	fixture_finish(&fixture);
 }
 
 /* A request in flight at its deadline may run: it must not be "not run". */
 static void test_timeout_under_way(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	start(&world, "/once/");
-	CU_ASSERT(pass(&world, 1000) == DISPATCH_FAILED);
-	CU_ASSERT(world.dispatch.code == ERR_TOO_LATE);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/once/");
+	CU_ASSERT(advance(&fixture, 1000) == DISPATCH_FAILED);
+	CU_ASSERT(fixture.dispatch.code == ERR_TOO_LATE);
+	fixture_finish(&fixture);
 }
 
 static void test_attempts_are_bounded(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	add_server(&world, "s0", 2);
-	add_server(&world, "s0", 3);
-	start(&world, "/any/");
-	CU_ASSERT(result(&world, 0, ERR_LOST, false, "") == DISPATCH_PENDING);
-	CU_ASSERT(result(&world, 1, ERR_LOST, false, "") == DISPATCH_FAILED);
-	CU_ASSERT(world.n_sent == 2);
-	world_finish(&world);
+	fixture_init(&fixture);
+	add_server(&fixture, "s0", 2);
+	add_server(&fixture, "s0", 3);
+	start_dispatch(&fixture, "/any/");
+	CU_ASSERT(deliver_answer(&fixture, 0, ERR_LOST, false, "") ==
+		  DISPATCH_PENDING);
+	CU_ASSERT(deliver_answer(&fixture, 1, ERR_LOST, false, "") ==
+		  DISPATCH_FAILED);
+	CU_ASSERT(fixture.n_sent == 2);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -337,22 +355,24 @@
  */
 static void test_refused_connections_cost_nothing(void)
 {
-	struct world world;
+	struct fixture fixture;
 	int i;
 
-	world_init(&world);
-	world.limits.budget = (struct budget_limit){.ratio = 0.001, .burst = 0};
+	fixture_init(&fixture);
+	fixture.limits.budget =
+		(struct budget_limit){.ratio = 0.001, .burst = 0};
 	for (i = 0; i < 20; i++) {
-		world.n_sent = 0;
-		CU_ASSERT(start(&world, "/any/") == DISPATCH_PENDING);
-		result(&world, 0, ERR_CONNECT, true, "");
-		CU_ASSERT(world.n_sent == 2);
-		CU_ASSERT(result(&world, 1, 0, false, "x") ==
+		fixture.n_sent = 0;
+		CU_ASSERT(start_dispatch(&fixture, "/any/") ==
+			  DISPATCH_PENDING);
+		deliver_answer(&fixture, 0, ERR_CONNECT, true, "");
+		CU_ASSERT(fixture.n_sent == 2);
+		CU_ASSERT(deliver_answer(&fixture, 1, 0, false, "x") ==
 			  DISPATCH_COMPLETE);
-		dispatch_finish(&world.dispatch);
+		dispatch_finish(&fixture.dispatch);
 	}
-	start(&world, "/any/");
-	world_finish(&world);
+	start_dispatch(&fixture, "/any/");
+	fixture_finish(&fixture);
 }
 
 /*
@@ -362,22 +382,23 @@
  */
 static void test_retry_waits_for_budget(void)
 {
-	struct world world;
+	struct fixture fixture;
 	struct registry_service *service;
 
-	world_init(&world);
-	world.limits.budget.burst = 0;
-	start(&world, "/any/");
-	service = registry_service(&world.registry, STR("s0"));
-	CU_ASSERT(result(&world, 0, ERR_SHED, true, "") == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 1);
-	budget_count_needed(&service->budget, &world.limits.budget, 20,
-			    clock_now(&world.clock));
-	CU_ASSERT(dispatch_due(&world.dispatch) <=
-		  clock_now(&world.clock) + MSEC(5));
-	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 2);
-	world_finish(&world);
+	fixture_init(&fixture);
+	fixture.limits.budget.burst = 0;
+	start_dispatch(&fixture, "/any/");
+	service = registry_service(&fixture.registry, STR("s0"));
+	CU_ASSERT(deliver_answer(&fixture, 0, ERR_SHED, true, "") ==
+		  DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 1);
+	budget_count_needed(&service->budget, &fixture.limits.budget, 20,
+			    clock_now(&fixture.clock));
+	CU_ASSERT(dispatch_due(&fixture.dispatch) <=
+		  clock_now(&fixture.clock) + MSEC(5));
+	CU_ASSERT(advance(&fixture, 5) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 2);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -387,36 +408,38 @@
  */
 static void test_waits_for_connection(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	world.refuse = ERR_BUDGET;
-	CU_ASSERT(start(&world, "/any/") == DISPATCH_PENDING);
-	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
-	world.refuse = 0;
-	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 1);
-	CU_ASSERT(result(&world, 0, 0, false, "x") == DISPATCH_COMPLETE);
-	world_finish(&world);
+	fixture_init(&fixture);
+	fixture.send_error = ERR_BUDGET;
+	CU_ASSERT(start_dispatch(&fixture, "/any/") == DISPATCH_PENDING);
+	CU_ASSERT(advance(&fixture, 5) == DISPATCH_PENDING);
+	fixture.send_error = 0;
+	CU_ASSERT(advance(&fixture, 5) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 1);
+	CU_ASSERT(deliver_answer(&fixture, 0, 0, false, "x") ==
+		  DISPATCH_COMPLETE);
+	fixture_finish(&fixture);
 }
 
 /* The same, reported by a relay: the server may be tried again. */
 static void test_relay_has_no_connection(void)
 {
-	struct world world;
+	struct fixture fixture;
 	int i;
 
-	world_init(&world);
-	world.limits.budget = (struct budget_limit){.ratio = 0, .burst = 0};
-	start(&world, "/any/");
+	fixture_init(&fixture);
+	fixture.limits.budget = (struct budget_limit){.ratio = 0, .burst = 0};
+	start_dispatch(&fixture, "/any/");
 	for (i = 0; i < 3; i++) {
-		CU_ASSERT(result(&world, i, ERR_BUDGET, true, "") ==
+		CU_ASSERT(deliver_answer(&fixture, i, ERR_BUDGET, true, "") ==
 			  DISPATCH_PENDING);
-		pass(&world, 5);
-		CU_ASSERT(world.n_sent == i + 2);
+		advance(&fixture, 5);
+		CU_ASSERT(fixture.n_sent == i + 2);
 	}
-	CU_ASSERT(result(&world, 3, 0, false, "x") == DISPATCH_COMPLETE);
-	world_finish(&world);
+	CU_ASSERT(deliver_answer(&fixture, 3, 0, false, "x") ==
+		  DISPATCH_COMPLETE);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -426,79 +449,79 @@
  */
 static void test_long_busy_servers(void)
 {
-	struct world world;
+	struct fixture fixture;
 	int ended = 0;
 	int ms;
 
-	world_init(&world);
-	start(&world, "/any/");
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/any/");
 	for (ms = 0; ms < 60; ms++) {
-		while (ended < world.n_sent)
-			CU_ASSERT(result(&world, ended++, ERR_BUDGET, true,
-					 "") == DISPATCH_PENDING);
-		pass(&world, 1);
+		while (ended < fixture.n_sent)
+			CU_ASSERT(deliver_answer(&fixture, ended++, ERR_BUDGET,
+						 true, "") == DISPATCH_PENDING);
+		advance(&fixture, 1);
 	}
-	CU_ASSERT(world.n_sent >= 12);
-	CU_ASSERT(world.n_sent <= 26);
-	pass(&world, 5);
-	CU_ASSERT(result(&world, world.n_sent - 1, 0, false, "x") ==
+	CU_ASSERT(fixture.n_sent >= 12);
+	CU_ASSERT(fixture.n_sent <= 26);
+	advance(&fixture, 5);
+	CU_ASSERT(deliver_answer(&fixture, fixture.n_sent - 1, 0, false, "x") ==
 		  DISPATCH_COMPLETE);
-	world_finish(&world);
+	fixture_finish(&fixture);
 }
 
 static void test_retry_gives_up_at_goal(void)
 {
-	struct world world;
+	struct fixture fixture;
 	enum dispatch_outcome outcome = DISPATCH_PENDING;
 	int i;
 
-	world_init(&world);
-	world.limits.budget = (struct budget_limit){.ratio = 0, .burst = 0};
-	start(&world, "/any/");
-	result(&world, 0, ERR_SHED, true, "");
+	fixture_init(&fixture);
+	fixture.limits.budget = (struct budget_limit){.ratio = 0, .burst = 0};
+	start_dispatch(&fixture, "/any/");
+	deliver_answer(&fixture, 0, ERR_SHED, true, "");
 	for (i = 0; i < 18 && !outcome; i++)
-		outcome = pass(&world, 5);
+		outcome = advance(&fixture, 5);
 	CU_ASSERT(outcome == DISPATCH_REFUSED);
-	CU_ASSERT(world.n_sent == 1);
-	world_finish(&world);
+	CU_ASSERT(fixture.n_sent == 1);
+	fixture_finish(&fixture);
 }
 
 static void test_no_server(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	registry_remove(&world.registry, STR("s0-0"), 2);
-	registry_remove(&world.registry, STR("s0-1"), 2);
-	CU_ASSERT(start(&world, "/any/") == DISPATCH_REFUSED);
-	CU_ASSERT(world.dispatch.code == ERR_NO_REPLICA);
-	world_finish(&world);
+	fixture_init(&fixture);
+	registry_remove(&fixture.registry, STR("s0-0"), 2);
+	registry_remove(&fixture.registry, STR("s0-1"), 2);
+	CU_ASSERT(start_dispatch(&fixture, "/any/") == DISPATCH_REFUSED);
+	CU_ASSERT(fixture.dispatch.code == ERR_NO_REPLICA);
+	fixture_finish(&fixture);
 }
 
 /* Merging the same answer twice would make the result wrong. */
 static void test_duplicate_stamp(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	start(&world, "/shards/");
-	result(&world, 0, 0, false, "a");
-	result(&world, 1, 0, false, "a");
-	CU_ASSERT(world.dispatch.n_answered == 1);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	deliver_answer(&fixture, 0, 0, false, "a");
+	deliver_answer(&fixture, 1, 0, false, "a");
+	CU_ASSERT(fixture.dispatch.n_answered == 1);
+	fixture_finish(&fixture);
 }
 
 static void test_caller_left(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	start(&world, "/shards/");
-	result(&world, 0, 0, false, "a");
-	dispatch_cancel(&world.dispatch);
-	CU_ASSERT(world.dispatch.outcome == DISPATCH_CANCELLED);
-	CU_ASSERT(world.n_abandoned == 3);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	deliver_answer(&fixture, 0, 0, false, "a");
+	dispatch_cancel(&fixture.dispatch);
+	CU_ASSERT(fixture.dispatch.outcome == DISPATCH_CANCELLED);
+	CU_ASSERT(fixture.n_abandoned == 3);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -508,19 +531,20 @@
  */
 static void test_unsent(int code)
 {
-	struct world world;
+	struct fixture fixture;
 	double tokens;
 
-	world_init(&world);
-	start(&world, "/shards/");
-	tokens = world.sent[3]->part->service->budget.tokens;
-	CU_ASSERT(result(&world, 3, code, true, "") == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 5);
-	CU_ASSERT(world.sent[4]->part == world.sent[3]->part);
-	CU_ASSERT(world.sent[4]->server != world.sent[3]->server);
-	CU_ASSERT(world.sent[3]->part->n_maybe_run == 1);
-	CU_ASSERT(world.sent[3]->part->service->budget.tokens >= tokens);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	tokens = fixture.sent[3]->part->service->budget.tokens;
+	CU_ASSERT(deliver_answer(&fixture, 3, code, true, "") ==
+		  DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 5);
+	CU_ASSERT(fixture.sent[4]->part == fixture.sent[3]->part);
+	CU_ASSERT(fixture.sent[4]->server != fixture.sent[3]->server);
+	CU_ASSERT(fixture.sent[3]->part->n_maybe_run == 1);
+	CU_ASSERT(fixture.sent[3]->part->service->budget.tokens >= tokens);
+	fixture_finish(&fixture);
 }
 
 static void test_unsent_for_cold(void)
@@ -540,123 +564,124 @@
  */
 static void test_all_cold(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	world.refuse = ERR_COLD;
-	CU_ASSERT(start(&world, "/any/") == DISPATCH_REFUSED);
-	CU_ASSERT(world.dispatch.code == ERR_COLD);
-	world_finish(&world);
+	fixture_init(&fixture);
+	fixture.send_error = ERR_COLD;
+	CU_ASSERT(start_dispatch(&fixture, "/any/") == DISPATCH_REFUSED);
+	CU_ASSERT(fixture.dispatch.code == ERR_COLD);
+	fixture_finish(&fixture);
 
-	world_init(&world);
-	start(&world, "/shards/");
-	result(&world, 0, 0, false, "a");
-	result(&world, 1, 0, false, "b");
-	result(&world, 2, 0, false, "c");
-	world.refuse = ERR_COLD;
-	CU_ASSERT(result(&world, 3, ERR_COLD, true, "") == DISPATCH_PARTIAL);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	deliver_answer(&fixture, 0, 0, false, "a");
+	deliver_answer(&fixture, 1, 0, false, "b");
+	deliver_answer(&fixture, 2, 0, false, "c");
+	fixture.send_error = ERR_COLD;
+	CU_ASSERT(deliver_answer(&fixture, 3, ERR_COLD, true, "") ==
+		  DISPATCH_PARTIAL);
+	fixture_finish(&fixture);
 }
 
 /* A queued part is moved when a hedge is due, without using up the budget. */
 static void test_queued_part_is_moved(void)
 {
 	struct budget *budget;
-	struct world world;
+	struct fixture fixture;
 	double before;
 
-	world_init(&world);
-	start(&world, "/shards/");
-	world.waits = world.sent[3];
-	budget = &world.sent[3]->part->service->budget;
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	fixture.queued_send = fixture.sent[3];
+	budget = &fixture.sent[3]->part->service->budget;
 	before = budget->tokens;
-	CU_ASSERT(pass(&world, 25) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 5);
-	CU_ASSERT(world.n_abandoned == 1);
-	CU_ASSERT(world.sent[4]->server != world.sent[3]->server);
-	CU_ASSERT(world.sent[4]->part->n_maybe_run == 1);
+	CU_ASSERT(advance(&fixture, 25) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 5);
+	CU_ASSERT(fixture.n_abandoned == 1);
+	CU_ASSERT(fixture.sent[4]->server != fixture.sent[3]->server);
+	CU_ASSERT(fixture.sent[4]->part->n_maybe_run == 1);
 	CU_ASSERT(budget->tokens >= before);
-	CU_ASSERT(world.dispatch.n_extra == 0);
-	world_finish(&world);
+	CU_ASSERT(fixture.dispatch.n_extra == 0);
+	fixture_finish(&fixture);
 }
 
 /* A non-idempotent request is moved only while it certainly has not run. */
 static void test_once_moves_only_while_queued(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	start(&world, "/once/");
-	world.waits = world.sent[0];
-	CU_ASSERT(dispatch_due(&world.dispatch) <=
-		  clock_now(&world.clock) + MSEC(20));
-	CU_ASSERT(pass(&world, 25) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 2);
-	world.waits = NULL;
-	CU_ASSERT(pass(&world, 50) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 2);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/once/");
+	fixture.queued_send = fixture.sent[0];
+	CU_ASSERT(dispatch_due(&fixture.dispatch) <=
+		  clock_now(&fixture.clock) + MSEC(20));
+	CU_ASSERT(advance(&fixture, 25) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 2);
+	fixture.queued_send = NULL;
+	CU_ASSERT(advance(&fixture, 50) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 2);
+	fixture_finish(&fixture);
 }
 
 /* An error sent at the deadline is too late: the caller has disconnected. */
 static void test_error_before_deadline(void)
 {
-	struct world world;
+	struct fixture fixture;
 	int64_t due;
 
-	world_init(&world);
-	start(&world, "/shards/");
-	while (!dispatch_tick(&world.dispatch) &&
-	       clock_now(&world.clock) < world.dispatch.deadline) {
-		due = dispatch_due(&world.dispatch);
-		if (due > clock_now(&world.clock))
-			clock_advance(&world.clock,
-				      due - clock_now(&world.clock));
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	while (!dispatch_tick(&fixture.dispatch) &&
+	       clock_now(&fixture.clock) < fixture.dispatch.deadline) {
+		due = dispatch_due(&fixture.dispatch);
+		if (due > clock_now(&fixture.clock))
+			clock_advance(&fixture.clock,
+				      due - clock_now(&fixture.clock));
 		else
-			clock_advance(&world.clock, MSEC(1));
+			clock_advance(&fixture.clock, MSEC(1));
 	}
-	CU_ASSERT(world.dispatch.outcome == DISPATCH_FAILED);
-	CU_ASSERT(clock_now(&world.clock) < world.dispatch.deadline);
-	world_finish(&world);
+	CU_ASSERT(fixture.dispatch.outcome == DISPATCH_FAILED);
+	CU_ASSERT(clock_now(&fixture.clock) < fixture.dispatch.deadline);
+	fixture_finish(&fixture);
 }
 
 /* A request that is still queued at its deadline is reported as not run. */
 static void test_queued_until_deadline_has_not_run(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	start(&world, "/once/");
-	world.waits = world.sent[0];
-	world.refuse = ERR_DRAINING;
-	CU_ASSERT(pass(&world, 1000) == DISPATCH_REFUSED);
-	CU_ASSERT(world.n_abandoned == 1);
-	world_finish(&world);
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/once/");
+	fixture.queued_send = fixture.sent[0];
+	fixture.send_error = ERR_DRAINING;
+	CU_ASSERT(advance(&fixture, 1000) == DISPATCH_REFUSED);
+	CU_ASSERT(fixture.n_abandoned == 1);
+	fixture_finish(&fixture);
 }
 
 /* A part returned for overload uses up neither an attempt nor the budget. */
 static void test_overloaded_part_goes_elsewhere(void)
 {
 	struct dispatch_part *part;
-	struct world world;
+	struct fixture fixture;
 	double before;
 
-	world_init(&world);
-	start(&world, "/shards/");
-	part = world.sent[3]->part;
+	fixture_init(&fixture);
+	start_dispatch(&fixture, "/shards/");
+	part = fixture.sent[3]->part;
 	before = part->service->budget.tokens;
-	CU_ASSERT(result(&world, 3, ERR_OVERLOAD, true, "") ==
+	CU_ASSERT(deliver_answer(&fixture, 3, ERR_OVERLOAD, true, "") ==
 		  DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 5);
-	CU_ASSERT(world.sent[4]->part == part);
-	CU_ASSERT(result(&world, 4, ERR_OVERLOAD, true, "") ==
+	CU_ASSERT(fixture.n_sent == 5);
+	CU_ASSERT(fixture.sent[4]->part == part);
+	CU_ASSERT(deliver_answer(&fixture, 4, ERR_OVERLOAD, true, "") ==
 		  DISPATCH_PENDING);
 	/* Both servers are tried again after the retry delay. */
-	CU_ASSERT(pass(&world, 5) == DISPATCH_PENDING);
-	CU_ASSERT(world.n_sent == 6);
+	CU_ASSERT(advance(&fixture, 5) == DISPATCH_PENDING);
+	CU_ASSERT(fixture.n_sent == 6);
 	CU_ASSERT(part->n_maybe_run == 1);
 	CU_ASSERT(part->service->budget.tokens >= before);
-	world_finish(&world);
+	fixture_finish(&fixture);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_lifecycle.c
+++ b/tests/test_lifecycle.c
@@ -1,27 +1,27 @@
 #include "lifecycle.h"
-#include "path_board.h"
+#include "board_fixture.h"
 #include "unit.h"
 
 /* Defaults of address_lifetime_ms and leave_spread_ms. */
 #define WAIT_MS (5000 + 2000)
 #define STOP_MAX_MS 30000
 
-static void leave(struct path_board *path)
+static void leave(struct board_fixture *path)
 {
-	path_board_init(path, 1);
+	board_fixture_init(path, 1);
 	path->board.lifecycle = LIFECYCLE_LEAVING;
 	path->board.leaving_since = clock_now(&path->clock);
 }
 
 static void test_serving_does_not_stop(void)
 {
-	struct path_board path;
+	struct board_fixture path;
 
-	path_board_init(&path, 1);
+	board_fixture_init(&path, 1);
 	path.board.lifecycle = LIFECYCLE_SERVING;
 	clock_advance(&path.clock, MSEC(STOP_MAX_MS));
 	CU_ASSERT_FALSE(lifecycle_may_stop(&path.board, true));
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 /*
@@ -32,20 +32,20 @@
  */
 static void test_waits_for_address_lists(void)
 {
-	struct path_board path;
+	struct board_fixture path;
 
 	leave(&path);
 	clock_advance(&path.clock, MSEC(WAIT_MS) - 1);
 	CU_ASSERT_FALSE(lifecycle_may_stop(&path.board, true));
 	clock_advance(&path.clock, 1);
 	CU_ASSERT_TRUE(lifecycle_may_stop(&path.board, true));
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 /* Work in flight is finished first, but stop_max_ms limits the wait. */
 static void test_waits_for_work(void)
 {
-	struct path_board path;
+	struct board_fixture path;
 
 	leave(&path);
 	clock_advance(&path.clock, MSEC(WAIT_MS));
@@ -57,7 +57,7 @@
 	CU_ASSERT_FALSE(lifecycle_may_stop(&path.board, true));
 	clock_advance(&path.clock, MSEC(STOP_MAX_MS - WAIT_MS));
 	CU_ASSERT_TRUE(lifecycle_may_stop(&path.board, true));
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_run_trace.c
+++ b/tests/test_run_trace.c
@@ -1,10 +1,10 @@
 #include <string.h>
 
-#include "path_board.h"
+#include "board_fixture.h"
 #include "run_trace.h"
 #include "unit.h"
 
-static struct path_board path;
+static struct board_fixture path;
 
 static const struct trace *end(int code, int64_t elapsed)
 {
@@ -13,7 +13,8 @@
 	const struct trace *trace = NULL;
 	struct run_trace run;
 
-	str_copy(request.service, sizeof(request.service), STR(PATH_SERVICE));
+	str_copy(request.service, sizeof(request.service),
+		 STR(FIXTURE_SERVICE));
 	run_trace_init(&run, &path.board, &request);
 	clock_advance(&path.clock, elapsed);
 	run_trace_end(&run, &path.board, &answer);
@@ -28,7 +29,7 @@
 	struct burn *burn = &path.board.burn;
 	struct burn_counts counts;
 
-	burn_sum(burn, burn_find(burn, STR(PATH_SERVICE)), BURN_5M, &counts);
+	burn_sum(burn, burn_find(burn, STR(FIXTURE_SERVICE)), BURN_5M, &counts);
 	return counts;
 }
 
@@ -36,7 +37,7 @@
 {
 	const struct trace *trace;
 
-	path_board_init(&path, 1);
+	board_fixture_init(&path, 1);
 	trace = end(0, MSEC(3));
 	CU_ASSERT_EQUAL(trace->summary.kind, TRACE_RUN);
 	CU_ASSERT_EQUAL(trace->summary.elapsed, MSEC(3));
@@ -44,7 +45,7 @@
 	CU_ASSERT_FALSE(trace->summary.maybe_ran);
 	CU_ASSERT_FALSE(trace->summary.notable);
 	CU_ASSERT_EQUAL(counted().total, 1);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 /*
@@ -53,21 +54,21 @@
  */
 static void test_unknown(void)
 {
-	path_board_init(&path, 1);
+	board_fixture_init(&path, 1);
 	CU_ASSERT_TRUE(end(ERR_UNKNOWN, MSEC(3))->summary.maybe_ran);
 	CU_ASSERT_TRUE(end(ERR_TICKET_LOST, MSEC(3))->summary.maybe_ran);
 	CU_ASSERT_FALSE(end(ERR_OVERLOAD, MSEC(3))->summary.maybe_ran);
 	CU_ASSERT_EQUAL(counted().total, 3);
 	CU_ASSERT_EQUAL(counted().refused, 3);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 static void test_invalid_request_not_counted(void)
 {
-	path_board_init(&path, 1);
+	board_fixture_init(&path, 1);
 	CU_ASSERT_FALSE(end(ERR_BAD_REQUEST, MSEC(3))->summary.notable);
 	CU_ASSERT_EQUAL(counted().total, 0);
-	path_board_finish(&path);
+	board_fixture_finish(&path);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_search.c
+++ b/tests/test_search.c
@@ -4,7 +4,7 @@
 
 #include "answer.h"
 #include "mem.h"
-#include "path_board.h"
+#include "board_fixture.h"
 #include "search.h"
 #include "unit.h"
 
@@ -19,7 +19,7 @@
  * @reasons: error of each shard; 0: answered
  */
 struct fixture {
-	struct path_board path;
+	struct board_fixture path;
 	struct searches searches;
 	struct {
 		char home[CATALOG_NAME_SIZE];
@@ -109,7 +109,7 @@
 static void set_up(struct fixture *fixture, int n_servers)
 {
 	memset(fixture, 0, sizeof(*fixture));
-	path_board_init(&fixture->path, n_servers);
+	board_fixture_init(&fixture->path, n_servers);
 	searches_init(&fixture->searches, &fixture->path.board, &ops, fixture,
 		      3);
 }
@@ -121,7 +121,7 @@
 	searches_finish(&fixture->searches);
 	for (i = 0; i < fixture->n_sent; i++)
 		peer__query__free_unpacked(fixture->sent[i].query, NULL);
-	path_board_finish(&fixture->path);
+	board_fixture_finish(&fixture->path);
 }
 
 static void start_for(struct fixture *fixture, const char *service, int mode,
@@ -141,7 +141,7 @@
 
 static void start(struct fixture *fixture)
 {
-	start_for(fixture, PATH_SERVICE, REQUEST_COUNT, 0);
+	start_for(fixture, FIXTURE_SERVICE, REQUEST_COUNT, 0);
 }
 
 /**
@@ -155,7 +155,7 @@
  * @code: error of the whole part
  * @unsent: the home did not send it to the server
  * @status: of each shard
- * @held: 0: PATH_HELD
+ * @held: 0: FIXTURE_SHARD_RECORDS
  * @count: 0: 1
  * @shift: added to the end of each shard's range
  * @drop: shards left out at the end
@@ -191,7 +191,7 @@
 	range->hi = asked->hi + reply->shift;
 	partial->shard = range;
 	partial->status = (Backend__ShardStatus)reply->status;
-	partial->held = reply->held ? reply->held : PATH_HELD;
+	partial->held = reply->held ? reply->held : FIXTURE_SHARD_RECORDS;
 	partial->count = reply->count ? reply->count : 1;
 }
 
@@ -287,7 +287,7 @@
 
 static void advance_to_deadline(struct fixture *fixture)
 {
-	clock_advance(&fixture->path.clock, MSEC(PATH_DEADLINE_MS));
+	clock_advance(&fixture->path.clock, MSEC(FIXTURE_DEADLINE_MS));
 	searches_tick(&fixture->searches);
 }
 
@@ -296,8 +296,8 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 4, 4, "01");
-	path_put(&fixture.path, "h1", "b2", 4, 4, "23");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 4, 4, "01");
+	board_fixture_put_server(&fixture.path, "h1", "b2", 4, 4, "23");
 	start(&fixture);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 1);
 	CU_ASSERT_EQUAL_FATAL(fixture.sent[0].query->n_parts, 2);
@@ -308,8 +308,8 @@
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
 	CU_ASSERT_EQUAL(fixture.code, 0);
 	CU_ASSERT_EQUAL(fixture.count, 4);
-	CU_ASSERT_EQUAL(fixture.covered, 4 * PATH_HELD);
-	CU_ASSERT_EQUAL(fixture.total, 4 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, 4 * FIXTURE_SHARD_RECORDS);
+	CU_ASSERT_EQUAL(fixture.total, 4 * FIXTURE_SHARD_RECORDS);
 	tear_down(&fixture);
 }
 
@@ -318,9 +318,9 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
-	path_put(&fixture.path, "h1", "b2", 1, 2, "1");
-	start_for(&fixture, PATH_SERVICE, REQUEST_RECORDS, 1);
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b2", 1, 2, "1");
+	start_for(&fixture, FIXTURE_SERVICE, REQUEST_RECORDS, 1);
 	answer_with(&fixture, 0, 0, (struct reply){.key = "z"});
 	answer_with(&fixture, 0, 1, (struct reply){.key = "a"});
 	CU_ASSERT_EQUAL(fixture.n_records, 1);
@@ -339,13 +339,13 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
-	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "0");
+	board_fixture_put_server(&fixture.path, "h2", "b2", 1, 2, "1");
 	start(&fixture);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
 	answer_with(&fixture, 0, 0, (struct reply){.count = 7});
-	path_put(&fixture.path, "h1", "b1", 2, 2, "0");
-	path_put(&fixture.path, "h2", "b2", 2, 2, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 2, 2, "0");
+	board_fixture_put_server(&fixture.path, "h2", "b2", 2, 2, "1");
 	fail_part(&fixture, 1, 0, ERR_WRONG_VERSION, false);
 	CU_ASSERT_EQUAL(fixture.n_done, 0);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 4);
@@ -360,7 +360,7 @@
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
 	CU_ASSERT_EQUAL(fixture.version, 2);
 	CU_ASSERT_EQUAL(fixture.count, 2);
-	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * FIXTURE_SHARD_RECORDS);
 	CU_ASSERT_EQUAL(fixture.n_restarts, 1);
 	tear_down(&fixture);
 }
@@ -374,25 +374,25 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
-	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "0");
+	board_fixture_put_server(&fixture.path, "h2", "b2", 1, 2, "1");
 	start(&fixture);
 	answer(&fixture, 0, 0);
 	fail_part(&fixture, 1, 0, ERR_WRONG_VERSION, false);
 	CU_ASSERT_EQUAL(fixture.n_done, 0);
 	clock_advance(&fixture.path.clock, MSEC(5));
-	path_put(&fixture.path, "h1", "b1", 2, 2, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 2, 2, "0");
 	searches_catalog_changed(&fixture.searches);
 	/* Half of version 2 is no better than half of version 1. */
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
-	path_put(&fixture.path, "h2", "b2", 2, 2, "1");
+	board_fixture_put_server(&fixture.path, "h2", "b2", 2, 2, "1");
 	searches_catalog_changed(&fixture.searches);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 4);
 	answer(&fixture, 2, 0);
 	answer(&fixture, 3, 0);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
 	CU_ASSERT_EQUAL(fixture.version, 2);
-	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * FIXTURE_SHARD_RECORDS);
 	tear_down(&fixture);
 }
 
@@ -405,8 +405,8 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
-	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "0");
+	board_fixture_put_server(&fixture.path, "h2", "b2", 1, 2, "1");
 	start(&fixture);
 	answer(&fixture, 0, 0);
 	fail_part(&fixture, 1, 0, ERR_WRONG_VERSION, false);
@@ -415,8 +415,8 @@
 	searches_tick(&fixture.searches);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
 	CU_ASSERT_EQUAL(fixture.code, 0);
-	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
-	CU_ASSERT_EQUAL(fixture.total, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, FIXTURE_SHARD_RECORDS);
+	CU_ASSERT_EQUAL(fixture.total, 2 * FIXTURE_SHARD_RECORDS);
 	CU_ASSERT_EQUAL(fixture.reasons[1], ERR_WRONG_VERSION);
 	tear_down(&fixture);
 }
@@ -427,18 +427,18 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
-	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "0");
+	board_fixture_put_server(&fixture.path, "h2", "b2", 1, 2, "1");
 	start(&fixture);
 	answer(&fixture, 0, 0);
-	path_put(&fixture.path, "h1", "b1", 2, 2, "0");
-	path_put(&fixture.path, "h2", "b2", 2, 2, "1");
-	clock_advance(&fixture.path.clock, MSEC(PATH_DEADLINE_MS));
+	board_fixture_put_server(&fixture.path, "h1", "b1", 2, 2, "0");
+	board_fixture_put_server(&fixture.path, "h2", "b2", 2, 2, "1");
+	clock_advance(&fixture.path.clock, MSEC(FIXTURE_DEADLINE_MS));
 	fail_part(&fixture, 1, 0, ERR_WRONG_VERSION, false);
 	searches_tick(&fixture.searches);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
 	CU_ASSERT_EQUAL(fixture.version, 1);
-	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, FIXTURE_SHARD_RECORDS);
 	CU_ASSERT_EQUAL(fixture.n_sent, 2);
 	tear_down(&fixture);
 }
@@ -451,10 +451,11 @@
 	int i;
 
 	set_up(&fixture, 1);
-	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 1, "0");
 	start(&fixture);
 	for (version = 2; version < 8 && !fixture.n_done; version++) {
-		path_put(&fixture.path, "h1", "b1", version, 1, "0");
+		board_fixture_put_server(&fixture.path, "h1", "b1", version, 1,
+					 "0");
 		fail_part(&fixture, fixture.n_sent - 1, 0, ERR_WRONG_VERSION,
 			  false);
 	}
@@ -479,9 +480,9 @@
 	size_t k;
 
 	set_up(&fixture, 3);
-	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
-	path_put(&fixture.path, "h1", "b2", 2, 2, "0");
-	path_put(&fixture.path, "h1", "b3", 2, 2, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b2", 2, 2, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b3", 2, 2, "1");
 	start(&fixture);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 1);
 	for (i = 0; i < fixture.sent[0].query->n_parts; i++) {
@@ -494,7 +495,7 @@
 	CU_ASSERT_EQUAL(fixture.sent[0].query->version, 2);
 	for (i = 0; i < fixture.sent[0].query->n_parts; i++)
 		answer(&fixture, 0, i);
-	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * FIXTURE_SHARD_RECORDS);
 	CU_ASSERT_EQUAL(fixture.count, 2);
 	tear_down(&fixture);
 }
@@ -505,8 +506,8 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
-	path_put(&fixture.path, "h1", "b2", 1, 2, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b2", 1, 2, "1");
 	start(&fixture);
 	answer(&fixture, 0, 0);
 	answer(&fixture, 0, 0);
@@ -514,7 +515,7 @@
 	CU_ASSERT_EQUAL(fixture.n_done, 0);
 	answer(&fixture, 0, 1);
 	CU_ASSERT_EQUAL(fixture.count, 2);
-	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * FIXTURE_SHARD_RECORDS);
 	/* Answers after the outcome are ignored. */
 	answer(&fixture, 0, 1);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
@@ -528,8 +529,8 @@
 	int retry;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
-	path_put(&fixture.path, "h1", "b2", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b2", 1, 1, "0");
 	start(&fixture);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 1);
 	answer_with(&fixture, 0, 0, reply);
@@ -539,7 +540,7 @@
 	answer(&fixture, retry, 0);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
 	CU_ASSERT_EQUAL(fixture.count, 1);
-	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, FIXTURE_SHARD_RECORDS);
 	tear_down(&fixture);
 }
 
@@ -556,9 +557,9 @@
 	check_bad_answer((struct reply){.cut = 1});
 	check_bad_answer((struct reply){.shift = 1});
 	check_bad_answer((struct reply){.drop = 1});
-	check_bad_answer((struct reply){.held = PATH_HELD + 1});
-	check_bad_answer((struct reply){.held = PATH_HELD - 1});
-	check_bad_answer((struct reply){.count = PATH_HELD + 1});
+	check_bad_answer((struct reply){.held = FIXTURE_SHARD_RECORDS + 1});
+	check_bad_answer((struct reply){.held = FIXTURE_SHARD_RECORDS - 1});
+	check_bad_answer((struct reply){.count = FIXTURE_SHARD_RECORDS + 1});
 	check_bad_answer((struct reply){.count = UINT64_MAX});
 	check_bad_answer(
 		(struct reply){.key = "a", .second_key = "b", .count = 1});
@@ -579,7 +580,7 @@
 	Peer__ServerResult *items = &item;
 
 	set_up(&fixture, 1);
-	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 1, "0");
 	start(&fixture);
 	answer_with(&fixture, 0, 0, (struct reply){.home = "h2"});
 	answer_with(&fixture, 0, 0, (struct reply){.id = 999});
@@ -594,7 +595,7 @@
 	CU_ASSERT_EQUAL(fixture.n_sent, 1);
 	answer(&fixture, 0, 0);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
-	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, FIXTURE_SHARD_RECORDS);
 	tear_down(&fixture);
 }
 
@@ -608,8 +609,8 @@
 	const char *home;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "01");
-	path_put(&fixture.path, "h2", "b2", 1, 2, "01");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "01");
+	board_fixture_put_server(&fixture.path, "h2", "b2", 1, 2, "01");
 	start(&fixture);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 1);
 	home = fixture.sent[0].home;
@@ -623,7 +624,7 @@
 	CU_ASSERT_EQUAL(fixture.n_done, 0);
 	answer(&fixture, 1, 0);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
-	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * FIXTURE_SHARD_RECORDS);
 	CU_ASSERT_EQUAL(fixture.count, 2);
 	tear_down(&fixture);
 }
@@ -633,7 +634,7 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 1);
-	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 1, "0");
 	start(&fixture);
 	catalog_remove_instance(&fixture.path.board.catalog, STR("h1"));
 	searches_home_lost(&fixture.searches, STR("h1"));
@@ -651,22 +652,22 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 3);
-	path_put(&fixture.path, "h1", "b1", 1, 4, "0");
-	path_put(&fixture.path, "h1", "b2", 1, 4, "1");
-	path_put(&fixture.path, "h1", "b3", 1, 4, "2");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 4, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b2", 1, 4, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b3", 1, 4, "2");
 	start(&fixture);
 	CU_ASSERT_EQUAL_FATAL(fixture.sent[0].query->n_parts, 3);
 	answer(&fixture, 0, 0);
 	fail_part(&fixture, 0, 1, ERR_SHED, false);
-	clock_advance(&fixture.path.clock, MSEC(PATH_DEADLINE_MS) - 1);
+	clock_advance(&fixture.path.clock, MSEC(FIXTURE_DEADLINE_MS) - 1);
 	searches_tick(&fixture.searches);
 	CU_ASSERT_EQUAL(fixture.n_done, 0);
 	clock_advance(&fixture.path.clock, 1);
 	searches_tick(&fixture.searches);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
 	CU_ASSERT_EQUAL(fixture.code, 0);
-	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
-	CU_ASSERT_EQUAL(fixture.total, 4 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, FIXTURE_SHARD_RECORDS);
+	CU_ASSERT_EQUAL(fixture.total, 4 * FIXTURE_SHARD_RECORDS);
 	CU_ASSERT_EQUAL(fixture.reasons[0], 0);
 	CU_ASSERT_EQUAL(fixture.reasons[1], ERR_SHED);
 	CU_ASSERT_EQUAL(fixture.reasons[2], ERR_TOO_LATE);
@@ -682,7 +683,7 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 1);
-	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 1, "0");
 	start(&fixture);
 	advance_to_deadline(&fixture);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
@@ -731,7 +732,7 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 1);
-	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 1, "0");
 	fixture.refuse_send = ERR_UNAVAILABLE;
 	start(&fixture);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
@@ -755,8 +756,8 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
-	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "0");
+	board_fixture_put_server(&fixture.path, "h2", "b2", 1, 2, "1");
 	start(&fixture);
 	answer(&fixture, 0, 0);
 	searches_drop(&fixture.searches, fixture.searches.by_id);
@@ -776,14 +777,14 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
-	path_put(&fixture.path, "h1", "b2", 1, 2, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b2", 1, 2, "1");
 	start(&fixture);
-	path_set_servers(&fixture.path, 2, 1);
+	board_fixture_set_servers(&fixture.path, 2, 1);
 	answer(&fixture, 0, 0);
 	answer(&fixture, 0, 1);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
-	CU_ASSERT_EQUAL(fixture.covered, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, 2 * FIXTURE_SHARD_RECORDS);
 	tear_down(&fixture);
 }
 
@@ -801,7 +802,7 @@
 				     struct burn_counts *counts)
 {
 	struct burn *burn = &fixture->path.board.burn;
-	struct burn_service *service = burn_find(burn, STR(PATH_SERVICE));
+	struct burn_service *service = burn_find(burn, STR(FIXTURE_SERVICE));
 
 	burn_sum(burn, service, BURN_5M, counts);
 	return service;
@@ -821,8 +822,8 @@
 	struct top_k top;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "0");
-	path_put(&fixture.path, "h2", "b2", 1, 2, "1");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "0");
+	board_fixture_put_server(&fixture.path, "h2", "b2", 1, 2, "1");
 	start(&fixture);
 	clock_advance(&fixture.path.clock, MSEC(7));
 	answer_with(&fixture, 0, 0, (struct reply){0});
@@ -830,8 +831,8 @@
 	trace = find_trace(&fixture);
 	CU_ASSERT_TRUE(trace->summary.notable);
 	CU_ASSERT_EQUAL(trace->summary.snapshot, 1);
-	CU_ASSERT_EQUAL(trace->summary.covered, PATH_HELD);
-	CU_ASSERT_EQUAL(trace->summary.total, 2 * PATH_HELD);
+	CU_ASSERT_EQUAL(trace->summary.covered, FIXTURE_SHARD_RECORDS);
+	CU_ASSERT_EQUAL(trace->summary.total, 2 * FIXTURE_SHARD_RECORDS);
 	CU_ASSERT_EQUAL_FATAL(trace->summary.n_reasons, 1);
 	CU_ASSERT_EQUAL(trace->summary.reasons[0].code, ERR_TOO_LATE);
 	CU_ASSERT_EQUAL(trace->summary.reasons[0].ranges[0].lo, 32768);
@@ -861,7 +862,7 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 1);
-	path_put(&fixture.path, "h1", "b1", 1, 2, "01");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 2, "01");
 	start(&fixture);
 	answer(&fixture, 0, 0);
 	CU_ASSERT_FALSE(find_trace(&fixture)->summary.notable);
@@ -905,8 +906,8 @@
 static void set_up_replicas(struct fixture *fixture)
 {
 	set_up(fixture, 2);
-	path_put(&fixture->path, "h1", "b1", 1, 1, "0");
-	path_put(&fixture->path, "h2", "b2", 1, 1, "0");
+	board_fixture_put_server(&fixture->path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture->path, "h2", "b2", 1, 1, "0");
 	start(fixture);
 	CU_ASSERT_EQUAL_FATAL(fixture->n_sent, 1);
 }
@@ -932,7 +933,7 @@
 	struct fixture fixture;
 
 	set_up_replicas(&fixture);
-	advance_ms(&fixture, PATH_DEADLINE_MS / 4 - 1);
+	advance_ms(&fixture, FIXTURE_DEADLINE_MS / 4 - 1);
 	CU_ASSERT_EQUAL(fixture.n_sent, 1);
 	advance_ms(&fixture, 1);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
@@ -944,7 +945,7 @@
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
 	CU_ASSERT_EQUAL(fixture.n_cancels, 1);
 	CU_ASSERT_EQUAL(fixture.count, 1);
-	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, FIXTURE_SHARD_RECORDS);
 	answer(&fixture, 0, 0);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
 	tear_down(&fixture);
@@ -955,7 +956,7 @@
 	struct fixture fixture;
 
 	set_up_replicas(&fixture);
-	advance_ms(&fixture, PATH_DEADLINE_MS / 4);
+	advance_ms(&fixture, FIXTURE_DEADLINE_MS / 4);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
 	answer(&fixture, 0, 0);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
@@ -1026,10 +1027,10 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 1);
-	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 1, "0");
 	start(&fixture);
 	send_late_notice(&fixture, 0);
-	advance_ms(&fixture, PATH_DEADLINE_MS / 2);
+	advance_ms(&fixture, FIXTURE_DEADLINE_MS / 2);
 	CU_ASSERT_EQUAL(fixture.n_sent, 1);
 	answer(&fixture, 0, 0);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
@@ -1045,13 +1046,13 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 1);
-	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 1, "0");
 	start(&fixture);
 	fail_part(&fixture, 0, 0, ERR_SILENT, false);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 2);
 	answer(&fixture, 1, 0);
 	CU_ASSERT_EQUAL(fixture.n_done, 1);
-	CU_ASSERT_EQUAL(fixture.covered, PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, FIXTURE_SHARD_RECORDS);
 	tear_down(&fixture);
 }
 
@@ -1079,8 +1080,8 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	path_put(&fixture.path, "h1", "b1", 1, 10, "012345678");
-	path_put(&fixture.path, "h1", "b2", 1, 10, "9");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 10, "012345678");
+	board_fixture_put_server(&fixture.path, "h1", "b2", 1, 10, "9");
 	complete_quick_searches(&fixture);
 	start(&fixture);
 	CU_ASSERT_EQUAL_FATAL(fixture.n_sent, 21);
@@ -1091,7 +1092,7 @@
 	advance_ms(&fixture, 18);
 	CU_ASSERT_EQUAL(fixture.n_done, 21);
 	CU_ASSERT_EQUAL(fixture.code, 0);
-	CU_ASSERT_EQUAL(fixture.covered, 9 * PATH_HELD);
+	CU_ASSERT_EQUAL(fixture.covered, 9 * FIXTURE_SHARD_RECORDS);
 	CU_ASSERT_EQUAL(fixture.reasons[9], ERR_TOO_LATE);
 	CU_ASSERT_EQUAL(fixture.n_cancels, 1);
 	tear_down(&fixture);
@@ -1107,7 +1108,7 @@
 	int i;
 
 	set_up(&fixture, 1);
-	path_put(&fixture.path, "h1", "b1", 1, 1, "0");
+	board_fixture_put_server(&fixture.path, "h1", "b1", 1, 1, "0");
 	for (i = 0; i < 5; i++) {
 		start(&fixture);
 		if (fixture.n_sent > i)
--- a/tests/test_store_order.c
+++ b/tests/test_store_order.c
@@ -5,41 +5,44 @@
 #include <stdio.h>
 
 #include "error.h"
-#include "store_world.h"
+#include "store_fixture.h"
 #include "unit.h"
 
 /* A peer sends an entry. */
-static void receive(struct world *world, const char *id, uint64_t changed_at)
+static void receive(struct fixture *fixture, const char *id,
+		    uint64_t changed_at)
 {
-	struct store_item item = item_of(id, changed_at, false);
+	struct store_item item = make_item(id, changed_at, false);
 	struct server_entry entry;
 
-	world_read_server(&item, &entry);
-	server_view_put(&world->sync.servers, &entry, changed_at);
+	fixture_decode_server(&item, &entry);
+	server_view_put(&fixture->sync.servers, &entry, changed_at);
 }
 
 /* An entry of a peer's complete view. */
-static void receive_listed(struct world *world, const char *id,
+static void receive_listed(struct fixture *fixture, const char *id,
 			   uint64_t changed_at)
 {
-	struct store_item item = item_of(id, changed_at, false);
+	struct store_item item = make_item(id, changed_at, false);
 	struct server_entry entry;
 
-	world_read_server(&item, &entry);
-	server_view_list(&world->sync.servers, &entry, changed_at);
+	fixture_decode_server(&item, &entry);
+	server_view_list(&fixture->sync.servers, &entry, changed_at);
 }
 
-static void confirm(struct world *world, enum store_topic topic, uint64_t at)
+static void confirm(struct fixture *fixture, enum store_topic topic,
+		    uint64_t at)
 {
-	store_sync_confirm(&world->sync, topic, at, clock_now(&world->clock));
+	store_sync_confirm(&fixture->sync, topic, at,
+			   clock_now(&fixture->clock));
 }
 
-static void lose_history(struct world *world, enum store_topic topic)
+static void lose_history(struct fixture *fixture, enum store_topic topic)
 {
-	world_pass(world, 900);
-	world_fail(world, topic, ERR_STALE);
-	world_pass(world, 1);
-	CU_ASSERT(!world->calls[topic].watch);
+	fixture_advance(fixture, 900);
+	fixture_fail(fixture, topic, ERR_STALE);
+	fixture_advance(fixture, 1);
+	CU_ASSERT(!fixture->calls[topic].watch);
 }
 
 /*
@@ -48,23 +51,23 @@
  */
 static void test_page_of_cancelled_list(void)
 {
-	struct store_item items[] = {item_of("a", 1, false),
-				     item_of("b", 2, false)};
-	struct store_item gone[] = {item_of("a", 15, true)};
-	struct world world;
-
-	world_init(&world);
-	world_give_routes(&world, 1);
-	world_list_servers(&world);
-	lose_history(&world, STORE_SERVERS);
-	confirm(&world, STORE_SERVERS, 10);
-	world_answer(&world, STORE_SERVERS, 20, items, 2);
-	world_pass(&world, 900);
-	CU_ASSERT(world.calls[STORE_SERVERS].watch);
-	CU_ASSERT_EQUAL(world.calls[STORE_SERVERS].after, 10);
-	world_answer(&world, STORE_SERVERS, 21, gone, 1);
-	CU_ASSERT(!world_knows(&world, "a"));
-	world_finish(&world);
+	struct store_item items[] = {make_item("a", 1, false),
+				     make_item("b", 2, false)};
+	struct store_item gone[] = {make_item("a", 15, true)};
+	struct fixture fixture;
+
+	fixture_init(&fixture);
+	fixture_answer_routes(&fixture, 1);
+	fixture_answer_servers(&fixture);
+	lose_history(&fixture, STORE_SERVERS);
+	confirm(&fixture, STORE_SERVERS, 10);
+	fixture_answer(&fixture, STORE_SERVERS, 20, items, 2);
+	fixture_advance(&fixture, 900);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].watch);
+	CU_ASSERT_EQUAL(fixture.calls[STORE_SERVERS].after, 10);
+	fixture_answer(&fixture, STORE_SERVERS, 21, gone, 1);
+	CU_ASSERT(!fixture_has_server(&fixture, "a"));
+	fixture_finish(&fixture);
 }
 
 /*
@@ -73,25 +76,25 @@
  */
 static void check_older_entry_during_removal(const char *state)
 {
-	struct store_item update = item_of("a", 3, false);
-	struct store_item gone = item_of("a", 5, true);
-	struct world world;
+	struct store_item update = make_item("a", 3, false);
+	struct store_item gone = make_item("a", 5, true);
+	struct fixture fixture;
 
-	world_init(&world);
-	world_list_servers(&world);
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
 	update.value = str_from(state);
-	world_pass(&world, 900);
-	world_answer(&world, STORE_SERVERS, 3, &update, 1);
-	world_pass(&world, 900);
-	world_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
-	world_pass(&world, 900);
-	world_answer(&world, STORE_SERVERS, 5, &gone, 1);
-	CU_ASSERT(world_knows(&world, "a"));
-	receive(&world, "a", 3);
-	receive(&world, "a", 2);
-	world_pass(&world, 2400);
-	CU_ASSERT(!world_knows(&world, "a"));
-	world_finish(&world);
+	fixture_advance(&fixture, 900);
+	fixture_answer(&fixture, STORE_SERVERS, 3, &update, 1);
+	fixture_advance(&fixture, 900);
+	fixture_fail(&fixture, STORE_SERVERS, ERR_UNAVAILABLE);
+	fixture_advance(&fixture, 900);
+	fixture_answer(&fixture, STORE_SERVERS, 5, &gone, 1);
+	CU_ASSERT(fixture_has_server(&fixture, "a"));
+	receive(&fixture, "a", 3);
+	receive(&fixture, "a", 2);
+	fixture_advance(&fixture, 2400);
+	CU_ASSERT(!fixture_has_server(&fixture, "a"));
+	fixture_finish(&fixture);
 }
 
 static void test_older_ready_entry(void)
@@ -110,20 +113,20 @@
  */
 static void test_removal_of_unknown(void)
 {
-	struct store_item gone = item_of("c", 5, true);
-	struct world world;
-
-	world_init(&world);
-	world_list_servers(&world);
-	world_pass(&world, 900);
-	world_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
-	world_pass(&world, 900);
-	world_answer(&world, STORE_SERVERS, 5, &gone, 1);
-	receive(&world, "c", 4);
-	CU_ASSERT(!world_knows(&world, "c"));
-	receive(&world, "c", 6);
-	CU_ASSERT(world_knows(&world, "c"));
-	world_finish(&world);
+	struct store_item gone = make_item("c", 5, true);
+	struct fixture fixture;
+
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
+	fixture_advance(&fixture, 900);
+	fixture_fail(&fixture, STORE_SERVERS, ERR_UNAVAILABLE);
+	fixture_advance(&fixture, 900);
+	fixture_answer(&fixture, STORE_SERVERS, 5, &gone, 1);
+	receive(&fixture, "c", 4);
+	CU_ASSERT(!fixture_has_server(&fixture, "c"));
+	receive(&fixture, "c", 6);
+	CU_ASSERT(fixture_has_server(&fixture, "c"));
+	fixture_finish(&fixture);
 }
 
 /*
@@ -132,24 +135,26 @@
  */
 static void test_entries_during_list(void)
 {
-	struct store_item items[] = {item_of("a", 1, false),
-				     item_of("b", 2, false)};
-	struct world world;
-
-	world_init(&world);
-	world_list_servers(&world);
-	lose_history(&world, STORE_SERVERS);
-	receive(&world, "old", 3);
-	receive(&world, "new", 31);
-	world_answer(&world, STORE_SERVERS, 30, items, 2);
-	CU_ASSERT(!world_knows(&world, "old"));
-	CU_ASSERT(world_knows(&world, "new") && world_knows(&world, "a"));
+	struct store_item items[] = {make_item("a", 1, false),
+				     make_item("b", 2, false)};
+	struct fixture fixture;
+
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
+	lose_history(&fixture, STORE_SERVERS);
+	receive(&fixture, "old", 3);
+	receive(&fixture, "new", 31);
+	fixture_answer(&fixture, STORE_SERVERS, 30, items, 2);
+	CU_ASSERT(!fixture_has_server(&fixture, "old"));
+	CU_ASSERT(fixture_has_server(&fixture, "new") &&
+		  fixture_has_server(&fixture, "a"));
 	/* The next list is newer than that entry, and does not have it. */
-	lose_history(&world, STORE_SERVERS);
-	world_answer(&world, STORE_SERVERS, 40, items, 2);
-	CU_ASSERT(!world_knows(&world, "new"));
-	CU_ASSERT(world_knows(&world, "a") && world_knows(&world, "b"));
-	world_finish(&world);
+	lose_history(&fixture, STORE_SERVERS);
+	fixture_answer(&fixture, STORE_SERVERS, 40, items, 2);
+	CU_ASSERT(!fixture_has_server(&fixture, "new"));
+	CU_ASSERT(fixture_has_server(&fixture, "a") &&
+		  fixture_has_server(&fixture, "b"));
+	fixture_finish(&fixture);
 }
 
 /*
@@ -158,20 +163,21 @@
  */
 static void test_complete_view_lacks_newer_server(void)
 {
-	struct world world;
-
-	world_init(&world);
-	world_list_servers(&world);
-	receive(&world, "c", 10);
-	store_sync_begin_snapshot(&world.sync);
-	receive_listed(&world, "a", 1);
-	receive_listed(&world, "b", 2);
-	store_sync_end_snapshot(&world.sync, 20);
-	confirm(&world, STORE_SERVERS, 20);
-	world_pass(&world, 2400);
-	CU_ASSERT(!world_knows(&world, "c"));
-	CU_ASSERT(world_knows(&world, "a") && world_knows(&world, "b"));
-	world_finish(&world);
+	struct fixture fixture;
+
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
+	receive(&fixture, "c", 10);
+	store_sync_begin_snapshot(&fixture.sync);
+	receive_listed(&fixture, "a", 1);
+	receive_listed(&fixture, "b", 2);
+	store_sync_end_snapshot(&fixture.sync, 20);
+	confirm(&fixture, STORE_SERVERS, 20);
+	fixture_advance(&fixture, 2400);
+	CU_ASSERT(!fixture_has_server(&fixture, "c"));
+	CU_ASSERT(fixture_has_server(&fixture, "a") &&
+		  fixture_has_server(&fixture, "b"));
+	fixture_finish(&fixture);
 }
 
 /*
@@ -183,53 +189,53 @@
 	enum {
 		MANY = 1400
 	};
-	struct world world;
+	struct fixture fixture;
 	char id[16];
 	int n = 0;
 	int i;
 
-	world_init(&world);
-	world_list_servers(&world);
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
 	for (i = 0; i < MANY; i++) {
 		snprintf(id, sizeof(id), "s%d", i);
-		receive(&world, id, 10);
-		server_view_remove(&world.sync.servers, id, 20, "peer");
+		receive(&fixture, id, 10);
+		server_view_remove(&fixture.sync.servers, id, 20, "peer");
 	}
 	for (i = 0; i < MANY; i++) {
 		snprintf(id, sizeof(id), "s%d", i);
-		receive(&world, id, 15);
-		n += world_knows(&world, id);
+		receive(&fixture, id, 15);
+		n += fixture_has_server(&fixture, id);
 	}
 	CU_ASSERT_EQUAL(n, 0);
-	world_finish(&world);
+	fixture_finish(&fixture);
 }
 
-static void start_in_era(struct world *world, uint64_t era)
+static void start_in_era(struct fixture *fixture, uint64_t era)
 {
-	world_init(world);
-	world->era = era;
-	world_give_routes(world, 3);
-	world_list_servers(world);
-	confirm(world, STORE_SERVERS, 50);
-	world_pass(world, 900);
-	CU_ASSERT(world->calls[STORE_SERVERS].watch);
+	fixture_init(fixture);
+	fixture->era = era;
+	fixture_answer_routes(fixture, 3);
+	fixture_answer_servers(fixture);
+	confirm(fixture, STORE_SERVERS, 50);
+	fixture_advance(fixture, 900);
+	CU_ASSERT(fixture->calls[STORE_SERVERS].watch);
 }
 
 /* Restores the store from a backup: the next answers are of the next era. */
-static void restore_backup(struct world *world, uint64_t revision)
+static void restore_backup(struct fixture *fixture, uint64_t revision)
 {
-	world->era++;
-	world_answer(world, STORE_SERVERS, revision, NULL, 0);
-	world_answer(world, STORE_ROUTES, revision, NULL, 0);
-	world_pass(world, 1);
-	CU_ASSERT(!world->calls[STORE_SERVERS].watch);
-	CU_ASSERT(!world->calls[STORE_ROUTES].watch);
+	fixture->era++;
+	fixture_answer(fixture, STORE_SERVERS, revision, NULL, 0);
+	fixture_answer(fixture, STORE_ROUTES, revision, NULL, 0);
+	fixture_advance(fixture, 1);
+	CU_ASSERT(!fixture->calls[STORE_SERVERS].watch);
+	CU_ASSERT(!fixture->calls[STORE_ROUTES].watch);
 }
 
-static bool is_draining(const struct world *world, const char *id)
+static bool is_draining(const struct fixture *fixture, const char *id)
 {
 	const struct registry_server *server =
-		registry_find(&world->registry, str_from(id));
+		registry_find(&fixture->registry, str_from(id));
 
 	return server && server->entry.draining;
 }
@@ -240,30 +246,30 @@
  */
 static void test_era_lists_again(void)
 {
-	struct store_item backup[] = {item_of("a", 1, false),
-				      item_of("b", 2, false)};
-	struct store_item update[] = {item_of("a", 32, false)};
-	struct world world;
+	struct store_item backup[] = {make_item("a", 1, false),
+				      make_item("b", 2, false)};
+	struct store_item update[] = {make_item("a", 32, false)};
+	struct fixture fixture;
 
-	start_in_era(&world, 4);
+	start_in_era(&fixture, 4);
 	update[0].value = STR("draining");
-	world.era = 5;
-	world_answer(&world, STORE_SERVERS, 60, update, 1);
-	CU_ASSERT(!is_draining(&world, "a"));
-	world_pass(&world, 1);
-	CU_ASSERT(!world.calls[STORE_SERVERS].watch);
+	fixture.era = 5;
+	fixture_answer(&fixture, STORE_SERVERS, 60, update, 1);
+	CU_ASSERT(!is_draining(&fixture, "a"));
+	fixture_advance(&fixture, 1);
+	CU_ASSERT(!fixture.calls[STORE_SERVERS].watch);
 	/* The other topic's call is of the earlier era, too. */
-	world_answer(&world, STORE_ROUTES, 61, NULL, 0);
-	world_pass(&world, 1);
-	CU_ASSERT(!world.calls[STORE_ROUTES].watch);
-	world_answer(&world, STORE_SERVERS, 30, backup, 2);
-	world_give_routes(&world, 3);
-	world_pass(&world, 900);
-	CU_ASSERT(world.calls[STORE_SERVERS].watch);
-	CU_ASSERT_EQUAL(world.calls[STORE_SERVERS].after, 30);
-	world_answer(&world, STORE_SERVERS, 32, update, 1);
-	CU_ASSERT(is_draining(&world, "a"));
-	world_finish(&world);
+	fixture_answer(&fixture, STORE_ROUTES, 61, NULL, 0);
+	fixture_advance(&fixture, 1);
+	CU_ASSERT(!fixture.calls[STORE_ROUTES].watch);
+	fixture_answer(&fixture, STORE_SERVERS, 30, backup, 2);
+	fixture_answer_routes(&fixture, 3);
+	fixture_advance(&fixture, 900);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].watch);
+	CU_ASSERT_EQUAL(fixture.calls[STORE_SERVERS].after, 30);
+	fixture_answer(&fixture, STORE_SERVERS, 32, update, 1);
+	CU_ASSERT(is_draining(&fixture, "a"));
+	fixture_finish(&fixture);
 }
 
 /*
@@ -272,23 +278,25 @@
  */
 static void test_era_backup_lacks_servers(void)
 {
-	struct store_item backup = item_of("a", 1, false);
-	struct store_item back = item_of("c", 31, false);
-	struct world world;
-
-	start_in_era(&world, 1);
-	receive(&world, "c", 40);
-	restore_backup(&world, 20);
-	world_answer(&world, STORE_SERVERS, 20, &backup, 1);
-	CU_ASSERT(world_knows(&world, "b") && world_knows(&world, "c"));
-	world_pass(&world, 1500);
-	world_answer(&world, STORE_SERVERS, 31, &back, 1);
-	world_pass(&world, 700);
-	CU_ASSERT(world_knows(&world, "b"));
-	world_pass(&world, 200);
-	CU_ASSERT(!world_knows(&world, "b"));
-	CU_ASSERT(world_knows(&world, "a") && world_knows(&world, "c"));
-	world_finish(&world);
+	struct store_item backup = make_item("a", 1, false);
+	struct store_item back = make_item("c", 31, false);
+	struct fixture fixture;
+
+	start_in_era(&fixture, 1);
+	receive(&fixture, "c", 40);
+	restore_backup(&fixture, 20);
+	fixture_answer(&fixture, STORE_SERVERS, 20, &backup, 1);
+	CU_ASSERT(fixture_has_server(&fixture, "b") &&
+		  fixture_has_server(&fixture, "c"));
+	fixture_advance(&fixture, 1500);
+	fixture_answer(&fixture, STORE_SERVERS, 31, &back, 1);
+	fixture_advance(&fixture, 700);
+	CU_ASSERT(fixture_has_server(&fixture, "b"));
+	fixture_advance(&fixture, 200);
+	CU_ASSERT(!fixture_has_server(&fixture, "b"));
+	CU_ASSERT(fixture_has_server(&fixture, "a") &&
+		  fixture_has_server(&fixture, "c"));
+	fixture_finish(&fixture);
 }
 
 /*
@@ -297,49 +305,49 @@
  */
 static void test_era_backup_is_older(void)
 {
-	struct store_item backup[] = {item_of("a", 1, false),
-				      item_of("b", 2, false),
-				      item_of("left", 3, false)};
-	struct store_item update = item_of("a", 45, false);
-	struct store_item back = item_of("left", 21, false);
-	struct world world;
-
-	start_in_era(&world, 1);
+	struct store_item backup[] = {make_item("a", 1, false),
+				      make_item("b", 2, false),
+				      make_item("left", 3, false)};
+	struct store_item update = make_item("a", 45, false);
+	struct store_item back = make_item("left", 21, false);
+	struct fixture fixture;
+
+	start_in_era(&fixture, 1);
 	update.value = STR("draining");
-	world_answer(&world, STORE_SERVERS, 51, &update, 1);
-	receive(&world, "left", 46);
-	server_view_remove(&world.sync.servers, "left", 47, "peer");
-	world_pass(&world, 900);
-	restore_backup(&world, 20);
-	world_answer(&world, STORE_SERVERS, 20, backup, 3);
-	CU_ASSERT(is_draining(&world, "a") && !is_draining(&world, "b"));
-	CU_ASSERT(!world_knows(&world, "left"));
+	fixture_answer(&fixture, STORE_SERVERS, 51, &update, 1);
+	receive(&fixture, "left", 46);
+	server_view_remove(&fixture.sync.servers, "left", 47, "peer");
+	fixture_advance(&fixture, 900);
+	restore_backup(&fixture, 20);
+	fixture_answer(&fixture, STORE_SERVERS, 20, backup, 3);
+	CU_ASSERT(is_draining(&fixture, "a") && !is_draining(&fixture, "b"));
+	CU_ASSERT(!fixture_has_server(&fixture, "left"));
 	/* It is running after all, and writes. */
-	world_pass(&world, 900);
-	world_answer(&world, STORE_SERVERS, 21, &back, 1);
-	CU_ASSERT(world_knows(&world, "left"));
-	world_finish(&world);
+	fixture_advance(&fixture, 900);
+	fixture_answer(&fixture, STORE_SERVERS, 21, &back, 1);
+	CU_ASSERT(fixture_has_server(&fixture, "left"));
+	fixture_finish(&fixture);
 }
 
 /* The first answer of the new era is an error, with any of these codes. */
 static void check_era_with_error(int code)
 {
-	struct store_item backup[] = {item_of("a", 1, false),
-				      item_of("b", 2, false)};
-	struct world world;
-
-	start_in_era(&world, 1);
-	world.era = 2;
-	world_fail(&world, STORE_SERVERS, code);
-	world_fail(&world, STORE_ROUTES, code);
-	world_pass(&world, 1000);
-	CU_ASSERT(!world.calls[STORE_SERVERS].watch);
-	CU_ASSERT(!world.calls[STORE_ROUTES].watch);
-	world_answer(&world, STORE_SERVERS, 10, backup, 2);
-	world_pass(&world, 900);
-	CU_ASSERT(world.calls[STORE_SERVERS].watch);
-	CU_ASSERT_EQUAL(world.calls[STORE_SERVERS].after, 10);
-	world_finish(&world);
+	struct store_item backup[] = {make_item("a", 1, false),
+				      make_item("b", 2, false)};
+	struct fixture fixture;
+
+	start_in_era(&fixture, 1);
+	fixture.era = 2;
+	fixture_fail(&fixture, STORE_SERVERS, code);
+	fixture_fail(&fixture, STORE_ROUTES, code);
+	fixture_advance(&fixture, 1000);
+	CU_ASSERT(!fixture.calls[STORE_SERVERS].watch);
+	CU_ASSERT(!fixture.calls[STORE_ROUTES].watch);
+	fixture_answer(&fixture, STORE_SERVERS, 10, backup, 2);
+	fixture_advance(&fixture, 900);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].watch);
+	CU_ASSERT_EQUAL(fixture.calls[STORE_SERVERS].after, 10);
+	fixture_finish(&fixture);
 }
 
 static void test_era_with_failure(void)
@@ -355,107 +363,108 @@
 /* The store is restored from a backup again while it is listed. */
 static void test_era_twice(void)
 {
-	struct store_item items[] = {item_of("a", 1, false),
-				     item_of("b", 2, false)};
+	struct store_item items[] = {make_item("a", 1, false),
+				     make_item("b", 2, false)};
 	struct store_answer page = {.era = 2,
 				    .revision = 30,
 				    .more = true,
 				    .items = items};
-	struct world world;
+	struct fixture fixture;
 
-	start_in_era(&world, 1);
-	restore_backup(&world, 30);
+	start_in_era(&fixture, 1);
+	restore_backup(&fixture, 30);
 	page.n_items = 1;
 	snprintf(page.last_key, sizeof(page.last_key), "servers/a");
-	store_sync_answered(&world.sync, STORE_SERVERS, &page);
-	world_pass(&world, 1);
-	CU_ASSERT_STRING_EQUAL(world.calls[STORE_SERVERS].from, "servers/a");
-	restore_backup(&world, 12);
-	CU_ASSERT_STRING_EQUAL(world.calls[STORE_SERVERS].from, "");
-	world_answer(&world, STORE_SERVERS, 12, items, 2);
-	world_pass(&world, 900);
-	restore_backup(&world, 9);
-	world_answer(&world, STORE_SERVERS, 9, items, 2);
-	world_pass(&world, 2400);
-	CU_ASSERT(world.calls[STORE_SERVERS].watch);
-	CU_ASSERT_EQUAL(world.calls[STORE_SERVERS].after, 9);
-	CU_ASSERT(world_knows(&world, "a") && world_knows(&world, "b"));
-	CU_ASSERT_EQUAL(world.sync.era, 4);
-	world_finish(&world);
+	store_sync_answered(&fixture.sync, STORE_SERVERS, &page);
+	fixture_advance(&fixture, 1);
+	CU_ASSERT_STRING_EQUAL(fixture.calls[STORE_SERVERS].from, "servers/a");
+	restore_backup(&fixture, 12);
+	CU_ASSERT_STRING_EQUAL(fixture.calls[STORE_SERVERS].from, "");
+	fixture_answer(&fixture, STORE_SERVERS, 12, items, 2);
+	fixture_advance(&fixture, 900);
+	restore_backup(&fixture, 9);
+	fixture_answer(&fixture, STORE_SERVERS, 9, items, 2);
+	fixture_advance(&fixture, 2400);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].watch);
+	CU_ASSERT_EQUAL(fixture.calls[STORE_SERVERS].after, 9);
+	CU_ASSERT(fixture_has_server(&fixture, "a") &&
+		  fixture_has_server(&fixture, "b"));
+	CU_ASSERT_EQUAL(fixture.sync.era, 4);
+	fixture_finish(&fixture);
 }
 
 /* An answer of the earlier era arrives late and is ignored. */
 static void test_era_late_answer(void)
 {
-	struct store_item items[] = {item_of("a", 1, false),
-				     item_of("b", 2, false)};
-	struct store_item late[] = {item_of("b", 49, true)};
-	struct world world;
-
-	start_in_era(&world, 1);
-	restore_backup(&world, 30);
-	world_answer(&world, STORE_SERVERS, 30, items, 2);
-	world_pass(&world, 900);
-	world.era = 1;
-	world_answer(&world, STORE_SERVERS, 52, late, 1);
-	CU_ASSERT(world_knows(&world, "b"));
-	CU_ASSERT_EQUAL(world.sync.feeds[STORE_SERVERS].revision, 30);
-	world.era = 2;
-	world_pass(&world, 1000);
-	CU_ASSERT(world.calls[STORE_SERVERS].watch);
-	world_answer(&world, STORE_SERVERS, 33, NULL, 0);
-	CU_ASSERT_EQUAL(world.sync.feeds[STORE_SERVERS].revision, 33);
-	world_finish(&world);
+	struct store_item items[] = {make_item("a", 1, false),
+				     make_item("b", 2, false)};
+	struct store_item late[] = {make_item("b", 49, true)};
+	struct fixture fixture;
+
+	start_in_era(&fixture, 1);
+	restore_backup(&fixture, 30);
+	fixture_answer(&fixture, STORE_SERVERS, 30, items, 2);
+	fixture_advance(&fixture, 900);
+	fixture.era = 1;
+	fixture_answer(&fixture, STORE_SERVERS, 52, late, 1);
+	CU_ASSERT(fixture_has_server(&fixture, "b"));
+	CU_ASSERT_EQUAL(fixture.sync.feeds[STORE_SERVERS].revision, 30);
+	fixture.era = 2;
+	fixture_advance(&fixture, 1000);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].watch);
+	fixture_answer(&fixture, STORE_SERVERS, 33, NULL, 0);
+	CU_ASSERT_EQUAL(fixture.sync.feeds[STORE_SERVERS].revision, 33);
+	fixture_finish(&fixture);
 }
 
 /* The backup has older routes and no cordon: neither is lost at once. */
 static void test_era_keeps_routes_and_cordons(void)
 {
-	struct store_item cordon = item_of("dc2", 40, false);
+	struct store_item cordon = make_item("dc2", 40, false);
 	struct cordon_set *cordons;
-	struct world world;
+	struct fixture fixture;
 
-	start_in_era(&world, 1);
-	cordons = &world.registry.cordons;
+	start_in_era(&fixture, 1);
+	cordons = &fixture.registry.cordons;
 	cordon.kind = STORE_ITEM_CORDON;
-	world_answer(&world, STORE_ROUTES, 40, &cordon, 1);
-	world_pass(&world, 100);
-	restore_backup(&world, 20);
-	world_give_routes(&world, 2);
-	CU_ASSERT_EQUAL(world.sync.routes->version, 3);
+	fixture_answer(&fixture, STORE_ROUTES, 40, &cordon, 1);
+	fixture_advance(&fixture, 100);
+	restore_backup(&fixture, 20);
+	fixture_answer_routes(&fixture, 2);
+	CU_ASSERT_EQUAL(fixture.sync.routes->version, 3);
 	CU_ASSERT(cordon_set_contains(cordons, STR("dc2")));
 	/* Operators had time to write the cordon again: the list counts. */
-	world_pass(&world, 2200);
-	CU_ASSERT(world.calls[STORE_ROUTES].watch);
-	world_answer(&world, STORE_ROUTES, 25, NULL, 0);
+	fixture_advance(&fixture, 2200);
+	CU_ASSERT(fixture.calls[STORE_ROUTES].watch);
+	fixture_answer(&fixture, STORE_ROUTES, 25, NULL, 0);
 	CU_ASSERT(cordon_set_contains(cordons, STR("dc2")));
-	world_pass(&world, 200);
-	CU_ASSERT(!world.calls[STORE_ROUTES].watch);
-	world_answer(&world, STORE_ROUTES, 26, NULL, 0);
+	fixture_advance(&fixture, 200);
+	CU_ASSERT(!fixture.calls[STORE_ROUTES].watch);
+	fixture_answer(&fixture, STORE_ROUTES, 26, NULL, 0);
 	CU_ASSERT(!cordon_set_contains(cordons, STR("dc2")));
-	CU_ASSERT_EQUAL(world.sync.routes->version, 3);
-	world_finish(&world);
+	CU_ASSERT_EQUAL(fixture.sync.routes->version, 3);
+	fixture_finish(&fixture);
 }
 
 /* A store may never report an era, or stop reporting it. */
 static void test_era_not_reported(void)
 {
-	struct world world;
-
-	start_in_era(&world, 0);
-	world_answer(&world, STORE_SERVERS, 51, NULL, 0);
-	world_pass(&world, 900);
-	CU_ASSERT(world.calls[STORE_SERVERS].watch);
-	world_finish(&world);
-
-	start_in_era(&world, 3);
-	world.era = 0;
-	world_answer(&world, STORE_SERVERS, 51, NULL, 0);
-	world_pass(&world, 900);
-	CU_ASSERT(world.calls[STORE_SERVERS].watch);
-	CU_ASSERT_EQUAL(world.calls[STORE_SERVERS].after, 51);
-	CU_ASSERT_EQUAL(world.sync.era, 3);
-	world_finish(&world);
+	struct fixture fixture;
+
+	start_in_era(&fixture, 0);
+	fixture_answer(&fixture, STORE_SERVERS, 51, NULL, 0);
+	fixture_advance(&fixture, 900);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].watch);
+	fixture_finish(&fixture);
+
+	start_in_era(&fixture, 3);
+	fixture.era = 0;
+	fixture_answer(&fixture, STORE_SERVERS, 51, NULL, 0);
+	fixture_advance(&fixture, 900);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].watch);
+	CU_ASSERT_EQUAL(fixture.calls[STORE_SERVERS].after, 51);
+	CU_ASSERT_EQUAL(fixture.sync.era, 3);
+	fixture_finish(&fixture);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_store_sync.c
+++ b/tests/test_store_sync.c
@@ -2,24 +2,24 @@
 
 #include "error.h"
 #include "store_schedule.h"
-#include "store_world.h"
+#include "store_fixture.h"
 #include "unit.h"
 
 static void test_start(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	CU_ASSERT(!world.calls[STORE_SERVERS].watch);
-	CU_ASSERT(!store_sync_ready(&world.sync));
-	world_give_routes(&world, 3);
-	CU_ASSERT(!store_sync_ready(&world.sync));
-	world_list_servers(&world);
-	CU_ASSERT(store_sync_ready(&world.sync));
-	world_pass(&world, 900);
-	CU_ASSERT(world.calls[STORE_SERVERS].watch);
-	CU_ASSERT(world.calls[STORE_SERVERS].after == 2);
-	world_finish(&world);
+	fixture_init(&fixture);
+	CU_ASSERT(!fixture.calls[STORE_SERVERS].watch);
+	CU_ASSERT(!store_sync_ready(&fixture.sync));
+	fixture_answer_routes(&fixture, 3);
+	CU_ASSERT(!store_sync_ready(&fixture.sync));
+	fixture_answer_servers(&fixture);
+	CU_ASSERT(store_sync_ready(&fixture.sync));
+	fixture_advance(&fixture, 900);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].watch);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].after == 2);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -29,59 +29,60 @@
  */
 static void test_pages(void)
 {
-	struct store_item items[] = {item_of("a", 1, false)};
+	struct store_item items[] = {make_item("a", 1, false)};
 	struct store_answer page = {.revision = 10,
 				    .more = true,
 				    .items = items,
 				    .n_items = 1};
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
+	fixture_init(&fixture);
 	snprintf(page.last_key, sizeof(page.last_key), "servers/a");
-	store_sync_answered(&world.sync, STORE_SERVERS, &page);
-	CU_ASSERT(world.sync.feeds[STORE_SERVERS].fresh_at < 0);
-	world_pass(&world, 1);
-	CU_ASSERT_STRING_EQUAL(world.calls[STORE_SERVERS].from, "servers/a");
-	items[0] = item_of("b", 2, false);
-	world_answer(&world, STORE_SERVERS, 15, items, 1);
-	world_pass(&world, 900);
-	CU_ASSERT(world.calls[STORE_SERVERS].watch);
-	CU_ASSERT(world.calls[STORE_SERVERS].after == 10);
-	CU_ASSERT(world_knows(&world, "a") && world_knows(&world, "b"));
-	world_finish(&world);
+	store_sync_answered(&fixture.sync, STORE_SERVERS, &page);
+	CU_ASSERT(fixture.sync.feeds[STORE_SERVERS].fresh_at < 0);
+	fixture_advance(&fixture, 1);
+	CU_ASSERT_STRING_EQUAL(fixture.calls[STORE_SERVERS].from, "servers/a");
+	items[0] = make_item("b", 2, false);
+	fixture_answer(&fixture, STORE_SERVERS, 15, items, 1);
+	fixture_advance(&fixture, 900);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].watch);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].after == 10);
+	CU_ASSERT(fixture_has_server(&fixture, "a") &&
+		  fixture_has_server(&fixture, "b"));
+	fixture_finish(&fixture);
 }
 
 /* An older version from a peer or a slow answer is never applied. */
 static void test_routes_never_go_back(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	world_give_routes(&world, 7);
-	world_give_routes(&world, 5);
-	CU_ASSERT(world.sync.routes->version == 7);
+	fixture_init(&fixture);
+	fixture_answer_routes(&fixture, 7);
+	fixture_answer_routes(&fixture, 5);
+	CU_ASSERT(fixture.sync.routes->version == 7);
 	CU_ASSERT(store_sync_apply_routes(
-			  &world.sync,
+			  &fixture.sync,
 			  STR("{\"version\":7,\"routes\":[],\"services\":[]}"),
 			  "peer") == ERR_STALE);
-	CU_ASSERT(store_sync_apply_routes(&world.sync, STR("{\"version\":"),
+	CU_ASSERT(store_sync_apply_routes(&fixture.sync, STR("{\"version\":"),
 					  "peer") == ERR_SYNTAX);
-	CU_ASSERT(world.sync.routes->version == 7);
-	world_finish(&world);
+	CU_ASSERT(fixture.sync.routes->version == 7);
+	fixture_finish(&fixture);
 }
 
 static void test_removed_at_once(void)
 {
-	struct store_item items[] = {item_of("a", 5, true)};
-	struct world world;
+	struct store_item items[] = {make_item("a", 5, true)};
+	struct fixture fixture;
 
-	world_init(&world);
-	world_list_servers(&world);
-	world_pass(&world, 900);
-	world_answer(&world, STORE_SERVERS, 5, items, 1);
-	CU_ASSERT(!world_knows(&world, "a"));
-	CU_ASSERT(world_knows(&world, "b"));
-	world_finish(&world);
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
+	fixture_advance(&fixture, 900);
+	fixture_answer(&fixture, STORE_SERVERS, 5, items, 1);
+	CU_ASSERT(!fixture_has_server(&fixture, "a"));
+	CU_ASSERT(fixture_has_server(&fixture, "b"));
+	fixture_finish(&fixture);
 }
 
 /*
@@ -91,28 +92,29 @@
  */
 static void test_expired_while_store_was_down(void)
 {
-	struct store_item gone[] = {item_of("a", 5, true),
-				    item_of("b", 6, true)};
-	struct store_item back[] = {item_of("a", 8, false)};
-	struct world world;
+	struct store_item gone[] = {make_item("a", 5, true),
+				    make_item("b", 6, true)};
+	struct store_item back[] = {make_item("a", 8, false)};
+	struct fixture fixture;
 	int i;
 
-	world_init(&world);
-	world_list_servers(&world);
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
 	for (i = 0; i < 5; i++) {
-		world_pass(&world, 1500);
-		world_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
+		fixture_advance(&fixture, 1500);
+		fixture_fail(&fixture, STORE_SERVERS, ERR_UNAVAILABLE);
 	}
-	CU_ASSERT(world_knows(&world, "a"));
-	world_pass(&world, 1500);
-	world_answer(&world, STORE_SERVERS, 6, gone, 2);
-	CU_ASSERT(world_knows(&world, "a") && world_knows(&world, "b"));
-	world_pass(&world, 1500);
-	world_answer(&world, STORE_SERVERS, 8, back, 1);
-	world_pass(&world, 1500);
-	CU_ASSERT(world_knows(&world, "a"));
-	CU_ASSERT(!world_knows(&world, "b"));
-	world_finish(&world);
+	CU_ASSERT(fixture_has_server(&fixture, "a"));
+	fixture_advance(&fixture, 1500);
+	fixture_answer(&fixture, STORE_SERVERS, 6, gone, 2);
+	CU_ASSERT(fixture_has_server(&fixture, "a") &&
+		  fixture_has_server(&fixture, "b"));
+	fixture_advance(&fixture, 1500);
+	fixture_answer(&fixture, STORE_SERVERS, 8, back, 1);
+	fixture_advance(&fixture, 1500);
+	CU_ASSERT(fixture_has_server(&fixture, "a"));
+	CU_ASSERT(!fixture_has_server(&fixture, "b"));
+	fixture_finish(&fixture);
 }
 
 /*
@@ -123,25 +125,27 @@
  */
 static void check_expired_without_servers_failure(int failed_calls)
 {
-	struct store_item gone[] = {item_of("a", 5, true),
-				    item_of("b", 6, true)};
-	struct world world;
+	struct store_item gone[] = {make_item("a", 5, true),
+				    make_item("b", 6, true)};
+	struct fixture fixture;
 	int i;
 
-	world_init(&world);
-	world_give_routes(&world, 1);
-	world_list_servers(&world);
-	store_sync_set_max_view_age(&world.sync, MSEC(4000), 20);
+	fixture_init(&fixture);
+	fixture_answer_routes(&fixture, 1);
+	fixture_answer_servers(&fixture);
+	store_sync_set_max_view_age(&fixture.sync, MSEC(4000), 20);
 	for (i = 0; i < failed_calls; i++) {
-		world_pass(&world, 1000);
-		world_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
+		fixture_advance(&fixture, 1000);
+		fixture_fail(&fixture, STORE_ROUTES, ERR_UNAVAILABLE);
 	}
-	world_pass(&world, 4000);
-	world_answer(&world, STORE_SERVERS, 6, gone, 2);
-	CU_ASSERT(world_knows(&world, "a") && world_knows(&world, "b"));
-	world_pass(&world, 2400);
-	CU_ASSERT(!world_knows(&world, "a") && !world_knows(&world, "b"));
-	world_finish(&world);
+	fixture_advance(&fixture, 4000);
+	fixture_answer(&fixture, STORE_SERVERS, 6, gone, 2);
+	CU_ASSERT(fixture_has_server(&fixture, "a") &&
+		  fixture_has_server(&fixture, "b"));
+	fixture_advance(&fixture, 2400);
+	CU_ASSERT(!fixture_has_server(&fixture, "a") &&
+		  !fixture_has_server(&fixture, "b"));
+	fixture_finish(&fixture);
 }
 
 static void test_expired_and_routes_failed(void)
@@ -157,21 +161,21 @@
 /* Removals some time after the store is back are applied at once. */
 static void test_removal_after_return(void)
 {
-	struct store_item gone[] = {item_of("a", 5, true)};
-	struct world world;
+	struct store_item gone[] = {make_item("a", 5, true)};
+	struct fixture fixture;
 
-	world_init(&world);
-	world_give_routes(&world, 1);
-	world_list_servers(&world);
-	world_pass(&world, 900);
-	world_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
-	world_answer(&world, STORE_SERVERS, 3, NULL, 0);
-	world_pass(&world, 1200);
-	world_answer(&world, STORE_SERVERS, 4, NULL, 0);
-	world_pass(&world, 1200);
-	world_answer(&world, STORE_SERVERS, 5, gone, 1);
-	CU_ASSERT(!world_knows(&world, "a"));
-	world_finish(&world);
+	fixture_init(&fixture);
+	fixture_answer_routes(&fixture, 1);
+	fixture_answer_servers(&fixture);
+	fixture_advance(&fixture, 900);
+	fixture_fail(&fixture, STORE_ROUTES, ERR_UNAVAILABLE);
+	fixture_answer(&fixture, STORE_SERVERS, 3, NULL, 0);
+	fixture_advance(&fixture, 1200);
+	fixture_answer(&fixture, STORE_SERVERS, 4, NULL, 0);
+	fixture_advance(&fixture, 1200);
+	fixture_answer(&fixture, STORE_SERVERS, 5, gone, 1);
+	CU_ASSERT(!fixture_has_server(&fixture, "a"));
+	fixture_finish(&fixture);
 }
 
 /*
@@ -180,65 +184,65 @@
  */
 static void test_history_gone(void)
 {
-	struct store_item items[] = {item_of("b", 2, false)};
-	struct world world;
+	struct store_item items[] = {make_item("b", 2, false)};
+	struct fixture fixture;
 
-	world_init(&world);
-	world_list_servers(&world);
-	world_pass(&world, 900);
-	world_fail(&world, STORE_SERVERS, ERR_STALE);
-	world_pass(&world, 1);
-	CU_ASSERT(!world.calls[STORE_SERVERS].watch);
-	world_answer(&world, STORE_SERVERS, 30, items, 1);
-	CU_ASSERT(!world_knows(&world, "a"));
-	CU_ASSERT(world_knows(&world, "b"));
-	world_finish(&world);
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
+	fixture_advance(&fixture, 900);
+	fixture_fail(&fixture, STORE_SERVERS, ERR_STALE);
+	fixture_advance(&fixture, 1);
+	CU_ASSERT(!fixture.calls[STORE_SERVERS].watch);
+	fixture_answer(&fixture, STORE_SERVERS, 30, items, 1);
+	CU_ASSERT(!fixture_has_server(&fixture, "a"));
+	CU_ASSERT(fixture_has_server(&fixture, "b"));
+	fixture_finish(&fixture);
 }
 
 /* While the store fails, calls become less frequent and the view is kept. */
 static void test_failures_back_off(void)
 {
-	struct world world;
+	struct fixture fixture;
 	int n;
 	int i;
 
-	world_init(&world);
-	world_list_servers(&world);
-	n = world.n_calls[STORE_SERVERS];
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
+	n = fixture.n_calls[STORE_SERVERS];
 	for (i = 0; i < 100; i++) {
-		world_pass(&world, 100);
-		if (world.sync.feeds[STORE_SERVERS].busy)
-			world_fail(&world, STORE_SERVERS, ERR_BUDGET);
+		fixture_advance(&fixture, 100);
+		if (fixture.sync.feeds[STORE_SERVERS].busy)
+			fixture_fail(&fixture, STORE_SERVERS, ERR_BUDGET);
 	}
-	CU_ASSERT(world.n_calls[STORE_SERVERS] - n < 16);
-	CU_ASSERT(world.n_calls[STORE_SERVERS] - n > 5);
-	CU_ASSERT(world_knows(&world, "a"));
-	world_finish(&world);
+	CU_ASSERT(fixture.n_calls[STORE_SERVERS] - n < 16);
+	CU_ASSERT(fixture.n_calls[STORE_SERVERS] - n > 5);
+	CU_ASSERT(fixture_has_server(&fixture, "a"));
+	fixture_finish(&fixture);
 }
 
 /* An instance calls the store only if peers send it no view for too long. */
 static void test_max_view_age(void)
 {
-	struct world world;
+	struct fixture fixture;
 	int n;
 	int i;
 
-	world_init(&world);
-	world_list_servers(&world);
-	store_sync_set_max_view_age(&world.sync, MSEC(1500), 0);
-	n = world.n_calls[STORE_SERVERS];
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
+	store_sync_set_max_view_age(&fixture.sync, MSEC(1500), 0);
+	n = fixture.n_calls[STORE_SERVERS];
 	for (i = 0; i < 20; i++) {
-		world_pass(&world, 500);
-		store_sync_confirm(&world.sync, STORE_SERVERS, 2,
-				   clock_now(&world.clock) - MSEC(20));
+		fixture_advance(&fixture, 500);
+		store_sync_confirm(&fixture.sync, STORE_SERVERS, 2,
+				   clock_now(&fixture.clock) - MSEC(20));
 	}
-	CU_ASSERT(world.n_calls[STORE_SERVERS] == n);
-	world_pass(&world, 1470);
-	CU_ASSERT(world.n_calls[STORE_SERVERS] == n);
-	world_pass(&world, 20);
-	CU_ASSERT(world.n_calls[STORE_SERVERS] == n + 1);
-	CU_ASSERT(world.calls[STORE_SERVERS].watch);
-	world_finish(&world);
+	CU_ASSERT(fixture.n_calls[STORE_SERVERS] == n);
+	fixture_advance(&fixture, 1470);
+	CU_ASSERT(fixture.n_calls[STORE_SERVERS] == n);
+	fixture_advance(&fixture, 20);
+	CU_ASSERT(fixture.n_calls[STORE_SERVERS] == n + 1);
+	CU_ASSERT(fixture.calls[STORE_SERVERS].watch);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -247,19 +251,19 @@
  */
 static void test_all_start_at_once(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	world_fail(&world, STORE_SERVERS, ERR_UNAVAILABLE);
-	world_fail(&world, STORE_ROUTES, ERR_UNAVAILABLE);
-	world_restart(&world);
-	store_sync_set_max_view_age(&world.sync, MSEC(1700), 0);
-	world.n_calls[STORE_SERVERS] = 0;
-	world_pass(&world, 200);
-	CU_ASSERT(world.n_calls[STORE_SERVERS] == 0);
-	world_pass(&world, 200);
-	CU_ASSERT(world.n_calls[STORE_SERVERS] == 1);
-	world_finish(&world);
+	fixture_init(&fixture);
+	fixture_fail(&fixture, STORE_SERVERS, ERR_UNAVAILABLE);
+	fixture_fail(&fixture, STORE_ROUTES, ERR_UNAVAILABLE);
+	fixture_restart(&fixture);
+	store_sync_set_max_view_age(&fixture.sync, MSEC(1700), 0);
+	fixture.n_calls[STORE_SERVERS] = 0;
+	fixture_advance(&fixture, 200);
+	CU_ASSERT(fixture.n_calls[STORE_SERVERS] == 0);
+	fixture_advance(&fixture, 200);
+	CU_ASSERT(fixture.n_calls[STORE_SERVERS] == 1);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -268,17 +272,17 @@
  */
 static void test_joins(void)
 {
-	struct world world;
+	struct fixture fixture;
 
-	world_init(&world);
-	world_restart(&world);
-	store_schedule_delay_start(&world.sync, 0.5);
-	world.n_calls[STORE_SERVERS] = 0;
-	world_pass(&world, 800);
-	CU_ASSERT(world.n_calls[STORE_SERVERS] == 0);
-	world_pass(&world, 100);
-	CU_ASSERT(world.n_calls[STORE_SERVERS] == 1);
-	world_finish(&world);
+	fixture_init(&fixture);
+	fixture_restart(&fixture);
+	store_schedule_delay_start(&fixture.sync, 0.5);
+	fixture.n_calls[STORE_SERVERS] = 0;
+	fixture_advance(&fixture, 800);
+	CU_ASSERT(fixture.n_calls[STORE_SERVERS] == 0);
+	fixture_advance(&fixture, 100);
+	CU_ASSERT(fixture.n_calls[STORE_SERVERS] == 1);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -288,19 +292,19 @@
  */
 static void test_unreadable_entry(void)
 {
-	struct world world;
-	struct store_item item = item_of("a", 3, false);
+	struct fixture fixture;
+	struct store_item item = make_item("a", 3, false);
 
-	world_init(&world);
-	world_list_servers(&world);
+	fixture_init(&fixture);
+	fixture_answer_servers(&fixture);
 	item.value = STR("unreadable");
-	world_answer(&world, STORE_SERVERS, 3, &item, 1);
-	CU_ASSERT(!world_knows(&world, "a"));
-	CU_ASSERT(world_knows(&world, "b"));
-	item = item_of("a", 4, false);
-	world_answer(&world, STORE_SERVERS, 4, &item, 1);
-	CU_ASSERT(world_knows(&world, "a"));
-	world_finish(&world);
+	fixture_answer(&fixture, STORE_SERVERS, 3, &item, 1);
+	CU_ASSERT(!fixture_has_server(&fixture, "a"));
+	CU_ASSERT(fixture_has_server(&fixture, "b"));
+	item = make_item("a", 4, false);
+	fixture_answer(&fixture, STORE_SERVERS, 4, &item, 1);
+	CU_ASSERT(fixture_has_server(&fixture, "a"));
+	fixture_finish(&fixture);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_table_delta.c
+++ b/tests/test_table_delta.c
@@ -1,19 +1,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "sheets.h"
+#include "table_gen.h"
 #include "table_delta.h"
 #include "unit.h"
 
 #define ROWS 40
 #define STEPS 200
 
-static struct table make_table(const struct sheets *sheets, uint64_t revision)
+static struct table make_table(const struct table_gen *sheets,
+			       uint64_t revision)
 {
 	struct error err = {0};
 	struct table table;
 	size_t len;
-	char *text = sheets_text(sheets, &len);
+	char *text = table_gen_text(sheets, &len);
 
 	CU_ASSERT_EQUAL_FATAL(table_init(&table, text, len, revision, &err), 0);
 	free(text);
@@ -57,15 +58,15 @@
  */
 static void test_canonical(void)
 {
-	struct sheets sheets;
+	struct table_gen sheets;
 	struct table one;
 	struct table two;
 	struct table again;
 
-	sheets_init(&sheets, ROWS);
+	table_gen_init(&sheets, ROWS);
 	one = make_table(&sheets, 3);
-	sheets.reversed = true;
-	sheets.swapped = true;
+	sheets.rows_reversed = true;
+	sheets.columns_reordered = true;
 	two = make_table(&sheets, 3);
 	check_same(&one, &two);
 	CU_ASSERT_EQUAL(table_init(&again, one.text, one.len, 3, NULL), 0);
@@ -77,16 +78,16 @@
 	table_finish(&one);
 	table_finish(&two);
 	table_finish(&again);
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
-static void change(struct sheets *sheets)
+static void change(struct table_gen *sheets)
 {
 	int n = rand() % 3 + 1;
 	int i;
 
 	for (i = 0; i < n; i++)
-		sheets->slots[rand() % sheets->n] = rand() % 4;
+		sheets->slots[rand() % sheets->n_servers] = rand() % 4;
 	if (!(rand() % 4))
 		sheets->lease_ms = rand() % 2 ? 200 + rand() % 9 : 0;
 }
@@ -127,11 +128,11 @@
 	struct table_delta both;
 	struct table tables[3];
 	struct table got;
-	struct sheets sheets;
+	struct table_gen sheets;
 	int i;
 
 	srand(1);
-	sheets_init(&sheets, ROWS);
+	table_gen_init(&sheets, ROWS);
 	for (i = 0; i < STEPS; i++) {
 		int k;
 
@@ -161,7 +162,7 @@
 		for (k = 0; k < 3; k++)
 			table_finish(&tables[k]);
 	}
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 /*
@@ -172,12 +173,12 @@
 {
 	struct table_delta delta;
 	struct error err = {0};
-	struct sheets sheets;
+	struct table_gen sheets;
 	struct table from;
 	struct table to;
 	struct table got;
 
-	sheets_init(&sheets, ROWS);
+	table_gen_init(&sheets, ROWS);
 	from = make_table(&sheets, 1);
 	sheets.slots[3] = 3;
 	to = make_table(&sheets, 2);
@@ -197,19 +198,19 @@
 	table_delta_finish(&delta);
 	table_finish(&from);
 	table_finish(&to);
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 /* If most rows change, the full text is sent instead of a delta. */
 static void test_full_text(void)
 {
 	struct table_delta delta;
-	struct sheets sheets;
+	struct table_gen sheets;
 	struct table from;
 	struct table to;
 	int i;
 
-	sheets_init(&sheets, ROWS);
+	table_gen_init(&sheets, ROWS);
 	from = make_table(&sheets, 1);
 	for (i = 0; i < ROWS; i++)
 		sheets.slots[i] = 9;
@@ -217,7 +218,7 @@
 	CU_ASSERT_EQUAL(table_delta_init(&delta, &from, &to), ERR_TOO_LARGE);
 	table_finish(&from);
 	table_finish(&to);
-	sheets_finish(&sheets);
+	table_gen_finish(&sheets);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_table_sync.c
+++ b/tests/test_table_sync.c
@@ -173,12 +173,12 @@
 /* A simulated fleet in which revision 10 is in force everywhere. */
 struct world {
 	struct sim sim;
-	struct sheets sheets;
+	struct table_gen sheets;
 };
 
 static void world_init(struct world *world, const struct sim_policy *policy)
 {
-	sheets_init(&world->sheets, ROWS);
+	table_gen_init(&world->sheets, ROWS);
 	sim_init(&world->sim, policy, NODES, DATA_CENTRES, SEED);
 	sim_publish_sheets(&world->sim, &world->sheets, 10);
 	sim_start_all(&world->sim);
@@ -191,7 +191,7 @@
 {
 	CU_ASSERT_EQUAL(world->sim.mixed, 0);
 	sim_finish(&world->sim);
-	sheets_finish(&world->sheets);
+	table_gen_finish(&world->sheets);
 }
 
 static int publish(struct world *world, uint64_t revision)
--- a/tests/test_view_order.c
+++ b/tests/test_view_order.c
@@ -5,15 +5,16 @@
 #include <stdio.h>
 
 #include "unit.h"
-#include "view_world.h"
+#include "view_cluster.h"
 
 /* Half of the instances in a data centre are cut off from the store. */
-static void isolate_half(struct world *world, bool cut)
+static void isolate_half(struct cluster *cluster, bool cut)
 {
 	int i;
 
-	for (i = 0; i < world->n_nodes; i++)
-		world->nodes[i].cut_off = cut && i / world->centres % 2;
+	for (i = 0; i < cluster->n_nodes; i++)
+		cluster->nodes[i].cut_off =
+			cut && i / cluster->n_data_centres % 2;
 }
 
 /*
@@ -22,30 +23,30 @@
  */
 static void check_removal(uint64_t seed, int64_t after_ms, bool drains)
 {
-	struct world world;
+	struct cluster cluster;
 
-	world_init_hubs(&world, 36, 3, 2);
-	world.draws = seed;
-	world_pass(&world, 4000);
-	world.lost = 20;
-	world.delay = 1500;
-	isolate_half(&world, true);
-	world.nodes[world_reader(&world)].cut_off = true;
-	world_pass(&world, 500 + (int64_t)seed * 170);
-	world.created_at = ++world.revision;
+	cluster_init_hubs(&cluster, 36, 3, 2);
+	cluster.rng_state = seed;
+	cluster_advance(&cluster, 4000);
+	cluster.loss_percent = 20;
+	cluster.delay_max_ms = 1500;
+	isolate_half(&cluster, true);
+	cluster.nodes[cluster_reader(&cluster)].cut_off = true;
+	cluster_advance(&cluster, 500 + (int64_t)seed * 170);
+	cluster.created_at = ++cluster.revision;
 	if (drains) {
-		world_pass(&world, 900);
-		world_drain(&world);
+		cluster_advance(&cluster, 900);
+		cluster_drain_server(&cluster);
 	}
-	world_pass(&world, after_ms);
-	world.removed_at = ++world.revision;
+	cluster_advance(&cluster, after_ms);
+	cluster.removed_at = ++cluster.revision;
 	if (seed % 2)
-		world.compacted = world.revision;
-	isolate_half(&world, false);
-	world.nodes[world_reader(&world)].cut_off = false;
-	world_pass(&world, 8000);
-	CU_ASSERT_EQUAL(world_count_knowing(&world), 0);
-	world_finish(&world);
+		cluster.compacted = cluster.revision;
+	isolate_half(&cluster, false);
+	cluster.nodes[cluster_reader(&cluster)].cut_off = false;
+	cluster_advance(&cluster, 8000);
+	CU_ASSERT_EQUAL(cluster_count_with_server(&cluster), 0);
+	cluster_finish(&cluster);
 }
 
 static void test_leaves_while_store_is_silent(void)
@@ -74,19 +75,19 @@
 	enum {
 		MANY = VIEW_CHANGES_MAX + 400
 	};
-	struct world world;
+	struct cluster cluster;
 	struct node *reader;
 	struct node *other;
 
-	world_init(&world, 2);
-	world_pass(&world, 5000);
-	reader = &world.nodes[world_reader(&world)];
-	other = &world.nodes[1 - world_reader(&world)];
-	world.revision += MANY;
-	put_servers(reader, MANY, world.revision);
-	world_pass(&world, 2000);
+	cluster_init(&cluster, 2);
+	cluster_advance(&cluster, 5000);
+	reader = &cluster.nodes[cluster_reader(&cluster)];
+	other = &cluster.nodes[1 - cluster_reader(&cluster)];
+	cluster.revision += MANY;
+	put_servers(reader, MANY, cluster.revision);
+	cluster_advance(&cluster, 2000);
 	CU_ASSERT_EQUAL(HASH_COUNT(other->registry.servers), MANY + 1);
-	world_finish(&world);
+	cluster_finish(&cluster);
 }
 
 /*
@@ -97,64 +98,65 @@
 {
 	Peer__ViewRequest request = PEER__VIEW_REQUEST__INIT;
 	struct store_feed *feed;
-	struct world world;
+	struct cluster cluster;
 	struct node *reader;
 	struct node *other;
 	uint64_t at;
 
-	world_init(&world, 2);
-	world_pass(&world, 5000);
-	reader = &world.nodes[world_reader(&world)];
-	other = &world.nodes[1 - world_reader(&world)];
+	cluster_init(&cluster, 2);
+	cluster_advance(&cluster, 5000);
+	reader = &cluster.nodes[cluster_reader(&cluster)];
+	other = &cluster.nodes[1 - cluster_reader(&cluster)];
 	feed = &other->sync.feeds[STORE_SERVERS];
 	at = feed->revision;
 	server_view_store_returned(&reader->sync.servers);
-	server_view_vanished(&reader->sync.servers, "server", ++world.revision);
-	reader->sync.feeds[STORE_SERVERS].revision = world.revision;
+	server_view_vanished(&reader->sync.servers, "server",
+			     ++cluster.revision);
+	reader->sync.feeds[STORE_SERVERS].revision = cluster.revision;
 	request.servers_at = at;
 	view_share_request(&reader->share, other->name, &request);
 	CU_ASSERT_EQUAL(feed->revision, at);
 	request.servers_at = 0;
 	view_share_request(&reader->share, other->name, &request);
 	CU_ASSERT_EQUAL(feed->revision, at);
-	world_finish(&world);
+	cluster_finish(&cluster);
 }
 
-static int count_era(const struct world *world)
+static int count_era(const struct cluster *cluster)
 {
 	int n = 0;
 	int i;
 
-	for (i = 0; i < world->n_nodes; i++)
-		n += world->nodes[i].sync.era == world->era;
+	for (i = 0; i < cluster->n_nodes; i++)
+		n += cluster->nodes[i].sync.era == cluster->era;
 	return n;
 }
 
 /* Restores the store from a copy that lacks the last @revisions. */
-static void restore_store(struct world *world, uint64_t revisions)
+static void restore_store(struct cluster *cluster, uint64_t revisions)
 {
-	world->era++;
-	world->revision -= revisions;
-	if (world->drained_at > world->revision)
-		world->drained_at = 0;
-	if (world->routes_at > world->revision) {
-		world->routes_at = world->revision;
-		world->routes_version--;
+	cluster->era++;
+	cluster->revision -= revisions;
+	if (cluster->drained_at > cluster->revision)
+		cluster->drained_at = 0;
+	if (cluster->routes_at > cluster->revision) {
+		cluster->routes_at = cluster->revision;
+		cluster->routes_version--;
 	}
 }
 
 /* Passes time; fails if an instance loses a server or gets older routes. */
-static void pass_checked(struct world *world, int64_t ms, uint64_t version)
+static void pass_checked(struct cluster *cluster, int64_t ms, uint64_t version)
 {
 	int64_t t;
 	int i;
 
 	for (t = 0; t < ms; t += 100) {
-		world_pass(world, 100);
-		if (world_count_knowing(world) < world->n_nodes)
+		cluster_advance(cluster, 100);
+		if (cluster_count_with_server(cluster) < cluster->n_nodes)
 			CU_FAIL("a server is lost");
-		for (i = 0; i < world->n_nodes; i++) {
-			if (world->nodes[i].sync.routes->version < version)
+		for (i = 0; i < cluster->n_nodes; i++) {
+			if (cluster->nodes[i].sync.routes->version < version)
 				CU_FAIL("routes went back");
 		}
 	}
@@ -168,36 +170,36 @@
 static void check_restore(int n, int centres, int n_large, int lost,
 			  bool some_first)
 {
-	struct world world;
+	struct cluster cluster;
 
-	world_init_hubs(&world, n, centres, n_large);
-	world.era = 1;
-	world.revision = 500;
-	world.lost = lost;
-	world.delay = lost * 30;
-	world_pass(&world, 4000);
-	world_change_routes(&world);
-	world_pass(&world, 2500);
-	CU_ASSERT_EQUAL(world_count_version(&world, 2), n);
-	world.revision += 100;
-	world_pass(&world, 2500);
-	isolate_half(&world, some_first);
-	restore_store(&world, 300);
-	world.missing = true;
-	pass_checked(&world, 1500, 2);
-	world.missing = false;
-	world.created_at = ++world.revision;
-	world_drain(&world);
-	CU_ASSERT(world.drained_at < 500);
-	world_change_routes(&world);
-	pass_checked(&world, 4500, 2);
-	isolate_half(&world, false);
-	CU_ASSERT_EQUAL(world_count_drained(&world), n);
-	world_change_routes(&world);
-	pass_checked(&world, 4000, 2);
-	CU_ASSERT_EQUAL(world_count_version(&world, 3), n);
-	CU_ASSERT_EQUAL(count_era(&world), n);
-	world_finish(&world);
+	cluster_init_hubs(&cluster, n, centres, n_large);
+	cluster.era = 1;
+	cluster.revision = 500;
+	cluster.loss_percent = lost;
+	cluster.delay_max_ms = lost * 30;
+	cluster_advance(&cluster, 4000);
+	cluster_change_routes(&cluster);
+	cluster_advance(&cluster, 2500);
+	CU_ASSERT_EQUAL(cluster_count_version(&cluster, 2), n);
+	cluster.revision += 100;
+	cluster_advance(&cluster, 2500);
+	isolate_half(&cluster, some_first);
+	restore_store(&cluster, 300);
+	cluster.server_missing = true;
+	pass_checked(&cluster, 1500, 2);
+	cluster.server_missing = false;
+	cluster.created_at = ++cluster.revision;
+	cluster_drain_server(&cluster);
+	CU_ASSERT(cluster.drained_at < 500);
+	cluster_change_routes(&cluster);
+	pass_checked(&cluster, 4500, 2);
+	isolate_half(&cluster, false);
+	CU_ASSERT_EQUAL(cluster_count_drained(&cluster), n);
+	cluster_change_routes(&cluster);
+	pass_checked(&cluster, 4000, 2);
+	CU_ASSERT_EQUAL(cluster_count_version(&cluster, 3), n);
+	CU_ASSERT_EQUAL(count_era(&cluster), n);
+	cluster_finish(&cluster);
 }
 
 static void test_store_goes_back(void)
@@ -211,73 +213,73 @@
 /* The copy lacks a server that does not register again: it must be removed. */
 static void test_gone_with_the_copy(void)
 {
-	struct world world;
+	struct cluster cluster;
 
-	world_init_hubs(&world, 36, 3, 2);
-	world.era = 1;
-	world.revision = 90;
-	world.lost = 10;
-	world.delay = 300;
-	world_pass(&world, 4000);
-	CU_ASSERT_EQUAL(world_count_knowing(&world), 36);
-	restore_store(&world, 40);
-	world.missing = true;
-	pass_checked(&world, 2200, 1);
-	world_pass(&world, 6000);
-	CU_ASSERT_EQUAL(world_count_knowing(&world), 0);
-	world_finish(&world);
+	cluster_init_hubs(&cluster, 36, 3, 2);
+	cluster.era = 1;
+	cluster.revision = 90;
+	cluster.loss_percent = 10;
+	cluster.delay_max_ms = 300;
+	cluster_advance(&cluster, 4000);
+	CU_ASSERT_EQUAL(cluster_count_with_server(&cluster), 36);
+	restore_store(&cluster, 40);
+	cluster.server_missing = true;
+	pass_checked(&cluster, 2200, 1);
+	cluster_advance(&cluster, 6000);
+	CU_ASSERT_EQUAL(cluster_count_with_server(&cluster), 0);
+	cluster_finish(&cluster);
 }
 
 /* The store is restored repeatedly, before the previous restore has spread. */
 static void test_store_goes_back_often(void)
 {
-	struct world world;
+	struct cluster cluster;
 	int i;
 
-	world_init_hubs(&world, 36, 3, 2);
-	world.era = 1;
-	world.revision = 900;
-	world_pass(&world, 4000);
-	world.lost = 10;
-	world.n_calls = 0;
+	cluster_init_hubs(&cluster, 36, 3, 2);
+	cluster.era = 1;
+	cluster.revision = 900;
+	cluster_advance(&cluster, 4000);
+	cluster.loss_percent = 10;
+	cluster.n_calls = 0;
 	for (i = 0; i < 6; i++) {
-		world.revision += 20;
-		restore_store(&world, 100);
-		pass_checked(&world, 300 * (i + 1), 1);
+		cluster.revision += 20;
+		restore_store(&cluster, 100);
+		pass_checked(&cluster, 300 * (i + 1), 1);
 	}
-	world_drain(&world);
-	world_change_routes(&world);
-	pass_checked(&world, 5000, 1);
-	CU_ASSERT_EQUAL(world_count_drained(&world), 36);
-	CU_ASSERT_EQUAL(world_count_version(&world, 2), 36);
-	printf("\n%d calls of 36 instances in 11 s", world.n_calls);
-	world_finish(&world);
+	cluster_drain_server(&cluster);
+	cluster_change_routes(&cluster);
+	pass_checked(&cluster, 5000, 1);
+	CU_ASSERT_EQUAL(cluster_count_drained(&cluster), 36);
+	CU_ASSERT_EQUAL(cluster_count_version(&cluster, 2), 36);
+	printf("\n%d calls of 36 instances in 11 s", cluster.n_calls);
+	cluster_finish(&cluster);
 }
 
 /* A peer that does not know the new era sends its view: it is ignored. */
 static void test_peer_of_earlier_era(void)
 {
 	struct registry_server *server;
-	struct world world;
+	struct cluster cluster;
 	struct node *node;
 
-	world_init(&world, 2);
-	world.era = 2;
-	world.revision = 50;
-	world_pass(&world, 5000);
-	node = &world.nodes[0];
-	node_hear_server(node, 1, 1000, 70);
+	cluster_init(&cluster, 2);
+	cluster.era = 2;
+	cluster.revision = 50;
+	cluster_advance(&cluster, 5000);
+	node = &cluster.nodes[0];
+	node_receive_server(node, 1, 1000, 70);
 	server = registry_find(&node->registry, STR("server"));
 	CU_ASSERT(!server->entry.started_at_ms);
 	CU_ASSERT(node->sync.feeds[STORE_SERVERS].revision < 70);
-	node_hear_server(node, 0, 1000, 70);
+	node_receive_server(node, 0, 1000, 70);
 	CU_ASSERT(!server->entry.started_at_ms);
 	/* A view of a later era is applied, whatever its revision. */
-	node_hear_server(node, 3, 1000, 7);
+	node_receive_server(node, 3, 1000, 7);
 	server = registry_find(&node->registry, STR("server"));
 	CU_ASSERT_EQUAL(server->entry.started_at_ms, 1000);
 	CU_ASSERT_EQUAL(node->sync.era, 3);
-	world_finish(&world);
+	cluster_finish(&cluster);
 }
 
 static const struct unit_test tests[] = {
--- a/tests/test_view_share.c
+++ b/tests/test_view_share.c
@@ -6,20 +6,20 @@
 #include "error.h"
 #include "unit.h"
 #include "view_compress.h"
-#include "view_world.h"
+#include "view_cluster.h"
 
 /* Return: calls on the store in ten seconds by @n instances. */
 static int count_calls(int n)
 {
-	struct world world;
+	struct cluster cluster;
 	int calls;
 
-	world_init(&world, n);
-	world_pass(&world, 6000);
-	world.n_calls = 0;
-	world_pass(&world, 10000);
-	calls = world.n_calls;
-	world_finish(&world);
+	cluster_init(&cluster, n);
+	cluster_advance(&cluster, 6000);
+	cluster.n_calls = 0;
+	cluster_advance(&cluster, 10000);
+	calls = cluster.n_calls;
+	cluster_finish(&cluster);
 	return calls;
 }
 
@@ -35,17 +35,17 @@
 
 static void test_all_hear(void)
 {
-	struct world world;
-
-	world_init(&world, 76);
-	world_pass(&world, 5000);
-	CU_ASSERT(world_count_version(&world, 1) == 76);
-	world_drain(&world);
-	world_change_routes(&world);
-	world_pass(&world, 1200);
-	CU_ASSERT(world_count_drained(&world) == 76);
-	CU_ASSERT(world_count_version(&world, 2) == 76);
-	world_finish(&world);
+	struct cluster cluster;
+
+	cluster_init(&cluster, 76);
+	cluster_advance(&cluster, 5000);
+	CU_ASSERT(cluster_count_version(&cluster, 1) == 76);
+	cluster_drain_server(&cluster);
+	cluster_change_routes(&cluster);
+	cluster_advance(&cluster, 1200);
+	CU_ASSERT(cluster_count_drained(&cluster) == 76);
+	CU_ASSERT(cluster_count_version(&cluster, 2) == 76);
+	cluster_finish(&cluster);
 }
 
 /*
@@ -54,17 +54,17 @@
  */
 static void test_reader_lost(void)
 {
-	struct world world;
-
-	world_init(&world, 8);
-	world_pass(&world, 5000);
-	world.nodes[world_reader(&world)].dead = true;
-	world_drain(&world);
-	world_change_routes(&world);
-	world_pass(&world, 2700);
-	CU_ASSERT(world_count_drained(&world) == 7);
-	CU_ASSERT(world_count_version(&world, 2) == 7);
-	world_finish(&world);
+	struct cluster cluster;
+
+	cluster_init(&cluster, 8);
+	cluster_advance(&cluster, 5000);
+	cluster.nodes[cluster_reader(&cluster)].dead = true;
+	cluster_drain_server(&cluster);
+	cluster_change_routes(&cluster);
+	cluster_advance(&cluster, 2700);
+	CU_ASSERT(cluster_count_drained(&cluster) == 7);
+	CU_ASSERT(cluster_count_version(&cluster, 2) == 7);
+	cluster_finish(&cluster);
 }
 
 /*
@@ -73,19 +73,19 @@
  */
 static void test_readers_refused(void)
 {
-	struct world world;
+	struct cluster cluster;
 	int i;
 
-	world_init(&world, 8);
-	world_pass(&world, 5000);
+	cluster_init(&cluster, 8);
+	cluster_advance(&cluster, 5000);
 	for (i = 0; i < 8; i++)
-		world.nodes[i].cut_off = world.nodes[i].share.rank < 3;
-	world_drain(&world);
-	world_change_routes(&world);
-	world_pass(&world, 2900);
-	CU_ASSERT(world_count_drained(&world) == 8);
-	CU_ASSERT(world_count_version(&world, 2) == 8);
-	world_finish(&world);
+		cluster.nodes[i].cut_off = cluster.nodes[i].share.rank < 3;
+	cluster_drain_server(&cluster);
+	cluster_change_routes(&cluster);
+	cluster_advance(&cluster, 2900);
+	CU_ASSERT(cluster_count_drained(&cluster) == 8);
+	CU_ASSERT(cluster_count_version(&cluster, 2) == 8);
+	cluster_finish(&cluster);
 }
 
 /*
@@ -96,19 +96,19 @@
  */
 static void check_reader_return(int64_t ms)
 {
-	struct world world;
+	struct cluster cluster;
 	struct node *reader;
 
-	world_init(&world, 7);
-	world_pass(&world, 5000);
-	reader = &world.nodes[world_reader(&world)];
+	cluster_init(&cluster, 7);
+	cluster_advance(&cluster, 5000);
+	reader = &cluster.nodes[cluster_reader(&cluster)];
 	reader->cut_off = true;
-	world_pass(&world, 8000 + ms);
-	world.removed_at = ++world.revision;
+	cluster_advance(&cluster, 8000 + ms);
+	cluster.removed_at = ++cluster.revision;
 	reader->cut_off = false;
-	world_pass(&world, 2800);
-	CU_ASSERT(world_count_knowing(&world) == 0);
-	world_finish(&world);
+	cluster_advance(&cluster, 2800);
+	CU_ASSERT(cluster_count_with_server(&cluster) == 0);
+	cluster_finish(&cluster);
 }
 
 static void test_reader_returns(void)
@@ -125,28 +125,29 @@
  */
 static void test_start_while_store_is_away(void)
 {
-	struct world world;
+	struct cluster cluster;
 	int started;
 
-	world_init(&world, 5);
-	world_pass(&world, 3000);
-	world.away = true;
-	started = (world_reader(&world) + 1) % 5;
-	node_stop(&world.nodes[started]);
-	node_start(&world, started);
-	world_tell_fleet(&world);
-	world_pass(&world, 1000);
-	CU_ASSERT(!store_sync_ready(&world.nodes[started].sync));
-	view_share_member_reachable(&world.nodes[started].share,
-				    world.nodes[world_reader(&world)].name);
-	CU_ASSERT(store_sync_ready(&world.nodes[started].sync));
-	world.n_messages = 0;
-	view_share_member_reachable(&world.nodes[started].share,
-				    world.nodes[(started + 2) % 5].name);
-	CU_ASSERT(world.n_messages == 0);
-	CU_ASSERT(registry_find(&world.nodes[started].registry,
+	cluster_init(&cluster, 5);
+	cluster_advance(&cluster, 3000);
+	cluster.store_down = true;
+	started = (cluster_reader(&cluster) + 1) % 5;
+	node_stop(&cluster.nodes[started]);
+	node_start(&cluster, started);
+	cluster_update_members(&cluster);
+	cluster_advance(&cluster, 1000);
+	CU_ASSERT(!store_sync_ready(&cluster.nodes[started].sync));
+	view_share_member_reachable(
+		&cluster.nodes[started].share,
+		cluster.nodes[cluster_reader(&cluster)].name);
+	CU_ASSERT(store_sync_ready(&cluster.nodes[started].sync));
+	cluster.n_messages = 0;
+	view_share_member_reachable(&cluster.nodes[started].share,
+				    cluster.nodes[(started + 2) % 5].name);
+	CU_ASSERT(cluster.n_messages == 0);
+	CU_ASSERT(registry_find(&cluster.nodes[started].registry,
 				STR("server")) != NULL);
-	world_finish(&world);
+	cluster_finish(&cluster);
 }
 
 /*
@@ -155,20 +156,20 @@
  */
 static void test_lost_message(void)
 {
-	struct world world;
+	struct cluster cluster;
 	struct node *receiver;
 
-	world_init(&world, 8);
-	world_pass(&world, 5000);
-	receiver = &world.nodes[(world_reader(&world) + 1) % 8];
+	cluster_init(&cluster, 8);
+	cluster_advance(&cluster, 5000);
+	receiver = &cluster.nodes[(cluster_reader(&cluster) + 1) % 8];
 	receiver->dead = true;
-	world_drain(&world);
-	world_pass(&world, 1000);
+	cluster_drain_server(&cluster);
+	cluster_advance(&cluster, 1000);
 	receiver->dead = false;
-	CU_ASSERT(!node_knows_drain(receiver));
-	world_pass(&world, 1000);
-	CU_ASSERT(node_knows_drain(receiver));
-	world_finish(&world);
+	CU_ASSERT(!node_sees_drain(receiver));
+	cluster_advance(&cluster, 1000);
+	CU_ASSERT(node_sees_drain(receiver));
+	cluster_finish(&cluster);
 }
 
 /*
@@ -177,13 +178,13 @@
  */
 static void test_all_start(void)
 {
-	struct world world;
+	struct cluster cluster;
 
-	world_init(&world, NODES_MAX);
-	world_pass(&world, 1000);
-	CU_ASSERT(world_count_version(&world, 1) == NODES_MAX);
-	CU_ASSERT(world.n_calls < 30);
-	world_finish(&world);
+	cluster_init(&cluster, NODES_MAX);
+	cluster_advance(&cluster, 1000);
+	CU_ASSERT(cluster_count_version(&cluster, 1) == NODES_MAX);
+	CU_ASSERT(cluster.n_calls < 30);
+	cluster_finish(&cluster);
 }
 
 /*
@@ -193,21 +194,21 @@
  */
 static void test_all_read(void)
 {
-	struct world world;
+	struct cluster cluster;
 	int i;
 
-	world_init(&world, 60);
-	for (i = 0; i < world.n_nodes; i++)
-		store_sync_set_max_view_age(&world.nodes[i].sync, 0, 0);
-	world_pass(&world, 1000);
-	CU_ASSERT(world_count_version(&world, 1) == 60);
-	CU_ASSERT(world.n_whole <= 60);
-	world_drain(&world);
-	world_change_routes(&world);
-	world_pass(&world, 1000);
-	CU_ASSERT(world_count_drained(&world) == 60);
-	CU_ASSERT(world_count_version(&world, 2) == 60);
-	world_finish(&world);
+	cluster_init(&cluster, 60);
+	for (i = 0; i < cluster.n_nodes; i++)
+		store_sync_set_max_view_age(&cluster.nodes[i].sync, 0, 0);
+	cluster_advance(&cluster, 1000);
+	CU_ASSERT(cluster_count_version(&cluster, 1) == 60);
+	CU_ASSERT(cluster.n_full <= 60);
+	cluster_drain_server(&cluster);
+	cluster_change_routes(&cluster);
+	cluster_advance(&cluster, 1000);
+	CU_ASSERT(cluster_count_drained(&cluster) == 60);
+	CU_ASSERT(cluster_count_version(&cluster, 2) == 60);
+	cluster_finish(&cluster);
 }
 
 /*
@@ -265,7 +266,7 @@
 
 static void apply_server(struct node *node, int64_t born, uint64_t revision)
 {
-	node_hear_server(node, 0, born, revision);
+	node_receive_server(node, 0, born, revision);
 }
 
 /*
@@ -276,14 +277,14 @@
 static void test_restart_is_told(void)
 {
 	struct registry_server *server;
-	struct world world;
+	struct cluster cluster;
 	struct node *node;
 	int64_t now;
 
-	world_init(&world, 2);
-	world_pass(&world, 5000);
-	node = &world.nodes[0];
-	now = clock_now(&world.clock);
+	cluster_init(&cluster, 2);
+	cluster_advance(&cluster, 5000);
+	node = &cluster.nodes[0];
+	now = clock_now(&cluster.clock);
 	apply_server(node, 1000, 6);
 	server = registry_find(&node->registry, STR("server"));
 	server_score_unreachable(&server->score, now);
@@ -298,7 +299,7 @@
 	CU_ASSERT(registry_find(&node->registry, STR("server")) == server);
 	CU_ASSERT(server->entry.started_at_ms == 2000);
 	CU_ASSERT(!server->gone);
-	world_finish(&world);
+	cluster_finish(&cluster);
 }
 
 /*
@@ -310,46 +311,47 @@
  */
 static void test_lapsed_entry_comes_back(void)
 {
-	struct world world;
+	struct cluster cluster;
 	struct node *other;
 
-	world_init(&world, 2);
-	world_pass(&world, 5000);
-	other = &world.nodes[1 - world_reader(&world)];
-	server_view_remove(&other->sync.servers, "server", ++world.revision,
+	cluster_init(&cluster, 2);
+	cluster_advance(&cluster, 5000);
+	other = &cluster.nodes[1 - cluster_reader(&cluster)];
+	server_view_remove(&other->sync.servers, "server", ++cluster.revision,
 			   "not_back");
-	CU_ASSERT(world_count_knowing(&world) == 1);
-	world.created_at = ++world.revision;
-	world_pass(&world, 1500);
-	CU_ASSERT(world_count_knowing(&world) == 2);
-	world_finish(&world);
+	CU_ASSERT(cluster_count_with_server(&cluster) == 1);
+	cluster.created_at = ++cluster.revision;
+	cluster_advance(&cluster, 1500);
+	CU_ASSERT(cluster_count_with_server(&cluster) == 2);
+	cluster_finish(&cluster);
 }
 
 /* Counts live instances that know the drain and that version of the routes. */
-static int count_current(const struct world *world, uint64_t version)
+static int count_current(const struct cluster *cluster, uint64_t version)
 {
 	int n = 0;
 	int i;
 
-	for (i = 0; i < world->n_nodes; i++) {
-		const struct node *node = &world->nodes[i];
+	for (i = 0; i < cluster->n_nodes; i++) {
+		const struct node *node = &cluster->nodes[i];
 
-		n += !node->dead && node_knows_drain(node) &&
+		n += !node->dead && node_sees_drain(node) &&
 		     node->sync.routes && node->sync.routes->version == version;
 	}
 	return n;
 }
 
 /* Return: ms until @alive instances know a drain and a change of routes. */
-static int64_t time_to_all(struct world *world, int alive)
+static int64_t time_to_all(struct cluster *cluster, int alive)
 {
 	int64_t ms = 0;
 
-	world_drain(world);
-	world_change_routes(world);
+	cluster_drain_server(cluster);
+	cluster_change_routes(cluster);
 	while (ms < 10000 &&
-	       count_current(world, (uint64_t)world->routes_version) < alive) {
-		world_pass(world, 100);
+	       count_current(cluster, (uint64_t)cluster->routes_version) <
+		       alive) {
+		cluster_advance(cluster, 100);
 		ms += 100;
 	}
 	return ms;
@@ -362,45 +364,45 @@
  */
 static void check_spread(int n, int centres, int n_large)
 {
-	struct world world;
+	struct cluster cluster;
 	int alive = n;
 	int64_t took;
 	int i;
 
-	world_init_hubs(&world, n, centres, n_large);
-	world_pass(&world, 5000);
-	world.n_far = 0;
-	world_drain(&world);
-	world_change_routes(&world);
-	world_pass(&world, 1300);
-	CU_ASSERT(count_current(&world, 2) == n);
+	cluster_init_hubs(&cluster, n, centres, n_large);
+	cluster_advance(&cluster, 5000);
+	cluster.n_cross_dc = 0;
+	cluster_drain_server(&cluster);
+	cluster_change_routes(&cluster);
+	cluster_advance(&cluster, 1300);
+	CU_ASSERT(count_current(&cluster, 2) == n);
 	/* Two changes and the messages that confirm an unchanged view. */
-	CU_ASSERT(world.n_far <= 8 * (centres - 1));
-	world_finish(&world);
+	CU_ASSERT(cluster.n_cross_dc <= 8 * (centres - 1));
+	cluster_finish(&cluster);
 
-	world_init_hubs(&world, n, centres, n_large);
-	world_pass(&world, 5000);
-	world.lost = 10;
-	took = time_to_all(&world, n);
+	cluster_init_hubs(&cluster, n, centres, n_large);
+	cluster_advance(&cluster, 5000);
+	cluster.loss_percent = 10;
+	took = time_to_all(&cluster, n);
 	printf("\n%d instances, a tenth lost: %d ms", n, (int)took);
 	CU_ASSERT(took <= 2900);
-	world_finish(&world);
+	cluster_finish(&cluster);
 
-	world_init_hubs(&world, n, centres, n_large);
-	world_pass(&world, 5000);
+	cluster_init_hubs(&cluster, n, centres, n_large);
+	cluster_advance(&cluster, 5000);
 	for (i = 0; i < n; i++) {
-		struct view_share *share = &world.nodes[i].share;
+		struct view_share *share = &cluster.nodes[i].share;
 		bool lead = !share->members[share->rank].dc_rank;
 
 		if (!share->rank ||
 		    (lead && !strcmp(share->data_centre, "dc1")))
-			world.nodes[i].dead = true;
-		alive -= world.nodes[i].dead;
+			cluster.nodes[i].dead = true;
+		alive -= cluster.nodes[i].dead;
 	}
-	took = time_to_all(&world, alive);
+	took = time_to_all(&cluster, alive);
 	printf(", first ones dead: %d ms", (int)took);
 	CU_ASSERT(took <= 3900);
-	world_finish(&world);
+	cluster_finish(&cluster);
 }
 
 static void test_spread_by_hubs(void)
@@ -419,38 +421,38 @@
  */
 static void test_store_away(void)
 {
-	struct world world;
-
-	world_init_hubs(&world, 295, 6, 3);
-	world_pass(&world, 5000);
-	world.n_calls = 0;
-	world.away = true;
-	world_pass(&world, 5000);
-	printf("\n%d calls in 5 s without the store", world.n_calls);
-	CU_ASSERT(world.n_calls <= 500);
-	world.away = false;
-	CU_ASSERT(time_to_all(&world, 295) <= 2500);
-	world_finish(&world);
+	struct cluster cluster;
+
+	cluster_init_hubs(&cluster, 295, 6, 3);
+	cluster_advance(&cluster, 5000);
+	cluster.n_calls = 0;
+	cluster.store_down = true;
+	cluster_advance(&cluster, 5000);
+	printf("\n%d calls in 5 s without the store", cluster.n_calls);
+	CU_ASSERT(cluster.n_calls <= 500);
+	cluster.store_down = false;
+	CU_ASSERT(time_to_all(&cluster, 295) <= 2500);
+	cluster_finish(&cluster);
 }
 
-static void set_cordon(struct world *world)
+static void set_cordon(struct cluster *cluster)
 {
-	world->cordoned_at = ++world->revision;
+	cluster->cordoned_at = ++cluster->revision;
 }
 
-static void remove_cordon(struct world *world)
+static void remove_cordon(struct cluster *cluster)
 {
-	world->lifted_at = ++world->revision;
+	cluster->lifted_at = ++cluster->revision;
 }
 
-static int count_cordoned(const struct world *world)
+static int count_cordoned(const struct cluster *cluster)
 {
 	int n = 0;
 	int i;
 
-	for (i = 0; i < world->n_nodes; i++)
-		n += !world->nodes[i].dead &&
-		     cordon_set_contains(&world->nodes[i].registry.cordons,
+	for (i = 0; i < cluster->n_nodes; i++)
+		n += !cluster->nodes[i].dead &&
+		     cordon_set_contains(&cluster->nodes[i].registry.cordons,
 					 STR("dc1"));
 	return n;
 }
@@ -462,24 +464,24 @@
  */
 static void check_cordon(int n, int centres, int n_large, int lost)
 {
-	struct world world;
+	struct cluster cluster;
 	int i;
 
-	world_init_hubs(&world, n, centres, n_large);
-	world_pass(&world, 5000);
-	world.lost = lost;
-	CU_ASSERT(count_cordoned(&world) == 0);
-	world.nodes[world_reader(&world)].dead = true;
-	set_cordon(&world);
+	cluster_init_hubs(&cluster, n, centres, n_large);
+	cluster_advance(&cluster, 5000);
+	cluster.loss_percent = lost;
+	CU_ASSERT(count_cordoned(&cluster) == 0);
+	cluster.nodes[cluster_reader(&cluster)].dead = true;
+	set_cordon(&cluster);
 	for (i = 0; i < 10; i++) {
-		world_change_routes(&world);
-		world_pass(&world, 300);
+		cluster_change_routes(&cluster);
+		cluster_advance(&cluster, 300);
 	}
-	CU_ASSERT(count_cordoned(&world) == n - 1);
-	remove_cordon(&world);
-	world_pass(&world, 3000);
-	CU_ASSERT(count_cordoned(&world) == 0);
-	world_finish(&world);
+	CU_ASSERT(count_cordoned(&cluster) == n - 1);
+	remove_cordon(&cluster);
+	cluster_advance(&cluster, 3000);
+	CU_ASSERT(count_cordoned(&cluster) == 0);
+	cluster_finish(&cluster);
 }
 
 static void test_cordon(void)
@@ -496,29 +498,29 @@
  */
 static void test_cordon_and_store_trouble(void)
 {
-	struct world world;
+	struct cluster cluster;
 	int i;
 
-	world_init_hubs(&world, 66, 4, 2);
-	world_pass(&world, 5000);
+	cluster_init_hubs(&cluster, 66, 4, 2);
+	cluster_advance(&cluster, 5000);
 	for (i = 0; i < 66; i++)
-		world.nodes[i].cut_off = i % 3 != 2;
-	set_cordon(&world);
-	world_pass(&world, 4000);
-	CU_ASSERT(count_cordoned(&world) == 66);
-	world.history_lost = true;
-	remove_cordon(&world);
-	world_pass(&world, 4000);
-	CU_ASSERT(count_cordoned(&world) == 0);
+		cluster.nodes[i].cut_off = i % 3 != 2;
+	set_cordon(&cluster);
+	cluster_advance(&cluster, 4000);
+	CU_ASSERT(count_cordoned(&cluster) == 66);
+	cluster.history_lost = true;
+	remove_cordon(&cluster);
+	cluster_advance(&cluster, 4000);
+	CU_ASSERT(count_cordoned(&cluster) == 0);
 	/* An instance that restarts gets the cordon. */
-	set_cordon(&world);
-	world_pass(&world, 3000);
-	node_stop(&world.nodes[7]);
-	node_start(&world, 7);
-	world_tell_fleet(&world);
-	world_pass(&world, 3000);
-	CU_ASSERT(count_cordoned(&world) == 66);
-	world_finish(&world);
+	set_cordon(&cluster);
+	cluster_advance(&cluster, 3000);
+	node_stop(&cluster.nodes[7]);
+	node_start(&cluster, 7);
+	cluster_update_members(&cluster);
+	cluster_advance(&cluster, 3000);
+	CU_ASSERT(count_cordoned(&cluster) == 66);
+	cluster_finish(&cluster);
 }
 
 static const struct unit_test tests[] = {
