--- a/tests/fake_fleet.c
+++ b/tests/fake_fleet.c
@@ -7,25 +7,25 @@
 #include "error.h"
 #include "mem.h"
 
-#define REFUSAL_US 100
+#define REFUSAL_LATENCY_US 100
 #define RETRY_AFTER_US MSEC(100)
 
 enum event_kind {
 	EVENT_ARRIVE,
 	EVENT_DONE,
 	EVENT_HEDGE,
-	EVENT_ASK,
+	EVENT_TRY_SEND,
 	EVENT_RETRY,
 	EVENT_DEADLINE,
 };
 
-static int64_t now_of(const struct fake_fleet *fleet)
+static int64_t fleet_now(const struct fake_fleet *fleet)
 {
 	return clock_now(&fleet->clock);
 }
 
-static void push(struct fake_fleet *fleet, int64_t at, int kind, int index,
-		 int group)
+static void push_event(struct fake_fleet *fleet, int64_t at, int kind,
+		       int index, int group)
 {
 	struct fake_event event = {at, kind, index, group};
 	int i;
@@ -39,7 +39,7 @@
 	fleet->heap[i] = event;
 }
 
-static struct fake_event pop(struct fake_fleet *fleet)
+static struct fake_event pop_event(struct fake_fleet *fleet)
 {
 	struct fake_event first = fleet->heap[0];
 	struct fake_event last = fleet->heap[--fleet->n_heap];
@@ -61,7 +61,7 @@
 	return first;
 }
 
-static char *table_text(const struct fake_config *config)
+static char *make_table_text(const struct fake_config *config)
 {
 	char *text = NULL;
 	size_t len;
@@ -95,9 +95,9 @@
 	fleet->servers =
 		mem_zalloc((size_t)fleet->n_servers * sizeof(*fleet->servers));
 	for (i = 0; i < fleet->n_servers; i++) {
-		fleet->servers[i].slow = 1;
+		fleet->servers[i].slowdown = 1;
 		fleet->servers[i].weight = 100;
-		fleet->servers[i].seen =
+		fleet->servers[i].observed =
 			observe_server(&fleet->policy.observe,
 				       str_from(fleet->table.servers[i].name));
 	}
@@ -107,7 +107,7 @@
 		     uint64_t seed)
 {
 	struct error err = {0};
-	char *text = table_text(config);
+	char *text = make_table_text(config);
 
 	memset(fleet, 0, sizeof(*fleet));
 	fleet->config = *config;
@@ -141,7 +141,7 @@
 	free(fleet->latencies);
 }
 
-static const struct service *service_of(const struct fake_fleet *fleet)
+static const struct service *get_service(const struct fake_fleet *fleet)
 {
 	return &fleet->table.services[0];
 }
@@ -156,39 +156,44 @@
 		int server = group * fleet->config.replicas + i;
 
 		replicas[i] = (struct replica){
-			.server = fleet->servers[server].seen,
+			.server = fleet->servers[server].observed,
 			.weight = fleet->servers[server].weight,
 			.homes = {{FAKE_HOME, (uint32_t)fleet->config.slots}},
 			.n_homes = 1,
-			.excluded = state->asked >> i & 1,
+			.excluded = state->tried_mask >> i & 1,
 		};
 	}
 }
 
-/* All were asked: those still in flight, but for one, may be asked anew. */
-static void replicas_again(const struct fake_fleet *fleet,
-			   const struct fake_group *state, int own,
-			   struct replica *replicas)
+/*
+ * Every replica was tried. Those that still have a job in flight may get
+ * another one, except @own.
+ */
+static void allow_tried_replicas(const struct fake_fleet *fleet,
+				 const struct fake_group *state, int own,
+				 struct replica *replicas)
 {
 	int i;
 
 	for (i = 0; i < fleet->config.replicas; i++)
-		replicas[i].excluded = i == own || !(state->flying >> i & 1);
+		replicas[i].excluded =
+			i == own || !(state->in_flight_mask >> i & 1);
 }
 
-static void begin_job(struct fake_fleet *fleet, int index)
+static void start_job(struct fake_fleet *fleet, int index)
 {
 	struct fake_job *job = &fleet->jobs[index];
 	struct fake_server *server = &fleet->servers[job->server];
 	double usec = fleet->config.service_us *
-		      (0.7 + 0.6 * rng_unit(&fleet->rng)) * server->slow;
+		      (0.7 + 0.6 * rng_unit(&fleet->rng)) * server->slowdown;
 
 	if (rng_unit(&fleet->rng) < fleet->config.straggler_ratio)
 		usec *= fleet->config.straggler_factor;
 	server->busy++;
 	job->running = true;
-	job->begun_at = now_of(fleet);
-	push(fleet, now_of(fleet) + (int64_t)usec, EVENT_DONE, index, 0);
+	job->begun_at = fleet_now(fleet);
+	push_event(fleet, fleet_now(fleet) + (int64_t)usec, EVENT_DONE, index,
+		   0);
 }
 
 static void receive(struct fake_fleet *fleet, int index)
@@ -202,11 +207,12 @@
 	else if (rng_unit(&fleet->rng) < server->shed_ratio)
 		job->fail_code = ERR_SHED;
 	if (job->fail_code) {
-		push(fleet, now_of(fleet) + REFUSAL_US, EVENT_DONE, index, 0);
+		push_event(fleet, fleet_now(fleet) + REFUSAL_LATENCY_US,
+			   EVENT_DONE, index, 0);
 		return;
 	}
 	if (server->busy < fleet->config.slots) {
-		begin_job(fleet, index);
+		start_job(fleet, index);
 		return;
 	}
 	MEM_GROW(server->queue, server->n_queue, server->cap_queue);
@@ -227,32 +233,33 @@
 	job->search = search;
 	job->group = group;
 	job->server = group * fleet->config.replicas + replica;
-	job->sent_at = now_of(fleet);
-	job->alive = true;
+	job->sent_at = fleet_now(fleet);
+	job->pending = true;
 	state->attempts++;
 	state->newest = index;
 	state->in_flight++;
-	state->asked |= 1u << replica;
-	state->flying |= 1u << replica;
+	state->tried_mask |= 1u << replica;
+	state->in_flight_mask |= 1u << replica;
 	state->jobs[replica] = index;
-	job->delay = fleet->policy.ops->hedge_delay(
-		&fleet->policy, service_of(fleet), &replicas[replica], replicas,
-		fleet->config.replicas, state->attempts > 1);
-	policy_request_sent(&fleet->policy, fleet->servers[job->server].seen,
-			    FAKE_HOME);
-	if (job->delay != INT64_MAX)
-		push(fleet, job->sent_at + job->delay, EVENT_HEDGE, index, 0);
+	job->hedge_delay = fleet->policy.ops->hedge_delay(
+		&fleet->policy, get_service(fleet), &replicas[replica],
+		replicas, fleet->config.replicas, state->attempts > 1);
+	policy_request_sent(&fleet->policy,
+			    fleet->servers[job->server].observed, FAKE_HOME);
+	if (job->hedge_delay != INT64_MAX)
+		push_event(fleet, job->sent_at + job->hedge_delay, EVENT_HEDGE,
+			   index, 0);
 	receive(fleet, index);
 }
 
 static void end_search(struct fake_fleet *fleet, struct fake_search *search)
 {
-	int64_t elapsed = now_of(fleet) - search->begun_at;
+	int64_t elapsed = fleet_now(fleet) - search->begun_at;
 
-	search->over = true;
+	search->done = true;
 	if (search->covered == fleet->config.groups ||
-	    now_of(fleet) >= search->deadline)
-		policy_search_done(&fleet->policy, service_of(fleet), elapsed);
+	    fleet_now(fleet) >= search->deadline)
+		policy_search_done(&fleet->policy, get_service(fleet), elapsed);
 	MEM_GROW(fleet->latencies, fleet->n_latencies, fleet->cap_latencies);
 	fleet->latencies[fleet->n_latencies++] = elapsed;
 	fleet->coverage += (double)search->covered / fleet->config.groups;
@@ -263,16 +270,17 @@
 {
 	struct fake_search *s = &fleet->searches[search];
 
-	if (s->groups[group].over)
+	if (s->groups[group].done)
 		return;
-	s->groups[group].over = true;
+	s->groups[group].done = true;
 	s->groups[group].covered = covered;
 	s->covered += covered;
-	if (!--s->left)
+	if (!--s->groups_left)
 		end_search(fleet, s);
 }
 
-static void ask(struct fake_fleet *fleet, int search, int group, bool urgent)
+static void try_send(struct fake_fleet *fleet, int search, int group,
+		     bool urgent)
 {
 	struct fake_search *s = &fleet->searches[search];
 	struct fake_group *state = &s->groups[group];
@@ -281,7 +289,7 @@
 	int64_t when = 0;
 	int ret;
 
-	if (state->over || state->in_flight)
+	if (state->done || state->in_flight)
 		return;
 	fill_replicas(fleet, state, group, replicas);
 	ret = fleet->policy.ops->choose(&fleet->policy, replicas,
@@ -290,12 +298,12 @@
 	if (!ret) {
 		fleet->retries += urgent;
 		send_job(fleet, search, group, pick.replica, replicas);
-	} else if (ret == ERR_NO_REPLICA && state->asked) {
-		/* Every replica failed once: begin anew. */
-		state->asked = 0;
-		ask(fleet, search, group, urgent);
+	} else if (ret == ERR_NO_REPLICA && state->tried_mask) {
+		/* Every replica has failed once: try all of them again. */
+		state->tried_mask = 0;
+		try_send(fleet, search, group, urgent);
 	} else if (ret == ERR_SHED && when < s->deadline) {
-		push(fleet, when, EVENT_ASK, search, group);
+		push_event(fleet, when, EVENT_TRY_SEND, search, group);
 	} else {
 		end_group(fleet, search, group, false);
 	}
@@ -314,8 +322,8 @@
 
 		memmove(server->queue, server->queue + 1,
 			(size_t)--server->n_queue * sizeof(int));
-		if (fleet->jobs[next].alive)
-			begin_job(fleet, next);
+		if (fleet->jobs[next].pending)
+			start_job(fleet, next);
 	}
 }
 
@@ -328,17 +336,18 @@
 	struct observe_result result = {
 		.code = code,
 		.sent = true,
-		.elapsed_us = now_of(fleet) - job->sent_at,
-		.latency_us = job->running ? now_of(fleet) - job->begun_at : 0,
+		.elapsed_us = fleet_now(fleet) - job->sent_at,
+		.latency_us =
+			job->running ? fleet_now(fleet) - job->begun_at : 0,
 		.home_load = (uint32_t)(server->busy + server->n_queue),
 		.retry_after_us = code == ERR_SHED ? RETRY_AFTER_US : 0,
 	};
 
-	job->alive = false;
+	job->pending = false;
 	state->in_flight--;
-	state->flying &= ~(1u << job->server % fleet->config.replicas);
-	policy_request_done(&fleet->policy, server->seen, FAKE_HOME, job->late,
-			    &result);
+	state->in_flight_mask &= ~(1u << job->server % fleet->config.replicas);
+	policy_request_done(&fleet->policy, server->observed, FAKE_HOME,
+			    job->late, &result);
 	release_slot(fleet, job);
 }
 
@@ -349,7 +358,7 @@
 	int i;
 
 	for (i = 0; i < fleet->config.replicas; i++) {
-		if (state->flying >> i & 1)
+		if (state->in_flight_mask >> i & 1)
 			end_job(fleet, state->jobs[i], code);
 	}
 }
@@ -360,14 +369,14 @@
 	int64_t when = INT64_MAX;
 	int ret;
 
-	if (state->over || state->in_flight)
+	if (state->done || state->in_flight)
 		return;
-	ret = fleet->policy.ops->retry(&fleet->policy, service_of(fleet),
+	ret = fleet->policy.ops->retry(&fleet->policy, get_service(fleet),
 				       &state->failure, &when);
 	if (!ret)
-		push(fleet, when, EVENT_ASK, search, group);
+		push_event(fleet, when, EVENT_TRY_SEND, search, group);
 	else if (ret == ERR_BUDGET && when != INT64_MAX)
-		push(fleet, when, EVENT_RETRY, search, group);
+		push_event(fleet, when, EVENT_RETRY, search, group);
 	else
 		end_group(fleet, search, group, false);
 }
@@ -396,7 +405,7 @@
 	int search = job->search;
 	int group = job->group;
 
-	if (!job->alive)
+	if (!job->pending)
 		return;
 	if (job->fail_code) {
 		on_failure(fleet, index);
@@ -408,7 +417,10 @@
 	end_group(fleet, search, group, true);
 }
 
-/* Choose where a hedge of a job goes: a replica not asked, or asked before. */
+/*
+ * Chooses the replica for a hedge of @job: one that was not tried, else one
+ * that has another job in flight.
+ */
 static int choose_hedge(struct fake_fleet *fleet, const struct fake_job *job,
 			struct replica *replicas, struct replica_pick *pick)
 {
@@ -424,7 +436,7 @@
 					&when);
 	if (ret != ERR_NO_REPLICA)
 		return ret;
-	replicas_again(fleet, state, own, replicas);
+	allow_tried_replicas(fleet, state, own, replicas);
 	return fleet->policy.ops->choose(&fleet->policy, replicas,
 					 fleet->config.replicas, true, pick,
 					 &when);
@@ -439,23 +451,23 @@
 	struct replica_pick pick;
 	struct fake_group *state = &fleet->searches[search].groups[group];
 
-	if (!job->alive)
+	if (!job->pending)
 		return;
 	if (!job->late)
-		observe_late(fleet->servers[job->server].seen);
+		observe_late(fleet->servers[job->server].observed);
 	job->late = true;
 	if (state->newest != index)
 		return;
 	if (choose_hedge(fleet, job, replicas, &pick) ||
-	    !fleet->policy.ops->hedge(&fleet->policy, service_of(fleet),
+	    !fleet->policy.ops->hedge(&fleet->policy, get_service(fleet),
 				      &replicas[pick.replica], state->attempts,
 				      true, fleet->searches[search].deadline)) {
-		push(fleet, now_of(fleet) + job->delay / 4, EVENT_HEDGE, index,
-		     0);
+		push_event(fleet, fleet_now(fleet) + job->hedge_delay / 4,
+			   EVENT_HEDGE, index, 0);
 		return;
 	}
 	fleet->hedges++;
-	if (state->flying >> pick.replica & 1)
+	if (state->in_flight_mask >> pick.replica & 1)
 		end_job(fleet, state->jobs[pick.replica], ERR_CANCELLED);
 	send_job(fleet, search, group, pick.replica, replicas);
 }
@@ -472,7 +484,7 @@
 
 static void on_arrive(struct fake_fleet *fleet)
 {
-	int64_t deadline = MSEC(service_of(fleet)->deadline_ms);
+	int64_t deadline = MSEC(get_service(fleet)->deadline_ms);
 	struct fake_search *search;
 	int index = fleet->n_searches;
 	int i;
@@ -481,23 +493,24 @@
 	fleet->n_searches++;
 	search = &fleet->searches[index];
 	memset(search, 0, sizeof(*search));
-	search->begun_at = now_of(fleet);
+	search->begun_at = fleet_now(fleet);
 	search->deadline = search->begun_at + deadline;
-	search->left = fleet->config.groups;
+	search->groups_left = fleet->config.groups;
 	search->groups = mem_zalloc((size_t)fleet->config.groups *
 				    sizeof(*search->groups));
 	fleet->needed += (uint64_t)fleet->config.groups;
-	policy_count_needed(&fleet->policy, service_of(fleet),
+	policy_count_needed(&fleet->policy, get_service(fleet),
 			    fleet->config.groups);
-	push(fleet, search->deadline, EVENT_DEADLINE, index, 0);
+	push_event(fleet, search->deadline, EVENT_DEADLINE, index, 0);
 	for (i = 0; i < fleet->config.groups; i++)
-		ask(fleet, index, i, false);
+		try_send(fleet, index, i, false);
 }
 
-static void dispatch(struct fake_fleet *fleet, const struct fake_event *event)
+static void handle_event(struct fake_fleet *fleet,
+			 const struct fake_event *event)
 {
-	if (event->at > now_of(fleet))
-		clock_advance(&fleet->clock, event->at - now_of(fleet));
+	if (event->at > fleet_now(fleet))
+		clock_advance(&fleet->clock, event->at - fleet_now(fleet));
 	switch (event->kind) {
 	case EVENT_ARRIVE:
 		on_arrive(fleet);
@@ -508,14 +521,14 @@
 	case EVENT_HEDGE:
 		on_hedge(fleet, event->index);
 		break;
-	case EVENT_ASK:
-		ask(fleet, event->index, event->group, true);
+	case EVENT_TRY_SEND:
+		try_send(fleet, event->index, event->group, true);
 		break;
 	case EVENT_RETRY:
 		retry(fleet, event->index, event->group);
 		break;
 	case EVENT_DEADLINE:
-		if (!fleet->searches[event->index].over)
+		if (!fleet->searches[event->index].done)
 			on_deadline(fleet, event->index);
 		break;
 	}
@@ -523,19 +536,19 @@
 
 void fake_fleet_run(struct fake_fleet *fleet, int n)
 {
-	int64_t at = now_of(fleet);
+	int64_t at = fleet_now(fleet);
 	int i;
 
-	/* Arrivals with chance between them, as from many callers. */
+	/* The intervals are random, as with many independent callers. */
 	for (i = 0; i < n; i++) {
 		at += (int64_t)(2 * rng_unit(&fleet->rng) * USEC_PER_SEC /
 				fleet->config.rate);
-		push(fleet, at, EVENT_ARRIVE, 0, 0);
+		push_event(fleet, at, EVENT_ARRIVE, 0, 0);
 	}
 	while (fleet->n_heap) {
-		struct fake_event event = pop(fleet);
+		struct fake_event event = pop_event(fleet);
 
-		dispatch(fleet, &event);
+		handle_event(fleet, &event);
 	}
 }
 
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -106,7 +106,7 @@
 	int i;
 
 	for (i = 0; i < fleet->n_servers; i++)
-		fleet->servers[i].slow = factor;
+		fleet->servers[i].slowdown = factor;
 }
 
 static struct measured measure_slow(const struct policy_ops *ops)
