--- a/tests/fake_fleet.h
+++ b/tests/fake_fleet.h
@@ -71,7 +71,8 @@
 /**
  * struct fake_job - a request that was sent to a server
  * @begun_at: when it got a slot
- * @hedge_delay: time after @sent_at until it may be hedged
+ * @hedge_delay: time after @sent_at until it may be hedged, or
+ *	INT64_MAX for never
  * @pending: no result yet
  * @running: it has a slot
  * @late: @hedge_delay has passed
--- a/tests/fuzz/fuzz_relay.c
+++ b/tests/fuzz/fuzz_relay.c
@@ -64,7 +64,7 @@
 }
 
 /*
- * Each send gets exactly one result, from the instance that it was sent to, and
+ * A send gets at most one result, from the instance that it was sent to, and
  * the body consists of whole records.
  */
 static void on_result(struct dispatch_send *send,
