--- a/answer.c
+++ b/answer.c
@@ -65,7 +65,7 @@
 static void add_member(struct evbuffer *out, const char *key, struct str value)
 {
 	evbuffer_add_printf(out, ",\"%s\":", key);
-	json_text_add(out, value);
+	json_text_add_string(out, value);
 }
 
 void answer_error(struct evbuffer *out, struct str request_id, int code,
@@ -73,7 +73,7 @@
 		  const struct error *err)
 {
 	evbuffer_add_printf(out, "{\"request_id\":");
-	json_text_add(out, request_id);
+	json_text_add_string(out, request_id);
 	add_member(out, "outcome", str_from(answer_outcome(code, maybe_ran)));
 	add_member(out, "error", str_from(error_name(code)));
 	add_member(out, "text", str_from(error_text(code)));
@@ -151,7 +151,7 @@
 		return;
 	}
 	evbuffer_add_printf(out, "{\"request_id\":");
-	json_text_add(out, str_from(search->request.request_id));
+	json_text_add_string(out, str_from(search->request.request_id));
 	evbuffer_add_printf(out,
 			    ",\"outcome\":\"done\",\"snapshot\":%" PRIu64
 			    ",\"count\":%" PRIu64,
@@ -175,7 +175,7 @@
 		   struct str ticket, int64_t expires_in_ms)
 {
 	evbuffer_add_printf(out, "{\"request_id\":");
-	json_text_add(out, request_id);
+	json_text_add_string(out, request_id);
 	add_member(out, "ticket", ticket);
 	evbuffer_add_printf(out, ",\"expires_in_ms\":%" PRId64 "}\n",
 			    expires_in_ms);
@@ -226,7 +226,7 @@
 	else if (is_json(body))
 		evbuffer_add(out, body.data, body.len);
 	else
-		json_text_add(out, body);
+		json_text_add_string(out, body);
 }
 
 void answer_run(struct evbuffer *out, struct str request_id,
@@ -235,7 +235,7 @@
 	int code = answer->code;
 
 	evbuffer_add_printf(out, "{\"request_id\":");
-	json_text_add(out, request_id);
+	json_text_add_string(out, request_id);
 	add_member(out, "outcome", str_from(answer_run_outcome(code)));
 	if (!code) {
 		add_result(out, answer->body);
@@ -256,7 +256,7 @@
 	address_format(&m->caller_address, text, sizeof(text));
 	evbuffer_add_printf(out, "%s{\"address\":\"%s\",\"instance\":",
 			    (*n)++ ? "," : "", text);
-	json_text_add(out, str_from(m->instance));
+	json_text_add_string(out, str_from(m->instance));
 	add_member(out, "data_centre", str_from(m->data_centre));
 	evbuffer_add(out, "}", 1);
 }
@@ -319,7 +319,7 @@
 	char text[ADDRESS_TEXT_SIZE];
 
 	evbuffer_add_printf(out, "{\"instance\":");
-	json_text_add(out, str_from(member->instance));
+	json_text_add_string(out, str_from(member->instance));
 	add_member(out, "data_centre", str_from(member->data_centre));
 	add_member(out, "status", str_from(status));
 	address_format(&member->caller_address, text, sizeof(text));
@@ -367,7 +367,7 @@
 {
 	int i;
 
-	json_text_add(out, str_from(s->name));
+	json_text_add_string(out, str_from(s->name));
 	add_member(out, "service", str_from(s->service));
 	evbuffer_add_printf(out, ",\"weight\":%" PRId64 ",\"homes\":[",
 			    s->weight);
@@ -375,7 +375,7 @@
 		const struct catalog_home *home = &s->homes[i];
 
 		evbuffer_add_printf(out, "%s{\"instance\":", i ? "," : "");
-		json_text_add(out, str_from(home->instance->name));
+		json_text_add_string(out, str_from(home->instance->name));
 		evbuffer_add_printf(
 			out, ",\"slots\":%u,\"reachable\":%s,\"draining\":%s}",
 			home->slots, home->reachable ? "true" : "false",
@@ -406,7 +406,7 @@
 void answer_status_page(struct evbuffer *out, struct blackboard *board)
 {
 	evbuffer_add_printf(out, "{\"instance\":");
-	json_text_add(out, str_from(board->settings->instance));
+	json_text_add_string(out, str_from(board->settings->instance));
 	add_member(out, "data_centre", str_from(board->settings->data_centre));
 	evbuffer_add_printf(out,
 			    ",\"version\":\"" GARNETREACH_VERSION
--- a/bench/backend_config.c
+++ b/bench/backend_config.c
@@ -47,7 +47,7 @@
 	COUNT(cold_ms, 0, 600000000, 0),
 	COUNT(cold_requests, 0, 1000000, 0),
 	{.name = "cold_factor",
-	 .type = OPTION_RATIO,
+	 .type = OPTION_DOUBLE,
 	 .offset = offsetof(struct server_config, cold_factor),
 	 .max = 1000000,
 	 .def = DEFAULT_COLD_FACTOR},
--- a/bench/member_cost.c
+++ b/bench/member_cost.c
@@ -247,7 +247,7 @@
 		 args.naive ? &share_naive : &share_settled);
 	sim.loss = args.loss;
 	sim.list_period = MSEC(30000);
-	sim.unchecked = true;
+	sim.skip_accounting = true;
 	measure_start(&sim);
 	measure_steady(&sim);
 	measure_known(&sim);
--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -224,8 +224,9 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++)
-		sim_sync(sim, i)->reader.watches[READER_TABLE].watched_by_all =
-			true;
+		sim_node_sync(sim, i)
+			->reader.watches[READER_TABLE]
+			.watched_by_all = true;
 }
 
 /* What is counted from a moment on. */
@@ -305,7 +306,7 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		const struct reader *reader = &sim_sync(sim, i)->reader;
+		const struct reader *reader = &sim_node_sync(sim, i)->reader;
 
 		count += reader_is_watching(reader) ||
 			 reader->watches[READER_TABLE].watched_by_all;
--- a/bench/trace_cost.c
+++ b/bench/trace_cost.c
@@ -23,7 +23,7 @@
 	return (double)ts.tv_sec + (double)ts.tv_nsec / 1e9;
 }
 
-static void record(struct trace_book *book, struct burn *burn, int parts)
+static void record(struct trace_store *book, struct burn *burn, int parts)
 {
 	static const struct burn_target target = {"m", 60, 0.99, 0.99};
 	struct burn_event event = {true, true, MSEC(20)};
@@ -37,26 +37,26 @@
 		trace_log_sent(&log, now, str_from(names[i]),
 			       str_from(names[i % 95]), TRACE_FIRST, 1);
 	for (i = 0; i < parts; i++) {
-		trace_log_times(&log, i, 10, 1000);
-		trace_log_back(&log, i, now + 1000, 0);
+		trace_log_set_times(&log, i, 10, 1000);
+		trace_log_done(&log, i, now + 1000, 0);
 	}
 	burn_record(burn, STR("desk"), &target, &event);
-	trace_book_add(book, &summary, &log);
+	trace_store_add(book, &summary, &log);
 	trace_log_finish(&log);
 }
 
 static void measure(int parts)
 {
 	struct trace_limits limits = {4096, 8388608, 128};
-	struct trace_book book;
+	struct trace_store book;
 	struct clock clock;
 	struct burn burn;
 	double start;
 	int i;
 
 	clock_init(&clock);
-	trace_book_init(&book, &clock);
-	trace_book_set_limits(&book, &limits);
+	trace_store_init(&book, &clock);
+	trace_store_set_limits(&book, &limits);
 	burn_init(&burn, &clock);
 	burn_set_services_max(&burn, 10);
 	for (i = 0; i < ROUNDS; i++)
@@ -67,10 +67,10 @@
 	printf("{\"measure\":\"trace\",\"parts\":%d,\"us_per_search\":%.3f,"
 	       "\"records\":%lld,\"bytes\":%lld}\n",
 	       parts, (cpu_seconds() - start) * 1e6 / ROUNDS,
-	       (long long)trace_book_count(&book),
-	       (long long)trace_book_bytes(&book));
+	       (long long)trace_store_count(&book),
+	       (long long)trace_store_bytes(&book));
 	burn_finish(&burn);
-	trace_book_finish(&book);
+	trace_store_finish(&book);
 }
 
 int main(void)
--- a/blackboard.c
+++ b/blackboard.c
@@ -16,7 +16,7 @@
 		.parts_max = tunables->trace_parts_max,
 	};
 
-	trace_book_set_limits(&board->traces, &limits);
+	trace_store_set_limits(&board->traces, &limits);
 	burn_set_services_max(&board->burn, tunables->burn_services_max);
 }
 
@@ -35,7 +35,7 @@
 	fleet_init(&board->fleet);
 	catalog_init(&board->catalog, clock);
 	counters_init(&board->counters);
-	trace_book_init(&board->traces, clock);
+	trace_store_init(&board->traces, clock);
 	burn_init(&board->burn, clock);
 	apply_limits(board);
 }
@@ -48,7 +48,7 @@
 		free(board->table);
 	}
 	burn_finish(&board->burn);
-	trace_book_finish(&board->traces);
+	trace_store_finish(&board->traces);
 	catalog_finish(&board->catalog);
 	fleet_finish(&board->fleet);
 	fleet_finish(&board->platform_list);
--- a/blackboard.h
+++ b/blackboard.h
@@ -99,7 +99,7 @@
 	struct share *share;
 	struct catalog catalog;
 	struct counters counters;
-	struct trace_book traces;
+	struct trace_store traces;
 	struct burn burn;
 	struct poison poison;
 	int64_t last_tick_at;
--- a/burn.c
+++ b/burn.c
@@ -182,8 +182,8 @@
 	return clock_now(burn->clock) / USEC_PER_SEC / BURN_CAUSES_SEC;
 }
 
-void burn_blame(struct burn *burn, struct burn_service *service,
-		enum burn_cause cause, struct str key, int code)
+void burn_add_cause(struct burn *burn, struct burn_service *service,
+		    enum burn_cause cause, struct str key, int code)
 {
 	int64_t period = causes_period(burn);
 	struct burn_causes **causes = &service->causes[period % 2];
@@ -217,8 +217,10 @@
 	}
 }
 
-enum burn_state burn_sum(struct burn *burn, struct burn_service *service,
-			 enum burn_window window, struct burn_counts *counts)
+enum burn_state burn_count_window(struct burn *burn,
+				  struct burn_service *service,
+				  enum burn_window window,
+				  struct burn_counts *counts)
 {
 	struct burn_ring *ring;
 
@@ -244,8 +246,8 @@
 	return age < length ? age : length;
 }
 
-void burn_top(struct burn *burn, const struct burn_service *service,
-	      enum burn_cause cause, struct top_k *out)
+void burn_top_causes(struct burn *burn, const struct burn_service *service,
+		     enum burn_cause cause, struct top_k *out)
 {
 	int64_t period = causes_period(burn);
 	int i;
@@ -268,8 +270,8 @@
 	top_k_sort(out);
 }
 
-uint64_t burn_bad(const struct burn_counts *counts,
-		  enum burn_objective objective)
+uint64_t burn_count_bad(const struct burn_counts *counts,
+			enum burn_objective objective)
 {
 	uint64_t bad =
 		objective == BURN_LATENCY ? counts->late : counts->partial;
@@ -277,8 +279,8 @@
 	return bad + counts->refused;
 }
 
-double burn_ratio(const struct burn_target *target,
-		  enum burn_objective objective)
+double burn_required_ratio(const struct burn_target *target,
+			   enum burn_objective objective)
 {
 	return objective == BURN_LATENCY ? target->latency_ratio
 					 : target->coverage_ratio;
--- a/burn.h
+++ b/burn.h
@@ -168,7 +168,7 @@
  * burn_record() - count a request that is over
  * @target: as of now
  *
- * Return: its service, for burn_blame(); NULL if services_max is reached.
+ * Return: its service, for burn_add_cause(); NULL if services_max is reached.
  */
 struct burn_service *burn_record(struct burn *burn, struct str service,
 				 const struct burn_target *target,
@@ -181,23 +181,25 @@
 		 const struct burn_event *event);
 
 /**
- * burn_blame() - a server or shard made a request bad
+ * burn_add_cause() - a server or shard made a request bad
  * @code: why; 0: it was slow
  */
-void burn_blame(struct burn *burn, struct burn_service *service,
-		enum burn_cause cause, struct str key, int code);
+void burn_add_cause(struct burn *burn, struct burn_service *service,
+		    enum burn_cause cause, struct str key, int code);
 
 struct burn_service *burn_find(const struct burn *burn, struct str service);
 
 /**
- * burn_sum() - requests in a window that ends now
+ * burn_count_window() - requests in a window that ends now
  * @service: NULL for one without requests
  *
  * The window is a whole number of buckets with the one in progress, so that
  * it may be shorter by up to a tenth.
  */
-enum burn_state burn_sum(struct burn *burn, struct burn_service *service,
-			 enum burn_window window, struct burn_counts *counts);
+enum burn_state burn_count_window(struct burn *burn,
+				  struct burn_service *service,
+				  enum burn_window window,
+				  struct burn_counts *counts);
 
 /**
  * burn_observed() - how much of a window the instance has seen, microseconds
@@ -205,22 +207,22 @@
 int64_t burn_observed(const struct burn *burn, enum burn_window window);
 
 /**
- * burn_top() - who made requests bad in the last one to two hours
+ * burn_top_causes() - who made requests bad in the last one to two hours
  */
-void burn_top(struct burn *burn, const struct burn_service *service,
-	      enum burn_cause cause, struct top_k *out);
+void burn_top_causes(struct burn *burn, const struct burn_service *service,
+		     enum burn_cause cause, struct top_k *out);
 
 /**
- * burn_bad() - requests that were bad for an objective
+ * burn_count_bad() - requests that were bad for an objective
  */
-uint64_t burn_bad(const struct burn_counts *counts,
-		  enum burn_objective objective);
+uint64_t burn_count_bad(const struct burn_counts *counts,
+			enum burn_objective objective);
 
 /**
- * burn_ratio() - part of requests that must be good
+ * burn_required_ratio() - part of requests that must be good
  */
-double burn_ratio(const struct burn_target *target,
-		  enum burn_objective objective);
+double burn_required_ratio(const struct burn_target *target,
+			   enum burn_objective objective);
 
 /**
  * burn_rate() - bad requests over those allowed
--- a/burn_json.c
+++ b/burn_json.c
@@ -44,12 +44,14 @@
 	int k;
 
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
-		sums->states[i] = burn_sum(burn, service, i, &sums->counts[i]);
+		sums->states[i] =
+			burn_count_window(burn, service, i, &sums->counts[i]);
 		for (k = 0; k < BURN_N_OBJECTIVES; k++) {
-			double allowed = (double)sums->counts[i].total *
-					 (1 - burn_ratio(&service->target, k));
+			double allowed =
+				(double)sums->counts[i].total *
+				(1 - burn_required_ratio(&service->target, k));
 
-			sums->bad[k][i] = burn_bad(&sums->counts[i], k);
+			sums->bad[k][i] = burn_count_bad(&sums->counts[i], k);
 			sums->rates[k][i] =
 				burn_rate((double)sums->bad[k][i], allowed);
 		}
@@ -120,7 +122,7 @@
 	int i;
 
 	for (i = 0; i < BURN_N_CAUSES; i++) {
-		burn_top(burn, service, i, &top);
+		burn_top_causes(burn, service, i, &top);
 		json_object_object_add(causes, cause_names[i], top_json(&top));
 	}
 	return causes;
@@ -228,7 +230,7 @@
 {
 	evbuffer_add_printf(out, "%s{\"alarm\":\"%s\",\"service\":",
 			    (*n)++ ? "," : "", alarm);
-	json_text_add(out, str_from(service));
+	json_text_add_string(out, str_from(service));
 	evbuffer_add_printf(out, ",\"objective\":\"%s\"}",
 			    burn_objective_names[objective]);
 }
--- a/burn_report.c
+++ b/burn_report.c
@@ -18,7 +18,7 @@
 
 	memset(report, 0, sizeof(*report));
 	for (i = 0; i < BURN_N_WINDOWS; i++)
-		report->least_s[i] = burn_window_seconds[i];
+		report->min_observed_s[i] = burn_window_seconds[i];
 }
 
 static void free_rows(struct burn_row **rows)
@@ -201,8 +201,8 @@
 				      BURN_N_WINDOWS);
 		int64_t observed = json_value_int(item, "observed_s");
 
-		if (window >= 0 && observed < report->least_s[window])
-			report->least_s[window] = observed;
+		if (window >= 0 && observed < report->min_observed_s[window])
+			report->min_observed_s[window] = observed;
 	}
 }
 
@@ -250,8 +250,9 @@
 
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
 		for (k = 0; k < BURN_N_OBJECTIVES; k++)
-			row->allowed[k][i] = (double)row->counts[i].total *
-					     (1 - burn_ratio(&row->target, k));
+			row->allowed[k][i] =
+				(double)row->counts[i].total *
+				(1 - burn_required_ratio(&row->target, k));
 	}
 }
 
@@ -275,7 +276,8 @@
 double burn_row_rate(const struct burn_row *row, enum burn_objective objective,
 		     enum burn_window window)
 {
-	return burn_rate((double)burn_bad(&row->counts[window], objective),
+	return burn_rate((double)burn_count_bad(&row->counts[window],
+						objective),
 			 row->allowed[objective][window]);
 }
 
@@ -294,7 +296,7 @@
 
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
 		rates[i] = burn_row_rate(row, objective, i);
-		bad[i] = burn_bad(&row->counts[i], objective);
+		bad[i] = burn_count_bad(&row->counts[i], objective);
 	}
 	if (burn_is_fast(rates, bad))
 		return burn_alarm_names[BURN_ALARM_FAST];
--- a/burn_report.h
+++ b/burn_report.h
@@ -51,7 +51,7 @@
  * struct burn_report - the fleet
  * @services: a hash map by name, which keeps an order
  * @markets: likewise
- * @least_s: what the youngest instance has seen of each window, seconds
+ * @min_observed_s: what the youngest instance has seen of each window, seconds
  * @uncounted: requests that no service's counts hold
  */
 struct burn_report {
@@ -61,7 +61,7 @@
 	int n_answered;
 	struct burn_row *services;
 	struct burn_row *markets;
-	int64_t least_s[BURN_N_WINDOWS];
+	int64_t min_observed_s[BURN_N_WINDOWS];
 	uint64_t uncounted;
 };
 
--- a/cmd_check.c
+++ b/cmd_check.c
@@ -30,7 +30,7 @@
 static void (*describe_format(const char *name))(FILE *out)
 {
 	if (!name || !strcmp(name, "markdown"))
-		return describe_table;
+		return describe_table_markdown;
 	return strcmp(name, "man") ? NULL : describe_table_man;
 }
 
--- a/cmd_losses.c
+++ b/cmd_losses.c
@@ -29,7 +29,7 @@
 	ssize_t len;
 
 	while ((len = getline(&line, &size, in)) > 0)
-		losses_take(losses, (struct str){line, (size_t)len});
+		losses_add_line(losses, (struct str){line, (size_t)len});
 	free(line);
 }
 
--- a/describe.c
+++ b/describe.c
@@ -4,7 +4,7 @@
 
 static const char *const type_names[] = {
 	[OPTION_STRING] = "text",     [OPTION_INT] = "whole number",
-	[OPTION_RATIO] = "number",    [OPTION_ENUM] = "name",
+	[OPTION_DOUBLE] = "number",   [OPTION_ENUM] = "name",
 	[OPTION_ADDRESS] = "IP:PORT",
 };
 
@@ -24,7 +24,7 @@
 			option->max);
 		break;
 	case OPTION_INT:
-	case OPTION_RATIO:
+	case OPTION_DOUBLE:
 		fprintf(out, "%.15g to %.15g", option->min, option->max);
 		break;
 	case OPTION_ENUM:
@@ -47,7 +47,7 @@
 			option->def_text ? option->def_text : "");
 		break;
 	case OPTION_INT:
-	case OPTION_RATIO:
+	case OPTION_DOUBLE:
 		fprintf(out, "%.15g", option->def);
 		break;
 	case OPTION_ENUM:
@@ -82,7 +82,7 @@
 		print_option(&options[i], out);
 }
 
-void describe_table(FILE *out)
+void describe_table_markdown(FILE *out)
 {
 	print_sheet("Sheet markets", "column", market_columns, n_market_columns,
 		    out);
--- a/describe.h
+++ b/describe.h
@@ -5,9 +5,9 @@
 #include <stdio.h>
 
 /**
- * describe_table() - print every sheet's options as Markdown tables
+ * describe_table_markdown() - print every sheet's options as Markdown tables
  */
-void describe_table(FILE *out);
+void describe_table_markdown(FILE *out);
 
 /**
  * describe_table_man() - print garnetreach-table(5) as input of scdoc
--- a/json_text.c
+++ b/json_text.c
@@ -12,7 +12,7 @@
 		evbuffer_add_printf(out, "\\u%04x", c);
 }
 
-void json_text_add(struct evbuffer *out, struct str s)
+void json_text_add_string(struct evbuffer *out, struct str s)
 {
 	size_t start = 0;
 	size_t i;
--- a/json_text.h
+++ b/json_text.h
@@ -7,8 +7,8 @@
 struct evbuffer;
 
 /**
- * json_text_add() - append a quoted and escaped string
+ * json_text_add_string() - append a quoted and escaped string
  */
-void json_text_add(struct evbuffer *out, struct str s);
+void json_text_add_string(struct evbuffer *out, struct str s);
 
 #endif
--- a/losses.c
+++ b/losses.c
@@ -153,7 +153,7 @@
 	count(&losses->total, cause, line);
 }
 
-void losses_take(struct losses *losses, struct str line)
+void losses_add_line(struct losses *losses, struct str line)
 {
 	const char *brace = memchr(line.data, '{', line.len);
 	struct json_object *root = NULL;
--- a/losses.h
+++ b/losses.h
@@ -70,12 +70,12 @@
 void losses_finish(struct losses *losses);
 
 /**
- * losses_take() - a line of a log
+ * losses_add_line() - a line of a log
  *
  * What stands before the first brace is passed over, so that lines which a
  * collector put a prefix to can be read as they are.
  */
-void losses_take(struct losses *losses, struct str line);
+void losses_add_line(struct losses *losses, struct str line);
 
 const char *loss_cause_name(enum loss_cause cause);
 
--- a/observe.c
+++ b/observe.c
@@ -165,8 +165,8 @@
 	str_copy(server->name, sizeof(server->name), str_from(row->name));
 	server->service = service;
 	server->health = 1;
-	server->warm_since = clock_now(observe->clock);
-	server->counted_at = server->warm_since;
+	server->slow_start_at = clock_now(observe->clock);
+	server->counted_at = server->slow_start_at;
 	service->n_servers++;
 	HASH_ADD(hh, observe->servers, hash, sizeof(server->hash), server);
 	return server;
@@ -292,7 +292,7 @@
 	observe_home(server, instance)->in_flight++;
 }
 
-void observe_late(struct observe_server *server)
+void observe_mark_late(struct observe_server *server)
 {
 	server->late++;
 }
@@ -482,14 +482,14 @@
 	take_result(observe, server, result, now);
 }
 
-void observe_searched(struct observe *observe, struct observe_service *service,
-		      int64_t elapsed_us)
+void observe_search_done(struct observe *observe,
+			 struct observe_service *service, int64_t elapsed_us)
 {
 	sketch_add(&service->searches, elapsed_us, clock_now(observe->clock),
 		   half_life(observe));
 }
 
-void observe_hint(struct observe_server *server, double health)
+void observe_set_health(struct observe_server *server, double health)
 {
 	server->health = (float)health;
 }
--- a/observe.h
+++ b/observe.h
@@ -45,13 +45,13 @@
 /**
  * struct observe_group - servers that should hold the same shards
  * @servers: of @n
- * @reviewed_at: time of the last search for outliers, microseconds
+ * @outliers_checked_at: time of the last search for outliers, microseconds
  */
 struct observe_group {
 	struct observe_server **servers;
 	int n;
 	int cap;
-	int64_t reviewed_at;
+	int64_t outliers_checked_at;
 	uint64_t hash;
 	UT_hash_handle hh;
 };
@@ -97,7 +97,7 @@
  * @silences_in_row: silent connections since the last answer
  * @answered_at: time of the last answer, 0 if none
  * @back_off_until: asked not to be called before
- * @warm_since: start of its slow start
+ * @slow_start_at: start of its slow start
  * @health: 0 to 1 as its health endpoint tells; only ever a hint
  * @ejected_until: when an ejected server is tried again; 0: not ejected
  * @ejections: ejections lately, for the length of the next
@@ -130,7 +130,7 @@
 	uint32_t ejections;
 	int64_t answered_at;
 	int64_t back_off_until;
-	int64_t warm_since;
+	int64_t slow_start_at;
 	int64_t ejected_until;
 	int64_t ejected_at;
 	float health;
@@ -221,32 +221,32 @@
 		  uint64_t instance);
 
 /**
- * observe_late() - a request in flight passed its hedge delay
+ * observe_mark_late() - a request in flight passed its hedge delay
  *
  * To be called once a request; observe_done() is then told of it.
  */
-void observe_late(struct observe_server *server);
+void observe_mark_late(struct observe_server *server);
 
 /**
  * observe_done() - a request is over
- * @was_late: whether observe_late() was called for it
+ * @was_late: whether observe_mark_late() was called for it
  */
 void observe_done(struct observe *observe, struct observe_server *server,
 		  uint64_t instance, bool was_late,
 		  const struct observe_result *result);
 
 /**
- * observe_searched() - a whole search is over
+ * observe_search_done() - a whole search is over
  * @elapsed_us: until full coverage, or until it was given up
  */
-void observe_searched(struct observe *observe, struct observe_service *service,
-		      int64_t elapsed_us);
+void observe_search_done(struct observe *observe,
+			 struct observe_service *service, int64_t elapsed_us);
 
 /**
- * observe_hint() - what the health endpoint of a server says
+ * observe_set_health() - what the health endpoint of a server says
  * @health: 0 to 1
  */
-void observe_hint(struct observe_server *server, double health);
+void observe_set_health(struct observe_server *server, double health);
 
 enum observe_outcome observe_outcome_of(int code, bool sent);
 
--- a/operator_pages.c
+++ b/operator_pages.c
@@ -57,7 +57,7 @@
 	return code == ERR_NO_TRACE ? EVHTP_RES_NOTFOUND : EVHTP_RES_BADREQ;
 }
 
-static void add_traces(struct json_object *root, const struct trace_book *book,
+static void add_traces(struct json_object *root, const struct trace_store *book,
 		       struct str request_id)
 {
 	struct json_object *list = json_object_new_array();
@@ -65,7 +65,7 @@
 	int i;
 
 	for (i = 0; i < TRACES_MAX; i++) {
-		if (trace_book_find(book, request_id, trace, &trace))
+		if (trace_store_find(book, request_id, trace, &trace))
 			break;
 		json_object_array_add(list, trace_json(trace));
 	}
@@ -91,7 +91,7 @@
 static void on_explain(evhtp_request_t *http, void *arg)
 {
 	struct blackboard *board = arg;
-	const struct trace_book *book = &board->traces;
+	const struct trace_store *book = &board->traces;
 	struct json_object *root;
 	const struct trace *trace;
 	char *id = find_id(http);
@@ -103,8 +103,8 @@
 		return;
 	}
 	if (id)
-		code = trace_book_find(book, str_from(id), NULL, &trace);
-	kept = clock_now(board->clock) - trace_book_kept_since(book);
+		code = trace_store_find(book, str_from(id), NULL, &trace);
+	kept = clock_now(board->clock) - trace_store_oldest(book);
 	root = json_object_new_object();
 	json_value_add_text(root, "instance", board->settings->instance);
 	json_value_add_text(root, "data_centre", board->settings->data_centre);
--- a/option.c
+++ b/option.c
@@ -118,7 +118,7 @@
 	case OPTION_STRING:
 		return read_string(option, value, base, subject, err);
 	case OPTION_INT:
-	case OPTION_RATIO:
+	case OPTION_DOUBLE:
 		return read_number(option, value, base, subject, err);
 	case OPTION_ENUM:
 		return read_enum(option, value, base, subject, err);
@@ -185,7 +185,7 @@
 	case OPTION_INT:
 		*(int64_t *)slot = (int64_t)option->def;
 		break;
-	case OPTION_RATIO:
+	case OPTION_DOUBLE:
 		*(double *)slot = option->def;
 		break;
 	case OPTION_ENUM:
--- a/option.h
+++ b/option.h
@@ -17,7 +17,7 @@
 enum option_type {
 	OPTION_STRING,	/* char *, owned */
 	OPTION_INT,	/* int64_t */
-	OPTION_RATIO,	/* double */
+	OPTION_DOUBLE,	/* double */
 	OPTION_ENUM,	/* int, index into names */
 	OPTION_ADDRESS, /* struct address */
 };
--- a/policy.c
+++ b/policy.c
@@ -109,7 +109,7 @@
 	struct observe_service *stats = find_stats(policy, service);
 
 	if (stats)
-		observe_searched(&policy->observe, stats, elapsed_us);
+		observe_search_done(&policy->observe, stats, elapsed_us);
 }
 
 /*
@@ -193,7 +193,7 @@
 	if (doublings > RETRY_DOUBLINGS_MAX)
 		doublings = RETRY_DOUBLINGS_MAX;
 	return (int64_t)((double)(RETRY_DELAY_US << doublings) *
-			 (1 + rng_unit(&policy->rng)));
+			 (1 + rng_uniform(&policy->rng)));
 }
 
 /*
--- a/policy.h
+++ b/policy.h
@@ -115,7 +115,7 @@
 /**
  * policy_request_done() - record the result of a request
  * @instance: hash of the home instance's name
- * @was_late: observe_late() was called for it
+ * @was_late: observe_mark_late() was called for it
  * @result: result of the request
  *
  * Call once for each policy_request_sent().
--- a/registry.c
+++ b/registry.c
@@ -492,7 +492,7 @@
 
 		if (!is_eligible(criteria, server))
 			continue;
-		cost = cost_of(criteria, server, rng_unit(&rng), now);
+		cost = cost_of(criteria, server, rng_uniform(&rng), now);
 		if (cost >= lowest)
 			continue;
 		lowest = cost;
--- a/replica.c
+++ b/replica.c
@@ -70,12 +70,12 @@
 
 	/* The slow start begins when the server stops reporting cold. */
 	if (replica->is_cold) {
-		server->warm_since = now;
+		server->slow_start_at = now;
 		return SLOW_START_FLOOR;
 	}
-	if (now - server->warm_since >= length)
+	if (now - server->slow_start_at >= length)
 		return 1;
-	factor = (double)(now - server->warm_since) / (double)length;
+	factor = (double)(now - server->slow_start_at) / (double)length;
 	return factor > SLOW_START_FLOOR ? factor : SLOW_START_FLOOR;
 }
 
@@ -137,7 +137,7 @@
 		if (i != skip && tier_of(&replicas[i], now) == tier)
 			total += weight_of(observe, &replicas[i], now);
 	}
-	remaining = rng_unit(rng) * total;
+	remaining = rng_uniform(rng) * total;
 	for (i = 0; i < n; i++) {
 		if (i == skip || tier_of(&replicas[i], now) != tier)
 			continue;
@@ -277,7 +277,7 @@
 		if (replica->homes[i].instance == avoid)
 			utilisation += 1e9;
 		/* Random tie-breaking. */
-		utilisation *= 1 + rng_unit(rng) / 64;
+		utilisation *= 1 + rng_uniform(rng) / 64;
 		if (utilisation >= lowest)
 			continue;
 		lowest = utilisation;
@@ -359,7 +359,7 @@
 	server->failures_in_row = 0;
 	server->mean_us = (float)elapsed_us;
 	server->sampled_at = now;
-	server->warm_since = now - length * 3 / 4;
+	server->slow_start_at = now - length * 3 / 4;
 	LOG_INFO("server_readmitted", LOG_TEXT("server", server->name));
 }
 
--- a/report.h
+++ b/report.h
@@ -27,19 +27,19 @@
 struct json_object *report_json(const struct burn_report *report);
 
 /**
- * report_rate() - a burn rate with what its window's state says
+ * report_burn_rate() - a burn rate with what its window's state says
  * @out: of REPORT_RATE_SIZE: "-" without a request, "rolled" if all were
  *	 before the window, else the rate, with a "*" for a short window
  */
-void report_rate(const struct burn_row *row, enum burn_objective objective,
-		 enum burn_window window, char *out);
+void report_burn_rate(const struct burn_row *row, enum burn_objective objective,
+		      enum burn_window window, char *out);
 
 /**
- * report_left() - budget left as a percentage
+ * report_budget_left() - budget left as a percentage
  * @out: of REPORT_RATE_SIZE
  */
-void report_left(const struct burn_row *row, enum burn_objective objective,
-		 char *out);
+void report_budget_left(const struct burn_row *row,
+			enum burn_objective objective, char *out);
 
 /**
  * report_target() - the target of a service in words
--- a/report_html.c
+++ b/report_html.c
@@ -81,7 +81,7 @@
 	int y = window * (BAR_HEIGHT + 2);
 	char text[REPORT_RATE_SIZE];
 
-	report_rate(row, objective, window, text);
+	report_burn_rate(row, objective, window, text);
 	fprintf(out, "<text x=\"0\" y=\"%d\">%s</text>", y + BAR_HEIGHT - 2,
 		burn_window_names[window]);
 	fprintf(out,
@@ -134,7 +134,7 @@
 	const char *alarm = burn_row_alarm(row, objective);
 	char left[REPORT_RATE_SIZE];
 
-	report_left(row, objective, left);
+	report_budget_left(row, objective, left);
 	fprintf(out, "<td>%s<br/><span class=\"note\">%s</span></td><td>",
 		burn_objective_names[objective], target);
 	put_chart(row, objective, out);
@@ -249,9 +249,9 @@
 	      "of the last 3 days.",
 	      out);
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
-		if (report->least_s[i] == burn_window_seconds[i])
+		if (report->min_observed_s[i] == burn_window_seconds[i])
 			continue;
-		report_duration(report->least_s[i], seen);
+		report_duration(report->min_observed_s[i], seen);
 		fprintf(out,
 			" * The window %s is short: the youngest instance has "
 			"seen %s.",
--- a/report_json.c
+++ b/report_json.c
@@ -47,7 +47,7 @@
 		json_value_add_text(item, "window", burn_window_names[i]);
 		json_value_add_int(item, "seconds", burn_window_seconds[i]);
 		json_value_add_int(item, "least_observed_s",
-				   report->least_s[i]);
+				   report->min_observed_s[i]);
 		json_object_array_add(list, item);
 	}
 	return list;
--- a/report_text.c
+++ b/report_text.c
@@ -8,8 +8,8 @@
 
 #define TOP_SHOWN 3
 
-void report_rate(const struct burn_row *row, enum burn_objective objective,
-		 enum burn_window window, char *out)
+void report_burn_rate(const struct burn_row *row, enum burn_objective objective,
+		      enum burn_window window, char *out)
 {
 	double rate = burn_row_rate(row, objective, window);
 	const char *mark = row->states[window] == BURN_SHORT ? "*" : "";
@@ -24,8 +24,8 @@
 		snprintf(out, REPORT_RATE_SIZE, "%.2f%s", rate, mark);
 }
 
-void report_left(const struct burn_row *row, enum burn_objective objective,
-		 char *out)
+void report_budget_left(const struct burn_row *row,
+			enum burn_objective objective, char *out)
 {
 	double left = burn_row_budget_left(row, objective);
 	const char *mark = row->states[BURN_3D] == BURN_SHORT ? "*" : "";
@@ -41,7 +41,7 @@
 void report_target(const struct burn_row *row, enum burn_objective objective,
 		   char *out)
 {
-	double percent = burn_ratio(&row->target, objective) * 100;
+	double percent = burn_required_ratio(&row->target, objective) * 100;
 
 	if (objective == BURN_LATENCY)
 		snprintf(out, REPORT_RATE_SIZE, "%g%% in %" PRId64 "ms",
@@ -96,9 +96,9 @@
 	int i;
 
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
-		if (report->least_s[i] == burn_window_seconds[i])
+		if (report->min_observed_s[i] == burn_window_seconds[i])
 			continue;
-		report_duration(report->least_s[i], seen);
+		report_duration(report->min_observed_s[i], seen);
 		fprintf(out, "%s%s (%s)",
 			n++ ? ", " : "* short windows: ", burn_window_names[i],
 			seen);
@@ -131,10 +131,10 @@
 	fprintf(out, "%-20s %-9s %-16s", name, burn_objective_names[objective],
 		target);
 	for (i = 0; i < BURN_N_WINDOWS; i++) {
-		report_rate(row, objective, i, text);
+		report_burn_rate(row, objective, i, text);
 		fprintf(out, " %9s", text);
 	}
-	report_left(row, objective, text);
+	report_budget_left(row, objective, text);
 	fprintf(out, " %8s  %s\n", text, alarm ? alarm : "");
 }
 
--- a/rng.h
+++ b/rng.h
@@ -23,9 +23,9 @@
 }
 
 /**
- * rng_unit() - a number from 0 up to, but not including, 1
+ * rng_uniform() - a number from 0 up to, but not including, 1
  */
-static inline double rng_unit(struct rng *rng)
+static inline double rng_uniform(struct rng *rng)
 {
 	return (double)(rng_next(rng) >> 11) * 0x1.0p-53;
 }
--- a/run_trace.c
+++ b/run_trace.c
@@ -57,5 +57,5 @@
 	if (board->table)
 		summary.table_revision = board->table->revision;
 	record_burn(board, &summary);
-	trace_book_add(&board->traces, &summary, NULL);
+	trace_store_add(&board->traces, &summary, NULL);
 }
--- a/search_hedge.c
+++ b/search_hedge.c
@@ -61,7 +61,7 @@
 	int i;
 
 	if (!part->is_late)
-		observe_late(part->observed_server);
+		observe_mark_late(part->observed_server);
 	part->is_late = true;
 	part->hedge_at = INT64_MAX;
 	if (search->single_server)
--- a/search_trace.c
+++ b/search_trace.c
@@ -16,7 +16,7 @@
 void search_trace_sent(struct search *search, const struct search_part *part,
 		       bool is_retry)
 {
-	enum trace_why why = is_retry ? TRACE_RETRY : TRACE_FIRST;
+	enum trace_attempt why = is_retry ? TRACE_RETRY : TRACE_FIRST;
 
 	if (part->is_hedge)
 		why = TRACE_HEDGE;
@@ -28,14 +28,14 @@
 void search_trace_times(struct search *search, int index,
 			const Peer__ServerResult *result)
 {
-	trace_log_times(&search->trace, index, result->wait_us,
-			result->latency_us);
+	trace_log_set_times(&search->trace, index, result->wait_us,
+			    result->latency_us);
 }
 
 void search_trace_part_done(struct search *search, int index,
 			    const struct observe_result *result)
 {
-	trace_log_back(&search->trace, index,
+	trace_log_done(&search->trace, index,
 		       search->parts[index].sent_at + result->elapsed_us,
 		       result->code);
 }
@@ -54,9 +54,10 @@
 		const struct catalog_shard *shard = &search->map->shards[i];
 
 		if (search->shards[i].state != SEARCH_SHARD_ANSWERED)
-			trace_summary_miss(summary, search->shards[i].code,
-					   shard->lo, shard->hi,
-					   shard->n_records);
+			trace_summary_add_missing(summary,
+						  search->shards[i].code,
+						  shard->lo, shard->hi,
+						  shard->n_records);
 	}
 }
 
@@ -104,8 +105,8 @@
 	char key[SHARD_KEY_SIZE];
 
 	snprintf(key, sizeof(key), "%d-%d", shard->lo, shard->hi);
-	burn_blame(&search->searches->board->burn, service, BURN_SHARD,
-		   str_from(key), code);
+	burn_add_cause(&search->searches->board->burn, service, BURN_SHARD,
+		       str_from(key), code);
 }
 
 static void blame_missing(struct search *search, struct burn_service *service)
@@ -139,10 +140,10 @@
 static void blame_server(struct search *search, struct burn_service *service,
 			 int index)
 {
-	burn_blame(&search->searches->board->burn, service, BURN_SERVER,
-		   str_from(
-			   trace_name_text(logged_part(search, index)->server)),
-		   logged_part(search, index)->code);
+	burn_add_cause(&search->searches->board->burn, service, BURN_SERVER,
+		       str_from(trace_name_text(
+			       logged_part(search, index)->server)),
+		       logged_part(search, index)->code);
 }
 
 static void blame_failed(struct search *search, struct burn_service *service)
@@ -238,10 +239,10 @@
 	struct blackboard *board = search->searches->board;
 	struct counters *counters = &board->counters;
 
-	trace_book_add(&board->traces, summary, &search->trace);
+	trace_store_add(&board->traces, summary, &search->trace);
 	trace_log_finish(&search->trace);
-	metric_set(&counters->traces, trace_book_count(&board->traces));
-	metric_set(&counters->trace_bytes, trace_book_bytes(&board->traces));
+	metric_set(&counters->traces, trace_store_count(&board->traces));
+	metric_set(&counters->trace_bytes, trace_store_bytes(&board->traces));
 	metric_set(&counters->traces_evicted, (int64_t)board->traces.n_evicted);
 	metric_set(&counters->burn_uncounted, (int64_t)board->burn.uncounted);
 }
--- a/share_status.c
+++ b/share_status.c
@@ -31,7 +31,7 @@
 			continue;
 		if (n++)
 			evbuffer_add(out, ",", 1);
-		json_text_add(out, str_from(peer->instance));
+		json_text_add_string(out, str_from(peer->instance));
 	}
 	evbuffer_add(out, "]}", 2);
 }
@@ -40,7 +40,7 @@
 		     const struct share_pool *pool)
 {
 	evbuffer_add_printf(out, "{\"data_centre\":");
-	json_text_add(out, str_from(pool->data_centre));
+	json_text_add_string(out, str_from(pool->data_centre));
 	evbuffer_add_printf(out,
 			    ",\"holders\":%d,\"in_force\":%s,\"servers\":%d",
 			    pool->views[pool->n_views - 1].n,
--- a/table_columns.c
+++ b/table_columns.c
@@ -23,13 +23,13 @@
 	}
 #define FACTOR_COLUMN(type_, member, min_, max_, def_, help_)                  \
 	{                                                                      \
-		.name = #member, .type = OPTION_RATIO,                         \
+		.name = #member, .type = OPTION_DOUBLE,                        \
 		.offset = offsetof(type_, member), .min = min_, .max = max_,   \
 		.def = def_, .unit = "factor", .help = help_                   \
 	}
 #define RATIO_COLUMN(type_, member, def_, help_)                               \
 	{                                                                      \
-		.name = #member, .type = OPTION_RATIO,                         \
+		.name = #member, .type = OPTION_DOUBLE,                        \
 		.offset = offsetof(type_, member), .min = 0, .max = 1,         \
 		.def = def_, .unit = "ratio", .help = help_                    \
 	}
--- a/tests/fake_fleet.c
+++ b/tests/fake_fleet.c
@@ -185,9 +185,9 @@
 	struct fake_job *job = &fleet->jobs[index];
 	struct fake_server *server = &fleet->servers[job->server];
 	double usec = fleet->config.service_us *
-		      (0.7 + 0.6 * rng_unit(&fleet->rng)) * server->slowdown;
+		      (0.7 + 0.6 * rng_uniform(&fleet->rng)) * server->slowdown;
 
-	if (rng_unit(&fleet->rng) < fleet->config.straggler_ratio)
+	if (rng_uniform(&fleet->rng) < fleet->config.straggler_ratio)
 		usec *= fleet->config.straggler_factor;
 	server->busy++;
 	job->running = true;
@@ -204,7 +204,7 @@
 	server->received++;
 	if (server->down)
 		job->fail_code = ERR_CONNECT;
-	else if (rng_unit(&fleet->rng) < server->shed_ratio)
+	else if (rng_uniform(&fleet->rng) < server->shed_ratio)
 		job->fail_code = ERR_SHED;
 	if (job->fail_code) {
 		push_event(fleet, fleet_now(fleet) + REFUSAL_LATENCY_US,
@@ -454,7 +454,7 @@
 	if (!job->pending)
 		return;
 	if (!job->late)
-		observe_late(fleet->servers[job->server].observed);
+		observe_mark_late(fleet->servers[job->server].observed);
 	job->late = true;
 	if (state->newest != index)
 		return;
@@ -541,7 +541,7 @@
 
 	/* The intervals are random, as with many independent callers. */
 	for (i = 0; i < n; i++) {
-		at += (int64_t)(2 * rng_unit(&fleet->rng) * USEC_PER_SEC /
+		at += (int64_t)(2 * rng_uniform(&fleet->rng) * USEC_PER_SEC /
 				fleet->config.rate);
 		push_event(fleet, at, EVENT_ARRIVE, 0, 0);
 	}
--- a/tests/matrix_change.c
+++ b/tests/matrix_change.c
@@ -55,17 +55,17 @@
 
 static void stale(struct change_cell *cell)
 {
-	sim_show(&cell->sim, cell->first, -1);
+	sim_show_version(&cell->sim, cell->first, -1);
 }
 
 static void newest(struct change_cell *cell)
 {
-	sim_show(&cell->sim, cell->change, -1);
+	sim_show_version(&cell->sim, cell->change, -1);
 }
 
 static void flap(struct change_cell *cell)
 {
-	sim_show(&cell->sim, cell->change, cell->first);
+	sim_show_version(&cell->sim, cell->change, cell->first);
 }
 
 static void busy(struct change_cell *cell)
@@ -172,7 +172,7 @@
 
 static bool reached(const struct change_cell *cell, enum change_step step)
 {
-	int n = sim_count(&cell->sim, CHANGE);
+	int n = sim_count_in_force(&cell->sim, CHANGE);
 
 	switch (step) {
 	case STEP_PUBLISHED:
--- a/tests/member_sim.c
+++ b/tests/member_sim.c
@@ -132,7 +132,7 @@
 	struct sim *sim = node->sim;
 
 	sim->datagrams++;
-	sim->far_datagrams += is_far(sim, node, to);
+	sim->cross_dc_datagrams += is_far(sim, node, to);
 	sim->datagram_bytes += len;
 	if ((double)(sim_random(sim) % 1000000) < sim->loss * 1e6)
 		return;
@@ -344,10 +344,10 @@
 	int used = sim->sum_used[row].slots - (int)server->slots;
 	int connections = sim->sum[row].connections - (int)server->connections;
 
-	if (slots > sim->over_slots)
-		sim->over_slots = slots;
-	if (connections > sim->over_connections)
-		sim->over_connections = connections;
+	if (slots > sim->slots_overshoot)
+		sim->slots_overshoot = slots;
+	if (connections > sim->connections_overshoot)
+		sim->connections_overshoot = connections;
 	if (used > sim->over_used)
 		sim->over_used = used;
 }
@@ -384,7 +384,7 @@
 	bool running = node->up && !node->paused;
 	int row;
 
-	if (!sim->table || sim->unchecked)
+	if (!sim->table || sim->skip_accounting)
 		return;
 	for (row = 0; row < sim->table->n_servers; row++) {
 		struct sim_use *use = &node->use[row];
@@ -486,7 +486,7 @@
 
 static void deliver(struct sim *sim, struct sim_message *message);
 
-void sim_wake(struct sim *sim, int i)
+void sim_resume(struct sim *sim, int i)
 {
 	struct sim_node *node = &sim->nodes[i];
 	struct sim_message *queue = NULL;
@@ -518,7 +518,7 @@
 	sim_crash(sim, i);
 }
 
-void sim_list(struct sim *sim, int i, bool listed)
+void sim_set_listed(struct sim *sim, int i, bool listed)
 {
 	sim->nodes[i].listed = listed;
 }
@@ -532,7 +532,7 @@
 		sim->nodes[i].stale_listed = sim->nodes[i].listed;
 }
 
-void sim_cut(struct sim *sim, int i, int side)
+void sim_set_side(struct sim *sim, int i, int side)
 {
 	sim->nodes[i].side = side;
 }
@@ -659,7 +659,7 @@
 	return clock_now(&sim->clock) - start;
 }
 
-int sim_slots(struct sim *sim, int row)
+int sim_usable_slots(struct sim *sim, int row)
 {
 	return sim->sum[row].slots;
 }
@@ -700,13 +700,13 @@
 		if (node->up && !node->paused && !is_settled(node))
 			return false;
 	}
-	return sim->unchecked || sim_all_shared(sim);
+	return sim->skip_accounting || sim_all_shared(sim);
 }
 
-void sim_forget(struct sim *sim)
+void sim_reset_overshoot(struct sim *sim)
 {
-	sim->over_slots = 0;
-	sim->over_connections = 0;
+	sim->slots_overshoot = 0;
+	sim->connections_overshoot = 0;
 	sim->over_used = 0;
 }
 
@@ -745,7 +745,7 @@
 	return true;
 }
 
-void sim_limits(struct sim *sim, int slots, int connections)
+void sim_set_limits(struct sim *sim, int slots, int connections)
 {
 	int i;
 
--- a/tests/member_sim.h
+++ b/tests/member_sim.h
@@ -66,9 +66,9 @@
  * @delay: of a message, up to this, microseconds
  * @loss: of datagrams, ratio
  * @drain: how long a request runs, microseconds
- * @over_slots: most slots by which the sum of shares was above a limit
+ * @slots_overshoot: most slots by which the sum of shares was above a limit
  * @over_used: the same of slots in use, those still draining included
- * @unchecked: do not use or sum up shares, to measure the modules alone
+ * @skip_accounting: do not use or sum up shares, to measure the modules alone
  * @steps: events until now
  */
 struct sim {
@@ -91,13 +91,13 @@
 	int64_t lease;
 	struct quota *sum;
 	struct quota *sum_used;
-	int over_slots;
-	int over_connections;
+	int slots_overshoot;
+	int connections_overshoot;
 	int over_used;
-	bool unchecked;
+	bool skip_accounting;
 	uint64_t steps;
 	uint64_t datagrams;
-	uint64_t far_datagrams; /* to another data centre */
+	uint64_t cross_dc_datagrams; /* to another data centre */
 	uint64_t datagram_bytes;
 	uint64_t frames;
 	uint64_t frame_bytes;
@@ -121,18 +121,18 @@
 /* The process dies; connections to its address are refused. */
 void sim_crash(struct sim *sim, int node);
 void sim_pause(struct sim *sim, int node);
-void sim_wake(struct sim *sim, int node);
+void sim_resume(struct sim *sim, int node);
 void sim_leave(struct sim *sim, int node);
 
 /* Ends a process that left: its last word, then its end. */
 void sim_exit(struct sim *sim, int node);
-void sim_list(struct sim *sim, int node, bool listed);
+void sim_set_listed(struct sim *sim, int node, bool listed);
 void sim_list_mode(struct sim *sim, enum sim_list_mode mode);
-void sim_cut(struct sim *sim, int node, int side);
+void sim_set_side(struct sim *sim, int node, int side);
 void sim_heal(struct sim *sim);
 
 /* The service reads its table anew, with other limits. */
-void sim_limits(struct sim *sim, int slots, int connections);
+void sim_set_limits(struct sim *sim, int slots, int connections);
 void sim_run(struct sim *sim, int64_t usec);
 
 /**
@@ -146,9 +146,9 @@
 uint64_t sim_random(struct sim *sim);
 
 /**
- * sim_slots() - sum of usable slots of a server over all that run
+ * sim_usable_slots() - sum of usable slots of a server over all that run
  */
-int sim_slots(struct sim *sim, int row);
+int sim_usable_slots(struct sim *sim, int row);
 
 /* Whether every server's limit is shared out in full. */
 bool sim_all_shared(struct sim *sim);
@@ -157,7 +157,7 @@
 bool sim_all_settled(struct sim *sim);
 
 /* Start counting overshoot anew. */
-void sim_forget(struct sim *sim);
+void sim_reset_overshoot(struct sim *sim);
 
 /* Whether all that run agree on who is present, and nobody is suspected. */
 bool sim_all_agree(struct sim *sim);
--- a/tests/retry_fleet.c
+++ b/tests/retry_fleet.c
@@ -88,7 +88,7 @@
 
 	for (i = 0; i < fleet->n; i++)
 		sum += fleet->instances[i].weight;
-	remaining = rng_unit(&fleet->rng) * sum;
+	remaining = rng_uniform(&fleet->rng) * sum;
 	for (i = 0; i < fleet->n - 1; i++) {
 		remaining -= fleet->instances[i].weight;
 		if (remaining < 0)
@@ -109,7 +109,7 @@
 		MEM_GROW(fleet->extra, fleet->n_extra, fleet->cap_extra);
 		fleet->extra[fleet->n_extra++] = fleet->now;
 		retry->sends_left--;
-		if (rng_unit(&fleet->rng) >= fleet->refuse_ratio)
+		if (rng_uniform(&fleet->rng) >= fleet->refuse_ratio)
 			return true;
 	}
 	return true;
@@ -129,7 +129,7 @@
 	budget_count_needed(&instance->budget, limit, 1, fleet->now);
 	MEM_GROW(fleet->needed, fleet->n_needed, fleet->cap_needed);
 	fleet->needed[fleet->n_needed++] = fleet->now;
-	if (rng_unit(&fleet->rng) >= fleet->refuse_ratio)
+	if (rng_uniform(&fleet->rng) >= fleet->refuse_ratio)
 		return;
 	if (send_retries(fleet, &retry))
 		return;
@@ -164,7 +164,7 @@
 		while (fleet->next_at <= fleet->now) {
 			handle_request(fleet);
 			fleet->next_at +=
-				(int64_t)(-log(1 - rng_unit(&fleet->rng)) *
+				(int64_t)(-log(1 - rng_uniform(&fleet->rng)) *
 					  USEC_PER_SEC / fleet->rate);
 		}
 	}
--- a/tests/table_sim.c
+++ b/tests/table_sim.c
@@ -217,7 +217,7 @@
 		.call = *call,
 	};
 
-	if (!sim->nodes[node].no_platform)
+	if (!sim->nodes[node].is_platform_unreachable)
 		post(sim, event);
 }
 
@@ -339,7 +339,7 @@
 	}
 }
 
-void sim_show(struct sim *sim, int version, int other)
+void sim_show_version(struct sim *sim, int version, int other)
 {
 	sim->platform.shown = version;
 	sim->platform.other = other;
@@ -361,7 +361,7 @@
 		table_finish(&table);
 	}
 	platform->n_versions++;
-	sim_show(sim, platform->n_versions - 1, -1);
+	sim_show_version(sim, platform->n_versions - 1, -1);
 	return platform->n_versions - 1;
 }
 
@@ -604,7 +604,7 @@
 
 /* The instances. */
 
-struct table_sync *sim_sync(struct sim *sim, int node)
+struct table_sync *sim_node_sync(struct sim *sim, int node)
 {
 	return sim->nodes[node].state;
 }
@@ -885,7 +885,7 @@
 	int n = (sim->n - node->index % sim->n_dc + sim->n_dc - 1) / sim->n_dc;
 	int to = node->index % sim->n_dc + (int)sim_random(sim, n) * sim->n_dc;
 
-	if (to == node->index || !sim->nodes[to].alive || sim->silent_pings)
+	if (to == node->index || !sim->nodes[to].alive || sim->heartbeats_off)
 		return;
 	send_heartbeat(sim, node->index, to, EVENT_PING);
 }
@@ -927,7 +927,7 @@
 		step(sim);
 }
 
-int sim_count(const struct sim *sim, uint64_t revision)
+int sim_count_in_force(const struct sim *sim, uint64_t revision)
 {
 	int count = 0;
 	int i;
@@ -952,7 +952,7 @@
 	int64_t start_at = now_of(sim);
 
 	while (ms-- > 0) {
-		if (sim_count(sim, revision) == n_alive(sim))
+		if (sim_count_in_force(sim, revision) == n_alive(sim))
 			return now_of(sim) - start_at;
 		step(sim);
 	}
--- a/tests/table_sim.h
+++ b/tests/table_sim.h
@@ -48,7 +48,7 @@
  * struct sim_node - one instance
  * @group: messages pass only within one group
  * @table: that the module under test handed over
- * @no_platform: its calls on the platform are lost
+ * @is_platform_unreachable: its calls on the platform are lost
  * @paused_until: the process is stopped until then
  * @seen: revision in force when last looked at
  * @reached_at: when that came into force
@@ -59,7 +59,7 @@
 	char name[32];
 	char data_centre[16];
 	int group;
-	bool no_platform;
+	bool is_platform_unreachable;
 	bool alive;
 	uint32_t life;
 	void *state;
@@ -130,7 +130,7 @@
 	double loss;
 	double push_loss;
 	int64_t peer_delay;
-	bool silent_pings;
+	bool heartbeats_off;
 	struct sim_platform platform;
 	struct sim_event *events;
 	int n_events;
@@ -179,10 +179,10 @@
 		      uint64_t revision, int n);
 
 /**
- * sim_show() - let the platform answer a version
+ * sim_show_version() - let the platform answer a version
  * @other: what every second call sees; -1: the same
  */
-void sim_show(struct sim *sim, int version, int other);
+void sim_show_version(struct sim *sim, int version, int other);
 void sim_run(struct sim *sim, int64_t ms);
 
 /**
@@ -193,10 +193,10 @@
 int64_t sim_run_until(struct sim *sim, uint64_t revision, int64_t ms);
 
 /**
- * sim_count() - living instances with that revision in force
+ * sim_count_in_force() - living instances with that revision in force
  */
-int sim_count(const struct sim *sim, uint64_t revision);
-struct table_sync *sim_sync(struct sim *sim, int node);
+int sim_count_in_force(const struct sim *sim, uint64_t revision);
+struct table_sync *sim_node_sync(struct sim *sim, int node);
 int64_t sim_random(struct sim *sim, int64_t n);
 
 /* For baselines: what their actions do. */
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -38,7 +38,8 @@
 {
 	struct burn_counts counts;
 
-	burn_sum(&burn, burn_find(&burn, STR("desk")), window, &counts);
+	burn_count_window(&burn, burn_find(&burn, STR("desk")), window,
+			  &counts);
 	return counts.total;
 }
 
@@ -46,8 +47,8 @@
 {
 	struct burn_counts counts;
 
-	return burn_sum(&burn, burn_find(&burn, str_from(service)), window,
-			&counts);
+	return burn_count_window(&burn, burn_find(&burn, str_from(service)),
+				 window, &counts);
 }
 
 /*
@@ -65,17 +66,18 @@
 	add("desk", &late, 40);
 	add("desk", &partial, 30);
 	add("desk", &refused, 30);
-	burn_sum(&burn, burn_find(&burn, STR("desk")), BURN_5M, &counts);
+	burn_count_window(&burn, burn_find(&burn, STR("desk")), BURN_5M,
+			  &counts);
 	CU_ASSERT_EQUAL(counts.total, 1000);
 	CU_ASSERT_EQUAL(counts.late, 40);
 	CU_ASSERT_EQUAL(counts.partial, 30);
 	CU_ASSERT_EQUAL(counts.refused, 30);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_LATENCY), 70);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_COVERAGE), 60);
-	allowed = 1000 * (1 - burn_ratio(&target, BURN_LATENCY));
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_LATENCY), 70);
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_COVERAGE), 60);
+	allowed = 1000 * (1 - burn_required_ratio(&target, BURN_LATENCY));
 	NEAR(burn_rate(70, allowed), 7);
 	NEAR(burn_budget_left(70, allowed), -6);
-	allowed = 1000 * (1 - burn_ratio(&target, BURN_COVERAGE));
+	allowed = 1000 * (1 - burn_required_ratio(&target, BURN_COVERAGE));
 	NEAR(burn_rate(60, allowed), 1.2);
 	NEAR(burn_budget_left(60, allowed), -0.2);
 	NEAR(burn_rate(0, 0), 0);
@@ -196,28 +198,28 @@
 
 	set_up();
 	service = add("desk", &late, 1);
-	burn_blame(&burn, service, BURN_SERVER, STR("s1"), 0);
-	burn_blame(&burn, service, BURN_SERVER, STR("s2"), -25);
-	burn_blame(&burn, service, BURN_SERVER, STR("s2"), -21);
-	burn_blame(&burn, service, BURN_SHARD, STR("0-9"), 0);
-	burn_top(&burn, service, BURN_SERVER, &top);
+	burn_add_cause(&burn, service, BURN_SERVER, STR("s1"), 0);
+	burn_add_cause(&burn, service, BURN_SERVER, STR("s2"), -25);
+	burn_add_cause(&burn, service, BURN_SERVER, STR("s2"), -21);
+	burn_add_cause(&burn, service, BURN_SHARD, STR("0-9"), 0);
+	burn_top_causes(&burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 2);
 	CU_ASSERT_STRING_EQUAL(top.entries[0].key, "s2");
 	CU_ASSERT_EQUAL(top.entries[0].count, 2);
 	CU_ASSERT_EQUAL(top.entries[0].code, -21);
 	clock_advance(&clock_, HOUR);
-	burn_blame(&burn, service, BURN_SERVER, STR("s1"), 0);
-	burn_blame(&burn, service, BURN_SERVER, STR("s1"), 0);
-	burn_top(&burn, service, BURN_SERVER, &top);
+	burn_add_cause(&burn, service, BURN_SERVER, STR("s1"), 0);
+	burn_add_cause(&burn, service, BURN_SERVER, STR("s1"), 0);
+	burn_top_causes(&burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 2);
 	CU_ASSERT_STRING_EQUAL(top.entries[0].key, "s1");
 	CU_ASSERT_EQUAL(top.entries[0].count, 3);
 	clock_advance(&clock_, HOUR);
-	burn_top(&burn, service, BURN_SERVER, &top);
+	burn_top_causes(&burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 1);
 	CU_ASSERT_EQUAL(top.entries[0].count, 2);
 	clock_advance(&clock_, HOUR);
-	burn_top(&burn, service, BURN_SERVER, &top);
+	burn_top_causes(&burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL(top.n, 0);
 	burn_finish(&burn);
 }
--- a/tests/test_burn_report.c
+++ b/tests/test_burn_report.c
@@ -94,8 +94,8 @@
 	CU_ASSERT_EQUAL(row->top[BURN_SERVER].entries[0].error, 2);
 	CU_ASSERT_EQUAL(row->top[BURN_SERVER].entries[0].code, ERR_SHED);
 	CU_ASSERT_FALSE(burn_report_is_partial(&report));
-	CU_ASSERT_EQUAL(report.least_s[BURN_6H], 4000);
-	CU_ASSERT_EQUAL(report.least_s[BURN_5M], 300);
+	CU_ASSERT_EQUAL(report.min_observed_s[BURN_6H], 4000);
+	CU_ASSERT_EQUAL(report.min_observed_s[BURN_5M], 300);
 	burn_report_finish(&report);
 }
 
--- a/tests/test_load_limit.c
+++ b/tests/test_load_limit.c
@@ -69,14 +69,15 @@
 /* Uniform between half and one and a half times the mean. */
 static int random_work_ms(struct simulation *simulation)
 {
-	return (int)(MEAN_WORK_MS * (0.5 + rng_unit(&simulation->rng)) + 0.5);
+	return (int)(MEAN_WORK_MS * (0.5 + rng_uniform(&simulation->rng)) +
+		     0.5);
 }
 
 static bool refuses_request(struct simulation *simulation,
 			    const struct model_server *server)
 {
 	return (server - simulation->servers) % 2 == 0 &&
-	       rng_unit(&simulation->rng) < simulation->refuse_ratio;
+	       rng_uniform(&simulation->rng) < simulation->refuse_ratio;
 }
 
 static int on_send(void *arg, struct dispatch_send *send, int64_t deadline)
--- a/tests/test_load_share.c
+++ b/tests/test_load_share.c
@@ -109,7 +109,7 @@
 
 		if (i == entry->id || entry->isolated ||
 		    simulation->entries[i].isolated ||
-		    rng_unit(&simulation->rng) < simulation->loss_ratio)
+		    rng_uniform(&simulation->rng) < simulation->loss_ratio)
 			continue;
 		out->from = entry->id;
 		out->to = i;
@@ -318,7 +318,7 @@
 
 	caller->kind = kind;
 	caller->retries_at_once =
-		rng_unit(&simulation->rng) < IMMEDIATE_RETRY_RATIO;
+		rng_uniform(&simulation->rng) < IMMEDIATE_RETRY_RATIO;
 	caller->at = clock_now(&simulation->clock);
 }
 
@@ -334,7 +334,7 @@
 		for (i = 0; i < KINDS; i++) {
 			double due = kinds[i].per_s * times / 1000;
 
-			if (rng_unit(&simulation->rng) < due)
+			if (rng_uniform(&simulation->rng) < due)
 				add_caller(simulation, i);
 		}
 		for (i = 0; i < simulation->n_callers; i++) {
--- a/tests/test_losses.c
+++ b/tests/test_losses.c
@@ -13,7 +13,7 @@
 
 static void take(struct losses *losses, const char *line)
 {
-	losses_take(losses, str_from(line));
+	losses_add_line(losses, str_from(line));
 }
 
 /* The cause that one line is counted under. */
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -85,10 +85,10 @@
 	struct sim sim;
 
 	start_fleet(&sim, NODES);
-	sim_cut(&sim, 3, SIM_SIDE_B);
+	sim_set_side(&sim, 3, SIM_SIDE_B);
 	sim_run(&sim, MSEC(60000));
 	CU_ASSERT_EQUAL(count_status(&sim, 3, MEMBER_SUSPECT), NODES - 1);
-	sim_list(&sim, 3, false);
+	sim_set_listed(&sim, 3, false);
 	sim_run(&sim, MSEC(3000));
 	CU_ASSERT_EQUAL(count_status(&sim, 3, MEMBER_GONE), NODES - 1);
 	member = seen_by(&sim, 0, 3);
@@ -112,10 +112,10 @@
 
 	start_fleet(&sim, NODES);
 	before = sim.nodes[3].members.self.incarnation;
-	sim_cut(&sim, 3, SIM_SIDE_B);
-	sim_list(&sim, 3, false);
+	sim_set_side(&sim, 3, SIM_SIDE_B);
+	sim_set_listed(&sim, 3, false);
 	sim_run(&sim, MSEC(20000));
-	sim_list(&sim, 3, true);
+	sim_set_listed(&sim, 3, true);
 	sim_heal(&sim);
 	CU_ASSERT(sim_run_until(&sim, sim_all_agree, SETTLE) >= 0);
 	CU_ASSERT(sim.nodes[3].members.self.incarnation != before);
@@ -135,12 +135,12 @@
 
 	start_fleet(&sim, NODES);
 	for (i = 0; i < NODES / 2; i++)
-		sim_cut(&sim, i, SIM_SIDE_B);
+		sim_set_side(&sim, i, SIM_SIDE_B);
 	for (i = 1; i < NODES; i++)
-		sim_list(&sim, i, false);
+		sim_set_listed(&sim, i, false);
 	sim_run(&sim, MSEC(30000));
 	for (i = 0; i < NODES; i++)
-		sim_list(&sim, i, true);
+		sim_set_listed(&sim, i, true);
 	sim_run(&sim, MSEC(5000));
 	sim_heal(&sim);
 	CU_ASSERT(sim_run_until(&sim, sim_all_agree, SETTLE) >= 0);
@@ -257,7 +257,7 @@
 	for (round = 0; round < 30; round++) {
 		sim_pause(&sim, 3);
 		sim_run(&sim, MSEC(1500));
-		sim_wake(&sim, 3);
+		sim_resume(&sim, 3);
 		sim_run(&sim, MSEC(700));
 		for (i = 0; i < NODES; i++) {
 			if (i != 3)
@@ -318,7 +318,7 @@
 	start_fleet(&sim, NODES);
 	for (i = 0; i < NODES; i++) {
 		before[i] = sim.nodes[i].members.self.incarnation;
-		sim_cut(&sim, i, 1 + i % 2);
+		sim_set_side(&sim, i, 1 + i % 2);
 	}
 	sim_run(&sim, MSEC(3600000));
 	sim_heal(&sim);
@@ -417,11 +417,11 @@
 		sim.nodes[i].members.seeded = true;
 	sim_run(&sim, MSEC(60000));
 	sim.datagrams = 0;
-	sim.far_datagrams = 0;
+	sim.cross_dc_datagrams = 0;
 	sim_run(&sim, MSEC(60000));
 	printf("\nto other data centres: %d of %d datagrams\n",
-	       (int)sim.far_datagrams, (int)sim.datagrams);
-	CU_ASSERT(sim.far_datagrams < sim.datagrams / 2);
+	       (int)sim.cross_dc_datagrams, (int)sim.datagrams);
+	CU_ASSERT(sim.cross_dc_datagrams < sim.datagrams / 2);
 	for (i = 0; i < sim.n; i += 4)
 		sim_pause(&sim, i);
 	elapsed = sim_run_until(&sim, is_dc0_suspected_by_all, MSEC(60000));
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -349,14 +349,14 @@
 	struct fixture fixture;
 
 	set_up(&fixture, 2);
-	observe_hint(fixture.replicas[0].server, 0);
+	observe_set_health(fixture.replicas[0].server, 0);
 	run_requests(&fixture, 1000, 1000);
 	CU_ASSERT(fixture.chosen[0] > 200);
 	CU_ASSERT_FALSE(replica_ejected(fixture.replicas[0].server));
-	observe_hint(fixture.replicas[1].server, 1);
+	observe_set_health(fixture.replicas[1].server, 1);
 	fail_ten_requests(&fixture, 1);
 	CU_ASSERT(replica_ejected(fixture.replicas[1].server));
-	observe_hint(fixture.replicas[1].server, 1);
+	observe_set_health(fixture.replicas[1].server, 1);
 	CU_ASSERT(replica_ejected(fixture.replicas[1].server));
 	tear_down(&fixture);
 }
--- a/tests/test_retry_share.c
+++ b/tests/test_retry_share.c
@@ -139,10 +139,10 @@
 		break;
 	case 3:
 		for (i = 0; i < n; i++)
-			fleet->instances[i].weight = rng_unit(rng);
+			fleet->instances[i].weight = rng_uniform(rng);
 		break;
 	default:
-		fleet->refuse_ratio = rng_unit(rng);
+		fleet->refuse_ratio = rng_uniform(rng);
 		break;
 	}
 }
@@ -163,8 +163,9 @@
 		fleet.refuse_ratio = 0.8;
 		for (i = 0; i < 40; i++) {
 			apply_random_event(&fleet);
-			retry_fleet_run(&fleet, (int64_t)(rng_unit(&fleet.rng) *
-							  MSEC(2000)));
+			retry_fleet_run(&fleet,
+					(int64_t)(rng_uniform(&fleet.rng) *
+						  MSEC(2000)));
 		}
 		check_budget(&fleet, seed);
 		retry_fleet_finish(&fleet);
@@ -183,7 +184,7 @@
 		membership->members = 1 + (int)(rng_next(rng) % fleet->n);
 		membership->entries =
 			1 + (int)(rng_next(rng) % membership->members);
-		membership->is_entry = rng_unit(rng) < 0.7;
+		membership->is_entry = rng_uniform(rng) < 0.7;
 	}
 }
 
@@ -205,8 +206,9 @@
 			randomize_memberships(&fleet);
 			if (i % 4 == 3)
 				apply_random_event(&fleet);
-			retry_fleet_run(&fleet, (int64_t)(rng_unit(&fleet.rng) *
-							  MSEC(2000)));
+			retry_fleet_run(&fleet,
+					(int64_t)(rng_uniform(&fleet.rng) *
+						  MSEC(2000)));
 		}
 		check_budget(&fleet, seed);
 		retry_fleet_finish(&fleet);
--- a/tests/test_run_trace.c
+++ b/tests/test_run_trace.c
@@ -18,8 +18,8 @@
 	run_trace_init(&run, &path.board, &request);
 	clock_advance(&path.clock, elapsed);
 	run_trace_end(&run, &path.board, &answer);
-	CU_ASSERT_EQUAL_FATAL(trace_book_find(&path.board.traces, STR("r"),
-					      NULL, &trace),
+	CU_ASSERT_EQUAL_FATAL(trace_store_find(&path.board.traces, STR("r"),
+					       NULL, &trace),
 			      0);
 	return trace;
 }
@@ -29,7 +29,8 @@
 	struct burn *burn = &path.board.burn;
 	struct burn_counts counts;
 
-	burn_sum(burn, burn_find(burn, STR(FIXTURE_SERVICE)), BURN_5M, &counts);
+	burn_count_window(burn, burn_find(burn, STR(FIXTURE_SERVICE)), BURN_5M,
+			  &counts);
 	return counts;
 }
 
--- a/tests/test_search.c
+++ b/tests/test_search.c
@@ -792,8 +792,8 @@
 {
 	const struct trace *trace = NULL;
 
-	CU_ASSERT_EQUAL_FATAL(trace_book_find(&fixture->path.board.traces,
-					      STR("r"), NULL, &trace),
+	CU_ASSERT_EQUAL_FATAL(trace_store_find(&fixture->path.board.traces,
+					       STR("r"), NULL, &trace),
 			      0);
 	return trace;
 }
@@ -804,7 +804,7 @@
 	struct burn *burn = &fixture->path.board.burn;
 	struct burn_service *service = burn_find(burn, STR(FIXTURE_SERVICE));
 
-	burn_sum(burn, service, BURN_5M, counts);
+	burn_count_window(burn, service, BURN_5M, counts);
 	return service;
 }
 
@@ -846,10 +846,10 @@
 	CU_ASSERT_EQUAL(counts.total, 1);
 	CU_ASSERT_EQUAL(counts.partial, 1);
 	CU_ASSERT_EQUAL(counts.refused, 0);
-	burn_top(&fixture.path.board.burn, service, BURN_SERVER, &top);
+	burn_top_causes(&fixture.path.board.burn, service, BURN_SERVER, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 1);
 	CU_ASSERT_STRING_EQUAL(top.entries[0].key, "b2");
-	burn_top(&fixture.path.board.burn, service, BURN_SHARD, &top);
+	burn_top_causes(&fixture.path.board.burn, service, BURN_SHARD, &top);
 	CU_ASSERT_EQUAL_FATAL(top.n, 1);
 	CU_ASSERT_STRING_EQUAL(top.entries[0].key, "32768-65535");
 	tear_down(&fixture);
@@ -869,8 +869,8 @@
 	CU_ASSERT_EQUAL(find_trace(&fixture)->summary.n_reasons, 0);
 	sum_burn(&fixture, &counts);
 	CU_ASSERT_EQUAL(counts.total, 1);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_LATENCY), 0);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_COVERAGE), 0);
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_LATENCY), 0);
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_COVERAGE), 0);
 	tear_down(&fixture);
 }
 
@@ -885,8 +885,8 @@
 	CU_ASSERT_EQUAL(find_trace(&fixture)->summary.code, ERR_NO_SNAPSHOT);
 	sum_burn(&fixture, &counts);
 	CU_ASSERT_EQUAL(counts.refused, 1);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_LATENCY), 1);
-	CU_ASSERT_EQUAL(burn_bad(&counts, BURN_COVERAGE), 1);
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_LATENCY), 1);
+	CU_ASSERT_EQUAL(burn_count_bad(&counts, BURN_COVERAGE), 1);
 	tear_down(&fixture);
 }
 
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -33,7 +33,7 @@
 	sim_start_all(sim);
 	CU_ASSERT(sim_run_until(sim, sim_all_shared, SETTLE_TIMEOUT) >= 0);
 	sim_run(sim, MSEC(5000));
-	sim_forget(sim);
+	sim_reset_overshoot(sim);
 }
 
 static struct result run_scenario(int64_t (*scenario)(struct sim *sim),
@@ -52,11 +52,11 @@
 		if (reassigned < 0 ||
 		    (result.reassigned >= 0 && reassigned > result.reassigned))
 			result.reassigned = reassigned;
-		if (sim.over_slots > result.over)
-			result.over = sim.over_slots;
+		if (sim.slots_overshoot > result.over)
+			result.over = sim.slots_overshoot;
 		if (sim.over_used > result.over_used)
 			result.over_used = sim.over_used;
-		if (sim.over_connections > 0 && !result.over)
+		if (sim.connections_overshoot > 0 && !result.over)
 			result.over = 1;
 		sim_finish(&sim);
 	}
@@ -164,12 +164,12 @@
 
 	sim_pause(sim, 2);
 	sim_run(sim, LIST_LAG);
-	sim_list(sim, 2, false);
+	sim_set_listed(sim, 2, false);
 	reassigned = time_until_reassigned(sim);
 	if (reassigned >= 0)
 		sim_run(sim, MSEC(25000) - reassigned);
-	sim_wake(sim, 2);
-	sim_list(sim, 2, true);
+	sim_resume(sim, 2);
+	sim_set_listed(sim, 2, true);
 	return reassigned < 0 || time_until_reassigned(sim) < 0 ? -1
 								: reassigned;
 }
@@ -188,14 +188,14 @@
 {
 	sim_pause(sim, 2);
 	sim_pause(sim, 3);
-	sim_list(sim, 2, false);
+	sim_set_listed(sim, 2, false);
 	sim_run(sim, MSEC(25000));
-	sim_cut(sim, 2, SIM_SIDE_B);
-	sim_cut(sim, 3, SIM_SIDE_B);
-	sim_wake(sim, 2);
-	sim_wake(sim, 3);
+	sim_set_side(sim, 2, SIM_SIDE_B);
+	sim_set_side(sim, 3, SIM_SIDE_B);
+	sim_resume(sim, 2);
+	sim_resume(sim, 3);
 	sim_run(sim, MSEC(3000));
-	sim_list(sim, 2, true);
+	sim_set_listed(sim, 2, true);
 	sim_heal(sim);
 	return time_until_reassigned(sim);
 }
@@ -213,7 +213,7 @@
 {
 	sim_pause(sim, 2);
 	sim_run(sim, MSEC(30000));
-	sim_wake(sim, 2);
+	sim_resume(sim, 2);
 	return time_until_reassigned(sim);
 }
 
@@ -232,7 +232,7 @@
 	int i;
 
 	for (i = 0; i < NODES; i += 2)
-		sim_cut(sim, i, SIM_SIDE_B);
+		sim_set_side(sim, i, SIM_SIDE_B);
 	sim_run(sim, MSEC(60000));
 	CU_ASSERT(sim_all_shared(sim));
 	sim_heal(sim);
@@ -254,14 +254,14 @@
 	int i;
 
 	for (i = 0; i < NODES / 2; i++)
-		sim_cut(sim, i, SIM_SIDE_B);
+		sim_set_side(sim, i, SIM_SIDE_B);
 	sim_run(sim, MSEC(3000));
 	sim_crash(sim, 0);
 	sim_crash(sim, 6);
 	sim_run(sim, MSEC(57000));
 	sim_heal(sim);
-	sim_list(sim, 0, false);
-	sim_list(sim, 6, false);
+	sim_set_listed(sim, 0, false);
+	sim_set_listed(sim, 6, false);
 	return time_until_reassigned(sim);
 }
 
@@ -354,7 +354,7 @@
 static int64_t scenario_list_stale(struct sim *sim)
 {
 	sim_crash(sim, 5);
-	sim_list(sim, 5, false);
+	sim_set_listed(sim, 5, false);
 	sim_run(sim, MSEC(2000));
 	sim_list_mode(sim, SIM_LIST_STALE);
 	sim_crash(sim, 2);
@@ -384,7 +384,7 @@
 	sim_run(sim, MSEC(1000));
 	sim_start(sim, 4);
 	sim_run(sim, MSEC(20000));
-	sim_wake(sim, 2);
+	sim_resume(sim, 2);
 	return time_until_reassigned(sim);
 }
 
@@ -404,7 +404,7 @@
 	struct sim_node *node = &sim->nodes[i];
 
 	if (sim_random(sim) % 2)
-		sim_list(sim, i, node->up && !node->paused);
+		sim_set_listed(sim, i, node->up && !node->paused);
 	else
 		sim_list_mode(sim, sim_random(sim) % 3);
 }
@@ -420,7 +420,7 @@
 	if (node->up && !node->members.present)
 		return;
 	if (sim_random(sim) % 4)
-		sim_cut(sim, i, 1 + (int)(sim_random(sim) % SIM_SIDES));
+		sim_set_side(sim, i, 1 + (int)(sim_random(sim) % SIM_SIDES));
 	else
 		sim_heal(sim);
 }
@@ -472,8 +472,8 @@
 		if (!is_partitioned(sim))
 			sim_start(sim, i);
 	} else if (node->paused) {
-		sim_wake(sim, i);
-		sim_list(sim, i, true);
+		sim_resume(sim, i);
+		sim_set_listed(sim, i, true);
 	} else {
 		inject_process_fault(sim, i);
 	}
@@ -491,12 +491,12 @@
 		if (!node->up)
 			sim_start(sim, i);
 		if (node->paused)
-			sim_wake(sim, i);
+			sim_resume(sim, i);
 		if (node->members.self.status == MEMBER_LEAVING) {
 			sim_crash(sim, i);
 			sim_start(sim, i);
 		}
-		sim_list(sim, i, true);
+		sim_set_listed(sim, i, true);
 	}
 }
 
@@ -546,8 +546,8 @@
 
 static void check_limits_kept(const struct sim *sim)
 {
-	CU_ASSERT_EQUAL(sim->over_slots, 0);
-	CU_ASSERT_EQUAL(sim->over_connections, 0);
+	CU_ASSERT_EQUAL(sim->slots_overshoot, 0);
+	CU_ASSERT_EQUAL(sim->connections_overshoot, 0);
 	CU_ASSERT_EQUAL(sim->over_used, 0);
 }
 
@@ -556,7 +556,7 @@
 	int i;
 
 	for (i = 0; i < NODES / 2; i++)
-		sim_cut(sim, i, SIM_SIDE_B);
+		sim_set_side(sim, i, SIM_SIDE_B);
 }
 
 /*
@@ -573,17 +573,17 @@
 	start_fleet(&sim, 1, &share_settled);
 	partition_in_half(&sim);
 	for (i = 0; i < NODES / 2; i++)
-		sim_list(&sim, i, false);
+		sim_set_listed(&sim, i, false);
 	sim_run(&sim, MSEC(50000));
-	CU_ASSERT(sim.over_slots > 0);
+	CU_ASSERT(sim.slots_overshoot > 0);
 	sim_run(&sim, MSEC(50000));
-	CU_ASSERT_EQUAL(sim.over_slots, 2);
-	CU_ASSERT_EQUAL(sim.over_connections, 25);
+	CU_ASSERT_EQUAL(sim.slots_overshoot, 2);
+	CU_ASSERT_EQUAL(sim.connections_overshoot, 25);
 	for (i = 0; i < NODES / 2; i++)
-		sim_list(&sim, i, true);
+		sim_set_listed(&sim, i, true);
 	sim_heal(&sim);
 	CU_ASSERT(time_until_reassigned(&sim) >= 0);
-	sim_forget(&sim);
+	sim_reset_overshoot(&sim);
 	sim_run(&sim, MSEC(10000));
 	check_limits_kept(&sim);
 	sim_finish(&sim);
@@ -601,15 +601,15 @@
 	start_fleet(&sim, 1, &share_settled);
 	sim_crash(&sim, 3);
 	CU_ASSERT(time_until_reassigned(&sim) >= 0);
-	sim_cut(&sim, 3, SIM_SIDE_B);
+	sim_set_side(&sim, 3, SIM_SIDE_B);
 	sim_start(&sim, 3);
 	sim_run(&sim, MSEC(29000));
 	check_limits_kept(&sim);
 	sim_run(&sim, MSEC(10000));
-	CU_ASSERT_EQUAL(sim.over_slots, 2);
+	CU_ASSERT_EQUAL(sim.slots_overshoot, 2);
 	sim_heal(&sim);
 	CU_ASSERT(time_until_reassigned(&sim) >= 0);
-	sim_forget(&sim);
+	sim_reset_overshoot(&sim);
 	sim_run(&sim, MSEC(10000));
 	check_limits_kept(&sim);
 	sim_finish(&sim);
@@ -624,12 +624,12 @@
 	struct sim sim;
 
 	start_fleet(&sim, 1, &share_settled);
-	sim_limits(&sim, 6, 40);
+	sim_set_limits(&sim, 6, 40);
 	CU_ASSERT(time_until_reassigned(&sim) >= 0);
 	check_limits_kept(&sim);
-	sim_limits(&sim, 1, 3);
+	sim_set_limits(&sim, 1, 3);
 	sim_run(&sim, MSEC(500));
-	sim_forget(&sim);
+	sim_reset_overshoot(&sim);
 	CU_ASSERT(time_until_reassigned(&sim) >= 0);
 	sim_crash(&sim, 1);
 	CU_ASSERT(time_until_reassigned(&sim) >= 0);
--- a/tests/test_table_sync.c
+++ b/tests/test_table_sync.c
@@ -212,7 +212,7 @@
 
 	for (i = 0; i < sim->n; i++)
 		count += sim->nodes[i].alive &&
-			 sim_sync(sim, i)->alarms[alarm].active;
+			 sim_node_sync(sim, i)->alarms[alarm].active;
 	return count;
 }
 
@@ -222,8 +222,9 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++)
-		count += sim->nodes[i].alive &&
-			 table_sync_confirmation(sim_sync(sim, i)) == state;
+		count +=
+			sim->nodes[i].alive &&
+			table_sync_confirmation(sim_node_sync(sim, i)) == state;
 	return count;
 }
 
@@ -233,7 +234,8 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		if (reader_is_watching(&sim_sync(sim, i)->reader) == reader)
+		if (reader_is_watching(&sim_node_sync(sim, i)->reader) ==
+		    reader)
 			return i;
 	}
 	return -1;
@@ -259,7 +261,7 @@
 	sim_run(&world.sim, 10000);
 	CU_ASSERT_EQUAL(count_confirmation(&world.sim, TABLE_CONFIRMED), NODES);
 	for (i = 0; i < NODES; i++) {
-		struct table_sync *sync = sim_sync(&world.sim, i);
+		struct table_sync *sync = sim_node_sync(&world.sim, i);
 
 		CU_ASSERT_EQUAL(table_sync_ready(sync), 0);
 		if (!reader_is_watching(&sync->reader))
@@ -291,15 +293,15 @@
 	sim_run(&world.sim, 300);
 	CU_ASSERT_EQUAL(count_alarm(&world.sim, TABLE_ALARM_REFUSED), NODES);
 	sim_run(&world.sim, PROPAGATION_MS);
-	CU_ASSERT_EQUAL(sim_count(&world.sim, 10), NODES);
+	CU_ASSERT_EQUAL(sim_count_in_force(&world.sim, 10), NODES);
 	CU_ASSERT_EQUAL(count_alarm(&world.sim, TABLE_ALARM_REFUSED), NODES);
 	CU_ASSERT_EQUAL(count_confirmation(&world.sim, TABLE_CONFIRMED), NODES);
-	sync = sim_sync(&world.sim, find_reader(&world.sim, false));
+	sync = sim_node_sync(&world.sim, find_reader(&world.sim, false));
 	CU_ASSERT_EQUAL(sync->highest_refusal.revision, 11);
 	CU_ASSERT_EQUAL(sync->highest_refusal.error.code, ERR_RANGE);
 	CU_ASSERT_STRING_EQUAL(sync->highest_refusal.error.subject,
 			       "servers row 5 column slots");
-	sync = sim_sync(&world.sim, find_reader(&world.sim, true));
+	sync = sim_node_sync(&world.sim, find_reader(&world.sim, true));
 	calls = world.sim.platform.bytes;
 	refused = sync->counts.refused;
 	sim_run(&world.sim, 60000);
@@ -307,7 +309,7 @@
 	CU_ASSERT_EQUAL(world.sim.platform.bytes, calls);
 	/* After a failed call it is read again, but not parsed again. */
 	world.sim.platform.down = true;
-	sim_show(&world.sim, world.sim.platform.shown, -1);
+	sim_show_version(&world.sim, world.sim.platform.shown, -1);
 	sim_run(&world.sim, 5000);
 	world.sim.platform.down = false;
 	sim_run(&world.sim, 10000);
@@ -347,14 +349,15 @@
 	old = world.sim.platform.shown;
 	publish(&world, 11);
 	CU_ASSERT_TRUE(reaches_all(&world, 11));
-	sim_show(&world.sim, old, -1);
+	sim_show_version(&world.sim, old, -1);
 	sim_run(&world.sim, checked ? HOUR_MS / 4 : 20000);
 	if (checked) {
-		CU_ASSERT_EQUAL(sim_count(&world.sim, 11), NODES);
+		CU_ASSERT_EQUAL(sim_count_in_force(&world.sim, 11), NODES);
 		CU_ASSERT_TRUE(
 			count_alarm(&world.sim, TABLE_ALARM_PLATFORM_BEHIND) >=
 			2 * DATA_CENTRES);
-		sim_show(&world.sim, world.sim.platform.n_versions - 1, -1);
+		sim_show_version(&world.sim, world.sim.platform.n_versions - 1,
+				 -1);
 		sim_run(&world.sim, 2 * 61000);
 		CU_ASSERT_EQUAL(count_alarm(&world.sim,
 					    TABLE_ALARM_PLATFORM_BEHIND),
@@ -388,14 +391,14 @@
 	publish(&world, 14);
 	CU_ASSERT_TRUE(reaches_all(&world, 14));
 	world.sim.platform.down = true;
-	sim_show(&world.sim, -1, -1);
+	sim_show_version(&world.sim, -1, -1);
 	sim_run(&world.sim, 60000);
 	world.sim.platform.down = false;
-	sim_show(&world.sim, backup, -1);
+	sim_show_version(&world.sim, backup, -1);
 	replace_all_but(&world.sim, 5);
 	CU_ASSERT_TRUE(reaches_all(&world, 14));
 	sim_run(&world.sim, 60000);
-	CU_ASSERT_EQUAL(sim_count(&world.sim, 14), NODES);
+	CU_ASSERT_EQUAL(sim_count_in_force(&world.sim, 14), NODES);
 	CU_ASSERT_TRUE(count_alarm(&world.sim, TABLE_ALARM_PLATFORM_BEHIND) >=
 		       2 * DATA_CENTRES);
 	CU_ASSERT_TRUE(count_confirmation(&world.sim, TABLE_PLATFORM_BEHIND) >=
@@ -405,7 +408,7 @@
 	world.sheets.lease_ms = 1234;
 	publish(&world, 12);
 	sim_run(&world.sim, PROPAGATION_MS);
-	CU_ASSERT_EQUAL(sim_count(&world.sim, 14), NODES);
+	CU_ASSERT_EQUAL(sim_count_in_force(&world.sim, 14), NODES);
 	publish(&world, 15);
 	CU_ASSERT_TRUE(reaches_all(&world, 15));
 	sim_run(&world.sim, PROPAGATION_MS);
@@ -430,13 +433,13 @@
 	publish(&world, 11);
 	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	world.sim.platform.down = true;
-	sim_show(&world.sim, backup, -1);
+	sim_show_version(&world.sim, backup, -1);
 	sim_run(&world.sim, 30000);
 	world.sim.platform.down = false;
 	sim_run(&world.sim, 10000);
 	CU_ASSERT_TRUE(count_alarm(&world.sim, TABLE_ALARM_PLATFORM_BEHIND) >=
 		       2 * DATA_CENTRES);
-	CU_ASSERT_EQUAL(sim_count(&world.sim, 11), NODES);
+	CU_ASSERT_EQUAL(sim_count_in_force(&world.sim, 11), NODES);
 	world_finish(&world);
 }
 
@@ -453,11 +456,11 @@
 	world_init(&world, policy);
 	old = world.sim.platform.shown;
 	publish(&world, 11);
-	sim_show(&world.sim, world.sim.platform.shown, old);
+	sim_show_version(&world.sim, world.sim.platform.shown, old);
 	CU_ASSERT_TRUE(policy == &naive_policy || reaches_all(&world, 11));
 	sim_run(&world.sim, 60000);
 	CU_ASSERT_TRUE(policy == &naive_policy ||
-		       sim_count(&world.sim, 11) == NODES);
+		       sim_count_in_force(&world.sim, 11) == NODES);
 	reverts = world.sim.reverts;
 	world_finish(&world);
 	return reverts;
@@ -486,7 +489,7 @@
 		sim->nodes[i].group = i % DATA_CENTRES == 0;
 	publish(&world, 11);
 	sim_run(sim, PROPAGATION_MS);
-	left = sim_count(sim, 11);
+	left = sim_count_in_force(sim, 11);
 	CU_ASSERT_TRUE(left > 0 && left < NODES);
 	sim->platform.group = 1;
 	world.sheets.lease_ms = 4321;
@@ -496,19 +499,21 @@
 		sim->nodes[i].group = 1;
 	sim_run(sim, 60000);
 	CU_ASSERT_TRUE(count_alarm(sim, TABLE_ALARM_CONFLICT) > 0);
-	CU_ASSERT_EQUAL(sim_sync(sim, 0)->in_force->tunables.lease_ms, 4321);
-	CU_ASSERT_EQUAL(sim_sync(sim, 1)->in_force->tunables.lease_ms, 2000);
-	CU_ASSERT_EQUAL(sim_sync(sim, 1)->counts.in_force, 2);
+	CU_ASSERT_EQUAL(sim_node_sync(sim, 0)->in_force->tunables.lease_ms,
+			4321);
+	CU_ASSERT_EQUAL(sim_node_sync(sim, 1)->in_force->tunables.lease_ms,
+			2000);
+	CU_ASSERT_EQUAL(sim_node_sync(sim, 1)->counts.in_force, 2);
 	/* Each heartbeat shows the conflict again; it is counted once. */
 	for (i = 0; i < NODES; i++)
-		CU_ASSERT_TRUE(sim_sync(sim, i)->counts.conflicts <= 1);
+		CU_ASSERT_TRUE(sim_node_sync(sim, i)->counts.conflicts <= 1);
 	publish(&world, 12);
 	CU_ASSERT_TRUE(reaches_all(&world, 12));
 	CU_ASSERT_EQUAL(count_alarm(sim, TABLE_ALARM_CONFLICT), 0);
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	for (i = 1; i < NODES; i++)
-		CU_ASSERT_EQUAL(sim_sync(sim, i)->in_force->digest,
-				sim_sync(sim, 0)->in_force->digest);
+		CU_ASSERT_EQUAL(sim_node_sync(sim, i)->in_force->digest,
+				sim_node_sync(sim, 0)->in_force->digest);
 	world_finish(&world);
 }
 
@@ -534,7 +539,7 @@
 	sim_run(sim, 40000);
 	publish(&world, 13);
 	sim_run(sim, 40000);
-	CU_ASSERT_EQUAL(sim_count(sim, 10), NODES / DATA_CENTRES);
+	CU_ASSERT_EQUAL(sim_count_in_force(sim, 10), NODES / DATA_CENTRES);
 	CU_ASSERT_TRUE(naive ||
 		       count_confirmation(sim, TABLE_CONFIRMATION_OLD) ==
 			       NODES / DATA_CENTRES);
@@ -572,13 +577,13 @@
 	old = sim->platform.shown;
 	publish(&world, 11);
 	CU_ASSERT_TRUE(reaches_all(&world, 11));
-	sim_show(sim, old, -1);
+	sim_show_version(sim, old, -1);
 	/* The platform answers before any peer does. */
 	sim->peer_delay = MSEC(200);
-	sim->silent_pings = true;
+	sim->heartbeats_off = true;
 	sim_stop(sim, 5);
 	sim_start(sim, 5);
-	sync = sim_sync(sim, 5);
+	sync = sim_node_sync(sim, 5);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), ERR_NOT_RUN);
 	for (i = 0; i < PROPAGATION_MS && table_sync_ready(sync); i++)
 		sim_run(sim, 1);
@@ -601,7 +606,7 @@
 		.revision = from->revision,
 		.text = {from->text, from->len},
 	};
-	struct table_sync *sync = sim_sync(sim, node);
+	struct table_sync *sync = sim_node_sync(sim, node);
 
 	table_sync_receive_answer(sync, READER_TABLE,
 				  table_watch(sync)->call_id, &answer);
@@ -625,12 +630,12 @@
 	old = sim->platform.shown;
 	publish(&world, 11);
 	CU_ASSERT_TRUE(reaches_all(&world, 11));
-	sim_show(sim, old, -1);
-	sim->silent_pings = true;
+	sim_show_version(sim, old, -1);
+	sim->heartbeats_off = true;
 	sim_stop(sim, 5);
-	sim->nodes[5].no_platform = true;
+	sim->nodes[5].is_platform_unreachable = true;
 	sim_start(sim, 5);
-	sync = sim_sync(sim, 5);
+	sync = sim_node_sync(sim, 5);
 	self.instance = str_from(sim->nodes[5].name);
 	self.data_centre = str_from(sim->nodes[5].data_centre);
 	table_sync_set_members(sync, &self, 1);
@@ -641,7 +646,7 @@
 	CU_ASSERT_PTR_NOT_NULL_FATAL(sync->in_force);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), ERR_NOT_RUN);
 	/* The list of instances arrives. */
-	sim->nodes[5].no_platform = false;
+	sim->nodes[5].is_platform_unreachable = false;
 	sim_set_members(sim);
 	sim_run(sim, PROPAGATION_MS);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), 0);
@@ -666,7 +671,7 @@
 	sim->nodes[5].group = 2;
 	sim_stop(sim, 5);
 	sim_start(sim, 5);
-	sync = sim_sync(sim, 5);
+	sync = sim_node_sync(sim, 5);
 	sim_run(sim, 30000);
 	CU_ASSERT_EQUAL(table_sync_ready(sync), ERR_NOT_RUN);
 	CU_ASSERT_EQUAL(table_sync_confirmation(sync), TABLE_NONE);
@@ -687,8 +692,8 @@
 	int i;
 
 	for (i = 0; i < sim->n; i++) {
-		if (!reader_is_watching(&sim_sync(sim, i)->reader))
-			calls += sim_sync(sim, i)->counts.calls;
+		if (!reader_is_watching(&sim_node_sync(sim, i)->reader))
+			calls += sim_node_sync(sim, i)->counts.calls;
 	}
 	return calls;
 }
@@ -707,9 +712,9 @@
 
 	world_init(&world, &sim_table_sync);
 	sim->platform.down = true;
-	sim_show(sim, sim->platform.shown, -1);
+	sim_show_version(sim, sim->platform.shown, -1);
 	sim_run(sim, 60000);
-	CU_ASSERT_EQUAL(sim_count(sim, 10), NODES);
+	CU_ASSERT_EQUAL(sim_count_in_force(sim, 10), NODES);
 	CU_ASSERT_EQUAL(count_confirmation(sim, TABLE_CONFIRMATION_OLD), NODES);
 	calls = sim->platform.calls;
 	others = calls_of_non_readers(sim);
@@ -739,7 +744,7 @@
 
 	world_init(&world, &sim_table_sync);
 	sim->platform.retry_after_ms = 20000;
-	sim_show(sim, sim->platform.shown, -1);
+	sim_show_version(sim, sim->platform.shown, -1);
 	sim_run(sim, 2000);
 	calls = sim->platform.calls;
 	sim_run(sim, 17000);
@@ -764,7 +769,7 @@
 	sim->push_loss = 1;
 	publish(&world, 11);
 	sim_run(sim, 3000);
-	reached = sim_count(sim, 11);
+	reached = sim_count_in_force(sim, 11);
 	CU_ASSERT_EQUAL(reached, 2 * DATA_CENTRES);
 	sim->push_loss = 0.1;
 	sim->loss = 0.3;
@@ -788,7 +793,7 @@
 
 	world_init(&world, &sim_table_sync);
 	for (i = 0; i < NODES; i++)
-		sim->nodes[i].no_platform = i % DATA_CENTRES == 1;
+		sim->nodes[i].is_platform_unreachable = i % DATA_CENTRES == 1;
 	sim_run(sim, 20000);
 	for (revision = 11; revision < 16; revision++) {
 		publish(&world, revision);
@@ -804,7 +809,7 @@
 
 	while (!sim->nodes[i].alive)
 		i += DATA_CENTRES;
-	return atoi(sim_sync(sim, i)->peers.local[rank].instance +
+	return atoi(sim_node_sync(sim, i)->peers.local[rank].instance +
 		    strlen("node-"));
 }
 
@@ -832,9 +837,9 @@
 	publish(&world, 12);
 	CU_ASSERT_TRUE(reaches_all(&world, 12));
 	CU_ASSERT_TRUE(reader_is_watching(
-		&sim_sync(sim, node_of_rank(sim, 0))->reader));
+		&sim_node_sync(sim, node_of_rank(sim, 0))->reader));
 	CU_ASSERT_TRUE(reader_is_watching(
-		&sim_sync(sim, node_of_rank(sim, 1))->reader));
+		&sim_node_sync(sim, node_of_rank(sim, 1))->reader));
 	CU_ASSERT_EQUAL(sim->reverts, 0);
 	world_finish(&world);
 }
@@ -853,13 +858,13 @@
 	publish(&world, 11);
 	CU_ASSERT_TRUE(reaches_all(&world, 11));
 	sim->platform.down = true;
-	sim_show(sim, sim->platform.shown, -1);
+	sim_show_version(sim, sim->platform.shown, -1);
 	for (i = 0; i < NODES; i++) {
 		sim_stop(sim, i);
 		sim_start(sim, i);
 		sim_run(sim, 2500);
-		CU_ASSERT_EQUAL(table_sync_ready(sim_sync(sim, i)), 0);
-		CU_ASSERT_EQUAL(sim_sync(sim, i)->in_force->revision, 11);
+		CU_ASSERT_EQUAL(table_sync_ready(sim_node_sync(sim, i)), 0);
+		CU_ASSERT_EQUAL(sim_node_sync(sim, i)->in_force->revision, 11);
 	}
 	sim->platform.down = false;
 	publish(&world, 12);
@@ -904,12 +909,12 @@
 	sim->nodes[node].paused_until = clock_now(&sim->clock) + MSEC(30000);
 	sim_run(sim, 29000);
 	sim->platform.down = true;
-	sim_show(sim, sim->platform.shown, -1);
-	sim->silent_pings = true;
+	sim_show_version(sim, sim->platform.shown, -1);
+	sim->heartbeats_off = true;
 	sim->push_loss = 1;
 	sim_run(sim, 1150);
-	CU_ASSERT_TRUE(table_sync_age(sim_sync(sim, node)) >= MSEC(30000));
-	sim->silent_pings = false;
+	CU_ASSERT_TRUE(table_sync_age(sim_node_sync(sim, node)) >= MSEC(30000));
+	sim->heartbeats_off = false;
 	sim->push_loss = 0;
 	sim->platform.down = false;
 	publish(&world, 11);
@@ -949,7 +954,7 @@
 	world.sheets.slots[0] = 9;
 	sim_publish_parts(sim, &world.sheets, 11, 3);
 	CU_ASSERT_TRUE(reaches_all(&world, 12));
-	CU_ASSERT_EQUAL(sim_count(sim, 11), 0);
+	CU_ASSERT_EQUAL(sim_count_in_force(sim, 11), 0);
 	/* Corrupts the last part, which is the changed one. */
 	world.sheets.lease_ms = 1999;
 	sim_publish_parts(sim, &world.sheets, 13, 3);
@@ -957,7 +962,7 @@
 			.parts[(sim->platform.n_parts - 1) % SIM_PARTS_MAX];
 	part->text[part->len - 1] = ' ';
 	sim_run(sim, 5000);
-	CU_ASSERT_EQUAL(sim_count(sim, 12), NODES);
+	CU_ASSERT_EQUAL(sim_count_in_force(sim, 12), NODES);
 	CU_ASSERT_TRUE(count_alarm(sim, TABLE_ALARM_PARTS) > 0);
 	part->text[part->len - 1] = '\n';
 	CU_ASSERT_TRUE(reaches_all(&world, 13));
@@ -1000,8 +1005,9 @@
 		publish(world, ++*revision);
 		break;
 	case 2:
-		sim_show(sim, (int)sim_random(sim, platform->n_versions),
-			 (int)sim_random(sim, platform->n_versions));
+		sim_show_version(sim,
+				 (int)sim_random(sim, platform->n_versions),
+				 (int)sim_random(sim, platform->n_versions));
 		break;
 	case 3:
 		sim->nodes[node].group = (int)sim_random(sim, 2);
@@ -1079,9 +1085,9 @@
 
 	world_init(&world, &sim_table_sync);
 	node = find_reader(sim, true);
-	sync = sim_sync(sim, node);
+	sync = sim_node_sync(sim, node);
 	id = sync->reader.watches[READER_TABLE].call_id;
-	sim->nodes[node].no_platform = true;
+	sim->nodes[node].is_platform_unreachable = true;
 	sim_run(sim, 20000);
 	CU_ASSERT_NOT_EQUAL(sync->reader.watches[READER_TABLE].call_id, id);
 	table_sync_receive_answer(sync, READER_TABLE, id, &late);
@@ -1101,7 +1107,7 @@
 	struct table_sync *sync;
 
 	world_init(&world, &sim_table_sync);
-	sync = sim_sync(&world.sim, 0);
+	sync = sim_node_sync(&world.sim, 0);
 	table = sync->in_force;
 	update.revision = 9;
 	update.digest = table->digest;
--- a/tests/test_trace.c
+++ b/tests/test_trace.c
@@ -6,15 +6,15 @@
 #include "unit.h"
 
 static struct clock clock_;
-static struct trace_book book;
+static struct trace_store book;
 
 static void set_up(int64_t max, int64_t bytes_max, int64_t parts_max)
 {
 	struct trace_limits limits = {max, bytes_max, parts_max};
 
 	clock_init_paused(&clock_, MSEC(1000));
-	trace_book_init(&book, &clock_);
-	trace_book_set_limits(&book, &limits);
+	trace_store_init(&book, &clock_);
+	trace_store_set_limits(&book, &limits);
 }
 
 static void add(const char *id, int code)
@@ -22,12 +22,12 @@
 	struct trace_summary summary = {.code = code, .notable = code != 0};
 
 	snprintf(summary.request_id, sizeof(summary.request_id), "%s", id);
-	trace_book_add(&book, &summary, NULL);
+	trace_store_add(&book, &summary, NULL);
 }
 
 static int find(const char *id, const struct trace **out)
 {
-	return trace_book_find(&book, str_from(id), NULL, out);
+	return trace_store_find(&book, str_from(id), NULL, out);
 }
 
 static void test_parts(void)
@@ -44,16 +44,16 @@
 	trace_log_sent(&log, clock_now(&clock_), STR("s2"), STR("h1"),
 		       TRACE_FIRST, 1);
 	clock_advance(&clock_, 900);
-	trace_log_back(&log, 1, clock_now(&clock_), ERR_SHED);
+	trace_log_done(&log, 1, clock_now(&clock_), ERR_SHED);
 	trace_log_sent(&log, clock_now(&clock_), STR("s1"), STR("h2"),
 		       TRACE_RETRY, 1);
 	clock_advance(&clock_, 1000);
-	trace_log_times(&log, 0, 20, 1500);
-	trace_log_back(&log, 0, clock_now(&clock_), 0);
+	trace_log_set_times(&log, 0, 20, 1500);
+	trace_log_done(&log, 0, clock_now(&clock_), 0);
 	/* A part counts as back once: a later word changes nothing. */
-	trace_log_times(&log, 0, 1, 2);
-	trace_log_back(&log, 0, clock_now(&clock_), ERR_LOST);
-	trace_book_add(&book, &summary, &log);
+	trace_log_set_times(&log, 0, 1, 2);
+	trace_log_done(&log, 0, clock_now(&clock_), ERR_LOST);
+	trace_store_add(&book, &summary, &log);
 	trace_log_finish(&log);
 	CU_ASSERT_EQUAL_FATAL(find("a", &trace), 0);
 	CU_ASSERT_EQUAL_FATAL(trace->n_parts, 3);
@@ -65,7 +65,7 @@
 	CU_ASSERT_EQUAL(trace->parts[1].code, ERR_SHED);
 	CU_ASSERT_EQUAL(trace->parts[2].why, TRACE_RETRY);
 	CU_ASSERT_FALSE(trace->parts[2].is_back);
-	trace_book_finish(&book);
+	trace_store_finish(&book);
 }
 
 /*
@@ -86,15 +86,15 @@
 	trace_log_restart(&log);
 	trace_log_sent(&log, clock_now(&clock_), STR("s2"), STR("h"),
 		       TRACE_FIRST, 1);
-	trace_log_back(&log, 0, clock_now(&clock_), 0);
-	trace_log_back(&log, 1, clock_now(&clock_), 0);
-	trace_book_add(&book, &summary, &log);
+	trace_log_done(&log, 0, clock_now(&clock_), 0);
+	trace_log_done(&log, 1, clock_now(&clock_), 0);
+	trace_store_add(&book, &summary, &log);
 	trace_log_finish(&log);
 	CU_ASSERT_EQUAL_FATAL(find("a", &trace), 0);
 	CU_ASSERT_FALSE(trace->parts[0].is_back);
 	CU_ASSERT_TRUE(trace->parts[1].is_back);
 	CU_ASSERT_EQUAL(trace->parts[1].restarts, 1);
-	trace_book_finish(&book);
+	trace_store_finish(&book);
 }
 
 /* Above the bound, failed parts stay first, then the slowest. */
@@ -112,11 +112,11 @@
 			       TRACE_FIRST, i);
 	for (i = 0; i < 8; i++) {
 		clock_advance(&clock_, 1000);
-		trace_log_back(&log, i, clock_now(&clock_),
+		trace_log_done(&log, i, clock_now(&clock_),
 			       i == 2 ? ERR_LOST : 0);
 		clock_advance(&clock_, i >= 5 ? 100000 : 0);
 	}
-	trace_book_add(&book, &summary, &log);
+	trace_store_add(&book, &summary, &log);
 	trace_log_finish(&log);
 	CU_ASSERT_EQUAL_FATAL(find("a", &trace), 0);
 	CU_ASSERT_EQUAL_FATAL(trace->n_parts, 3);
@@ -124,7 +124,7 @@
 	CU_ASSERT_EQUAL(trace->parts[0].n_shards, 2);
 	CU_ASSERT_EQUAL(trace->parts[1].n_shards, 6);
 	CU_ASSERT_EQUAL(trace->parts[2].n_shards, 7);
-	trace_book_finish(&book);
+	trace_store_finish(&book);
 }
 
 static void test_evicted(void)
@@ -139,7 +139,7 @@
 	CU_ASSERT_EQUAL(find("b", &trace), 0);
 	CU_ASSERT_EQUAL(find("c", &trace), 0);
 	CU_ASSERT_EQUAL(find("d", &trace), ERR_NO_TRACE);
-	trace_book_finish(&book);
+	trace_store_finish(&book);
 }
 
 /*
@@ -169,7 +169,7 @@
 	CU_ASSERT_EQUAL(book.notable.n, 5);
 	CU_ASSERT_EQUAL(find("good-999", &trace), 0);
 	CU_ASSERT_EQUAL(find("bad", &trace), ERR_TRACE_EVICTED);
-	trace_book_finish(&book);
+	trace_store_finish(&book);
 }
 
 static void test_bytes(void)
@@ -189,15 +189,15 @@
 		for (j = 0; j < 20; j++)
 			trace_log_sent(&log, clock_now(&clock_), str_from(name),
 				       STR("h"), TRACE_FIRST, 1);
-		trace_book_add(&book, &summary, &log);
+		trace_store_add(&book, &summary, &log);
 		trace_log_finish(&log);
 		CU_ASSERT(book.ordinary.bytes + book.name_bytes <= 1 << 20);
 	}
 	CU_ASSERT(book.ordinary.n > 100);
-	trace_book_set_limits(&book, &fewer);
+	trace_store_set_limits(&book, &fewer);
 	CU_ASSERT(book.ordinary.bytes + book.name_bytes <= 65536);
 	CU_ASSERT(book.ordinary.n > 1);
-	trace_book_finish(&book);
+	trace_store_finish(&book);
 	CU_ASSERT_PTR_NULL(book.names);
 }
 
@@ -212,15 +212,15 @@
 	add("a", 0);
 	CU_ASSERT_EQUAL_FATAL(find("a", &trace), 0);
 	CU_ASSERT_EQUAL(trace->number, 3);
-	CU_ASSERT_EQUAL_FATAL(trace_book_find(&book, STR("a"), trace, &trace),
+	CU_ASSERT_EQUAL_FATAL(trace_store_find(&book, STR("a"), trace, &trace),
 			      0);
 	CU_ASSERT_EQUAL(trace->number, 2);
-	CU_ASSERT_EQUAL_FATAL(trace_book_find(&book, STR("a"), trace, &trace),
+	CU_ASSERT_EQUAL_FATAL(trace_store_find(&book, STR("a"), trace, &trace),
 			      0);
 	CU_ASSERT_EQUAL(trace->number, 1);
-	CU_ASSERT_EQUAL(trace_book_find(&book, STR("a"), trace, &trace),
+	CU_ASSERT_EQUAL(trace_store_find(&book, STR("a"), trace, &trace),
 			ERR_NO_TRACE);
-	trace_book_finish(&book);
+	trace_store_finish(&book);
 }
 
 static void test_missing(void)
@@ -228,10 +228,10 @@
 	struct trace_summary summary = {0};
 	int i;
 
-	trace_summary_miss(&summary, ERR_TOO_LATE, 0, 9, 5);
-	trace_summary_miss(&summary, ERR_TOO_LATE, 10, 19, 6);
-	trace_summary_miss(&summary, ERR_LOST, 20, 29, 7);
-	trace_summary_miss(&summary, ERR_TOO_LATE, 30, 39, 8);
+	trace_summary_add_missing(&summary, ERR_TOO_LATE, 0, 9, 5);
+	trace_summary_add_missing(&summary, ERR_TOO_LATE, 10, 19, 6);
+	trace_summary_add_missing(&summary, ERR_LOST, 20, 29, 7);
+	trace_summary_add_missing(&summary, ERR_TOO_LATE, 30, 39, 8);
 	CU_ASSERT_EQUAL(summary.n_missing, 4);
 	CU_ASSERT_EQUAL_FATAL(summary.n_reasons, 2);
 	CU_ASSERT_EQUAL(summary.reasons[0].n_shards, 3);
@@ -243,8 +243,9 @@
 	for (i = 0; i < 20; i++) {
 		uint16_t lo = (uint16_t)(100 + i * 20);
 
-		trace_summary_miss(&summary, ERR_LOST, lo, lo + 9, 1);
-		trace_summary_miss(&summary, ERR_LOST, lo + 10, lo + 14, 1);
+		trace_summary_add_missing(&summary, ERR_LOST, lo, lo + 9, 1);
+		trace_summary_add_missing(&summary, ERR_LOST, lo + 10, lo + 14,
+					  1);
 	}
 	CU_ASSERT_EQUAL(summary.reasons[1].n_ranges, 21);
 	CU_ASSERT_EQUAL(summary.reasons[1].n_shards, 41);
@@ -253,13 +254,13 @@
 static void test_kept_since(void)
 {
 	set_up(2, 1 << 20, 10);
-	CU_ASSERT_EQUAL(trace_book_kept_since(&book), MSEC(1000));
+	CU_ASSERT_EQUAL(trace_store_oldest(&book), MSEC(1000));
 	clock_advance(&clock_, MSEC(5));
 	add("a", 0);
 	clock_advance(&clock_, MSEC(5));
 	add("b", ERR_LOST);
-	CU_ASSERT_EQUAL(trace_book_kept_since(&book), MSEC(1005));
-	trace_book_finish(&book);
+	CU_ASSERT_EQUAL(trace_store_oldest(&book), MSEC(1005));
+	trace_store_finish(&book);
 }
 
 static const struct unit_test tests[] = {
--- a/trace.c
+++ b/trace.c
@@ -25,7 +25,7 @@
 	return (int64_t)(sizeof(*name) + name->len + 1);
 }
 
-static struct trace_name *hold_name(struct trace_book *book, struct str text)
+static struct trace_name *hold_name(struct trace_store *book, struct str text)
 {
 	struct trace_name *name;
 
@@ -43,7 +43,7 @@
 	return name;
 }
 
-static void release_name(struct trace_book *book, struct trace_name *name)
+static void release_name(struct trace_store *book, struct trace_name *name)
 {
 	if (--name->refs)
 		return;
@@ -57,25 +57,25 @@
 	return name->text;
 }
 
-static void release_part(struct trace_book *book, struct trace_part *part)
+static void release_part(struct trace_store *book, struct trace_part *part)
 {
 	release_name(book, part->server);
 	release_name(book, part->home);
 }
 
-void trace_book_init(struct trace_book *book, const struct clock *clock)
+void trace_store_init(struct trace_store *book, const struct clock *clock)
 {
 	memset(book, 0, sizeof(*book));
 	book->clock = clock;
 }
 
-static struct trace_list *list_of(struct trace_book *book,
+static struct trace_list *list_of(struct trace_store *book,
 				  const struct trace *trace)
 {
 	return trace->summary.notable ? &book->notable : &book->ordinary;
 }
 
-static void drop(struct trace_book *book, struct trace *trace)
+static void drop(struct trace_store *book, struct trace *trace)
 {
 	struct trace_list *list = list_of(book, trace);
 	int i;
@@ -88,7 +88,7 @@
 	free(trace);
 }
 
-static void evict(struct trace_book *book, struct trace *trace)
+static void evict(struct trace_store *book, struct trace *trace)
 {
 	if (!book->evicted)
 		book->evicted =
@@ -97,7 +97,7 @@
 	drop(book, trace);
 }
 
-void trace_book_finish(struct trace_book *book)
+void trace_store_finish(struct trace_store *book)
 {
 	while (book->ordinary.first)
 		drop(book, book->ordinary.first);
@@ -106,23 +106,23 @@
 	free(book->evicted);
 }
 
-int64_t trace_book_count(const struct trace_book *book)
+int64_t trace_store_count(const struct trace_store *book)
 {
 	return book->ordinary.n + book->notable.n;
 }
 
-int64_t trace_book_bytes(const struct trace_book *book)
+int64_t trace_store_bytes(const struct trace_store *book)
 {
 	return book->ordinary.bytes + book->notable.bytes + book->name_bytes;
 }
 
-static bool is_over(const struct trace_book *book)
+static bool is_over(const struct trace_store *book)
 {
-	return trace_book_count(book) > book->limits.max ||
-	       trace_book_bytes(book) > book->limits.bytes_max;
+	return trace_store_count(book) > book->limits.max ||
+	       trace_store_bytes(book) > book->limits.bytes_max;
 }
 
-static bool is_over_half(const struct trace_book *book,
+static bool is_over_half(const struct trace_store *book,
 			 const struct trace_list *list)
 {
 	return list->n > book->limits.max / 2 ||
@@ -133,7 +133,7 @@
  * Under load the few requests that went wrong are the ones asked for, and the
  * many that went well would push them out: half of the book is theirs.
  */
-static struct trace *choose_victim(const struct trace_book *book)
+static struct trace *choose_victim(const struct trace_store *book)
 {
 	if (!book->ordinary.first)
 		return book->notable.first;
@@ -142,7 +142,7 @@
 	return book->ordinary.first;
 }
 
-static void make_room(struct trace_book *book)
+static void make_room(struct trace_store *book)
 {
 	struct trace *victim;
 
@@ -154,8 +154,8 @@
 	}
 }
 
-void trace_book_set_limits(struct trace_book *book,
-			   const struct trace_limits *limits)
+void trace_store_set_limits(struct trace_store *book,
+			    const struct trace_limits *limits)
 {
 	book->limits = *limits;
 	make_room(book);
@@ -219,8 +219,8 @@
 	log->base = 0;
 }
 
-void trace_book_add(struct trace_book *book,
-		    const struct trace_summary *summary, struct trace_log *log)
+void trace_store_add(struct trace_store *book,
+		     const struct trace_summary *summary, struct trace_log *log)
 {
 	int max = (int)book->limits.parts_max;
 	struct trace_list *list;
@@ -265,7 +265,7 @@
 	return found;
 }
 
-static bool was_evicted(const struct trace_book *book, struct str request_id)
+static bool was_evicted(const struct trace_store *book, struct str request_id)
 {
 	uint64_t hash = str_hash(request_id);
 	uint64_t n = book->n_evicted;
@@ -280,8 +280,8 @@
 	return false;
 }
 
-int trace_book_find(const struct trace_book *book, struct str request_id,
-		    const struct trace *before, const struct trace **out)
+int trace_store_find(const struct trace_store *book, struct str request_id,
+		     const struct trace *before, const struct trace **out)
 {
 	const struct trace *a = find_in(&book->ordinary, request_id, before);
 	const struct trace *b = find_in(&book->notable, request_id, before);
@@ -294,7 +294,7 @@
 	return was_evicted(book, request_id) ? ERR_TRACE_EVICTED : ERR_NO_TRACE;
 }
 
-int64_t trace_book_kept_since(const struct trace_book *book)
+int64_t trace_store_oldest(const struct trace_store *book)
 {
 	int64_t since = clock_now(book->clock);
 
@@ -305,7 +305,7 @@
 	return since;
 }
 
-void trace_log_init(struct trace_log *log, struct trace_book *book,
+void trace_log_init(struct trace_log *log, struct trace_store *book,
 		    int64_t started_at)
 {
 	memset(log, 0, sizeof(*log));
@@ -330,7 +330,7 @@
 }
 
 void trace_log_sent(struct trace_log *log, int64_t at, struct str server,
-		    struct str home, enum trace_why why, int n_shards)
+		    struct str home, enum trace_attempt why, int n_shards)
 {
 	struct trace_part *part;
 
@@ -355,8 +355,8 @@
 	return part->is_back ? NULL : part;
 }
 
-void trace_log_times(struct trace_log *log, int index, uint32_t wait_us,
-		     uint32_t server_us)
+void trace_log_set_times(struct trace_log *log, int index, uint32_t wait_us,
+			 uint32_t server_us)
 {
 	struct trace_part *part = open_part(log, index);
 
@@ -366,7 +366,7 @@
 	part->server_us = server_us;
 }
 
-void trace_log_back(struct trace_log *log, int index, int64_t at, int code)
+void trace_log_done(struct trace_log *log, int index, int64_t at, int code)
 {
 	struct trace_part *part = open_part(log, index);
 
@@ -414,8 +414,8 @@
 	}
 }
 
-void trace_summary_miss(struct trace_summary *summary, int code, uint16_t lo,
-			uint16_t hi, uint64_t records)
+void trace_summary_add_missing(struct trace_summary *summary, int code,
+			       uint16_t lo, uint16_t hi, uint64_t records)
 {
 	struct trace_reason *reason = put_reason(summary, code);
 
--- a/trace.h
+++ b/trace.h
@@ -2,7 +2,7 @@
  * Records of what recent requests did, so that each can be explained.
  *
  * While a request runs, its parts go into a struct trace_log; when it is over,
- * the log is cut to a struct trace and kept in a struct trace_book, bounded by
+ * the log is cut to a struct trace and kept in a struct trace_store, bounded by
  * number and bytes. Requests that went wrong are kept longer than others. No
  * sockets here, and time comes from the clock.
  */
@@ -15,7 +15,7 @@
 #include "clock.h"
 #include "str.h"
 
-struct trace_book;
+struct trace_store;
 struct trace_name;
 
 #define TRACE_TEXT_SIZE 65
@@ -28,7 +28,7 @@
 	TRACE_RUN, /* a request that must not be repeated */
 };
 
-enum trace_why {
+enum trace_attempt {
 	TRACE_FIRST,
 	TRACE_HEDGE, /* beside a part that is slow */
 	TRACE_RETRY, /* after a part that failed */
@@ -42,7 +42,7 @@
  * @wait_us: queued at the home, as the home says
  * @server_us: from sent to answered at the home, as the home says
  * @code: 0 or why it came to nothing
- * @why: enum trace_why
+ * @why: enum trace_attempt
  * @restarts: restarts of the request before it
  */
 struct trace_part {
@@ -64,7 +64,7 @@
  * @base: parts before the last restart
  */
 struct trace_log {
-	struct trace_book *book;
+	struct trace_store *book;
 	int64_t started_at;
 	struct trace_part *parts;
 	int n;
@@ -169,13 +169,13 @@
 };
 
 /**
- * struct trace_book - records of one instance
+ * struct trace_store - records of one instance
  * @ordinary: of requests that went well
  * @notable: of the others; half of the book is theirs
  * @names: of servers and homes in records and logs
  * @evicted: hashes of the last request ids that made room
  */
-struct trace_book {
+struct trace_store {
 	const struct clock *clock;
 	struct trace_limits limits;
 	struct trace_list ordinary;
@@ -187,49 +187,50 @@
 	uint64_t n_added;
 };
 
-void trace_book_init(struct trace_book *book, const struct clock *clock);
-void trace_book_finish(struct trace_book *book);
+void trace_store_init(struct trace_store *book, const struct clock *clock);
+void trace_store_finish(struct trace_store *book);
 
 /**
- * trace_book_set_limits() - take other limits; evicts at once what is above
+ * trace_store_set_limits() - take other limits; evicts at once what is above
  */
-void trace_book_set_limits(struct trace_book *book,
-			   const struct trace_limits *limits);
+void trace_store_set_limits(struct trace_store *book,
+			    const struct trace_limits *limits);
 
 /**
- * trace_book_add() - keep the record of a request that is over
+ * trace_store_add() - keep the record of a request that is over
  * @log: emptied; NULL if nothing was sent
  */
-void trace_book_add(struct trace_book *book,
-		    const struct trace_summary *summary, struct trace_log *log);
+void trace_store_add(struct trace_store *book,
+		     const struct trace_summary *summary,
+		     struct trace_log *log);
 
 /**
- * trace_book_find() - the newest record of a request id
+ * trace_store_find() - the newest record of a request id
  * @before: a record found before, to find the next older one; or NULL
  * @out: valid until the book changes
  *
  * Return: 0; ERR_TRACE_EVICTED if it was known and made room for others;
  * ERR_NO_TRACE.
  */
-int trace_book_find(const struct trace_book *book, struct str request_id,
-		    const struct trace *before, const struct trace **out);
+int trace_store_find(const struct trace_store *book, struct str request_id,
+		     const struct trace *before, const struct trace **out);
 
 /**
- * trace_book_kept_since() - end of the oldest record kept
+ * trace_store_oldest() - end of the oldest record kept
  *
  * Return: on the clock; the present time if nothing is kept.
  */
-int64_t trace_book_kept_since(const struct trace_book *book);
+int64_t trace_store_oldest(const struct trace_store *book);
 
 /**
- * trace_book_count() - records kept
+ * trace_store_count() - records kept
  */
-int64_t trace_book_count(const struct trace_book *book);
+int64_t trace_store_count(const struct trace_store *book);
 
 /**
- * trace_book_bytes() - memory of records and the names in them
+ * trace_store_bytes() - memory of records and the names in them
  */
-int64_t trace_book_bytes(const struct trace_book *book);
+int64_t trace_store_bytes(const struct trace_store *book);
 
 /**
  * trace_name_text() - name of a server or home
@@ -240,7 +241,7 @@
  * trace_log_init() - begin the log of a request
  * @started_at: on the book's clock
  */
-void trace_log_init(struct trace_log *log, struct trace_book *book,
+void trace_log_init(struct trace_log *log, struct trace_store *book,
 		    int64_t started_at);
 void trace_log_finish(struct trace_log *log);
 
@@ -249,21 +250,21 @@
  * @at: on the clock; given, as reading it for each part would cost most
  */
 void trace_log_sent(struct trace_log *log, int64_t at, struct str server,
-		    struct str home, enum trace_why why, int n_shards);
+		    struct str home, enum trace_attempt why, int n_shards);
 
 /**
- * trace_log_times() - where a part's time went, as its home says
+ * trace_log_set_times() - where a part's time went, as its home says
  * @index: of the part, counted from 0 after each restart
  */
-void trace_log_times(struct trace_log *log, int index, uint32_t wait_us,
-		     uint32_t server_us);
+void trace_log_set_times(struct trace_log *log, int index, uint32_t wait_us,
+			 uint32_t server_us);
 
 /**
- * trace_log_back() - a part is over
+ * trace_log_done() - a part is over
  * @at: on the clock
  * @code: 0, or why it came to nothing
  */
-void trace_log_back(struct trace_log *log, int index, int64_t at, int code);
+void trace_log_done(struct trace_log *log, int index, int64_t at, int code);
 
 /**
  * trace_log_restart() - the request begins again with other parts
@@ -271,9 +272,9 @@
 void trace_log_restart(struct trace_log *log);
 
 /**
- * trace_summary_miss() - a shard was not covered; in the order of points
+ * trace_summary_add_missing() - a shard was not covered; in the order of points
  */
-void trace_summary_miss(struct trace_summary *summary, int code, uint16_t lo,
-			uint16_t hi, uint64_t records);
+void trace_summary_add_missing(struct trace_summary *summary, int code,
+			       uint16_t lo, uint16_t hi, uint64_t records);
 
 #endif
