--- a/bench/table_cost.c
+++ b/bench/table_cost.c
@@ -146,7 +146,7 @@
 	int64_t canonical_us[ROUNDS];
 	int64_t diff_us[ROUNDS];
 	int64_t apply_us[ROUNDS];
-	struct sheets sheets;
+	struct table_gen sheets;
 	size_t heap = 0;
 	size_t canonical = 0;
 	size_t len = 0;
@@ -279,7 +279,7 @@
 }
 
 static void publish(const struct arguments *args, struct sim *sim,
-		    const struct sheets *sheets, uint64_t revision)
+		    const struct table_gen *sheets, uint64_t revision)
 {
 	if (args->parts)
 		sim_publish_parts(sim, sheets, revision, args->parts);
@@ -289,7 +289,7 @@
 
 /* Slot counts keep one digit, so that a change stays within its part. */
 static void make_changes(const struct arguments *args, struct sim *sim,
-			 struct sheets *sheets, struct durations *nodes,
+			 struct table_gen *sheets, struct durations *nodes,
 			 struct durations *all)
 {
 	uint64_t revision = FIRST_REVISION;
@@ -299,7 +299,7 @@
 	for (i = 0; i < args->changes; i++) {
 		int64_t at = clock_now(&sim->clock);
 
-		sheets->slots[i % sheets->n] = 3;
+		sheets->slots[i % sheets->n_servers] = 3;
 		publish(args, sim, sheets, ++revision);
 		sim_run(sim, gap_ms);
 		add_delays(sim, revision, at, nodes, all);
@@ -355,7 +355,7 @@
 					   sizeof(int64_t)),
 				0};
 	struct start_counters start_counters;
-	struct sheets sheets;
+	struct table_gen sheets;
 	struct sim sim;
 	size_t heap;
 
--- a/tests/path_board.c
+++ b/tests/board_fixture.c
@@ -1,4 +1,4 @@
-#include "path_board.h"
+#include "board_fixture.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -6,13 +6,13 @@
 
 #include "mem.h"
 
-#define TEXT_SIZE 4096
-#define HERE_MAX 16
+#define TABLE_TEXT_SIZE 4096
+#define SHARDS_HELD_MAX 16
 
 static struct table *make_table(int first, int n)
 {
 	struct table *table = mem_zalloc(sizeof(*table));
-	char text[TEXT_SIZE];
+	char text[TABLE_TEXT_SIZE];
 	struct error err;
 	size_t len;
 	int i;
@@ -38,28 +38,29 @@
 	return table;
 }
 
-void board_fixture_set_servers(struct board_fixture *path, int first, int n)
+void board_fixture_set_servers(struct board_fixture *fixture, int first, int n)
 {
-	blackboard_set_table(&path->board, make_table(first, n));
-	catalog_set_table(&path->board.catalog, path->board.table);
+	blackboard_set_table(&fixture->board, make_table(first, n));
+	catalog_set_table(&fixture->board.catalog, fixture->board.table);
 }
 
-void board_fixture_init(struct board_fixture *path, int n_servers)
+void board_fixture_init(struct board_fixture *fixture, int n_servers)
 {
 	static char instance[] = "e1";
 	static char data_centre[] = "dc1";
 
-	memset(path, 0, sizeof(*path));
-	clock_init_paused(&path->clock, USEC_PER_SEC);
-	path->settings.instance = instance;
-	path->settings.data_centre = data_centre;
-	blackboard_init(&path->board, &path->clock, &path->settings, NULL, 7);
-	board_fixture_set_servers(path, 1, n_servers);
+	memset(fixture, 0, sizeof(*fixture));
+	clock_init_paused(&fixture->clock, USEC_PER_SEC);
+	fixture->settings.instance = instance;
+	fixture->settings.data_centre = data_centre;
+	blackboard_init(&fixture->board, &fixture->clock, &fixture->settings,
+			NULL, 7);
+	board_fixture_set_servers(fixture, 1, n_servers);
 }
 
-void board_fixture_finish(struct board_fixture *path)
+void board_fixture_finish(struct board_fixture *fixture)
 {
-	blackboard_finish(&path->board);
+	blackboard_finish(&fixture->board);
 }
 
 void fixture_map_init(Peer__Map *map, uint64_t version, int n_shards)
@@ -99,19 +100,19 @@
 	free(map->service);
 }
 
-int board_fixture_put_map(struct board_fixture *path, uint64_t version,
+int board_fixture_put_map(struct board_fixture *fixture, uint64_t version,
 			  int n_shards)
 {
 	Peer__Map map;
 	int ret;
 
 	fixture_map_init(&map, version, n_shards);
-	ret = catalog_put_map(&path->board.catalog, &map);
+	ret = catalog_put_map(&fixture->board.catalog, &map);
 	fixture_map_finish(&map);
 	return ret;
 }
 
-static uint64_t digest_of(uint64_t version, int n_shards)
+static uint64_t map_digest(uint64_t version, int n_shards)
 {
 	Peer__Map map;
 
@@ -120,16 +121,16 @@
 	return map.digest;
 }
 
-int board_fixture_put_state(struct board_fixture *path, const char *home,
+int board_fixture_put_state(struct board_fixture *fixture, const char *home,
 			    const char *server, uint32_t slots,
-			    const struct path_held *held, int n_held)
+			    const struct held_version *held, int n_held)
 {
 	Peer__ServerState state = PEER__SERVER_STATE__INIT;
 	Peer__Held *items = mem_zalloc((size_t)(n_held + 1) * sizeof(*items));
 	Peer__Held **pointers =
 		mem_zalloc((size_t)(n_held + 1) * sizeof(*pointers));
-	uint32_t *here =
-		mem_zalloc((size_t)(n_held + 1) * HERE_MAX * sizeof(*here));
+	uint32_t *here = mem_zalloc((size_t)(n_held + 1) * SHARDS_HELD_MAX *
+				    sizeof(*here));
 	int ret;
 	int i;
 
@@ -140,8 +141,8 @@
 		pointers[i] = &items[i];
 		items[i].version = held[i].version;
 		items[i].map_digest =
-			digest_of(held[i].version, held[i].n_shards);
-		items[i].here = here + i * HERE_MAX;
+			map_digest(held[i].version, held[i].n_shards);
+		items[i].here = here + i * SHARDS_HELD_MAX;
 		for (digit = held[i].here; *digit; digit++)
 			items[i].here[items[i].n_here++] =
 				(uint32_t)(*digit - '0');
@@ -152,21 +153,23 @@
 	state.reachable = true;
 	state.n_held = (size_t)n_held;
 	state.held = pointers;
-	ret = catalog_put_state(&path->board.catalog, str_from(home), &state);
+	ret = catalog_put_state(&fixture->board.catalog, str_from(home),
+				&state);
 	free(here);
 	free(pointers);
 	free(items);
 	return ret;
 }
 
-void board_fixture_put_server(struct board_fixture *path, const char *home,
+void board_fixture_put_server(struct board_fixture *fixture, const char *home,
 			      const char *server, uint64_t version,
 			      int n_shards, const char *here)
 {
-	struct path_held held = {version, n_shards, here};
+	struct held_version held = {version, n_shards, here};
 
-	/* A map that no server holds is not kept. */
-	if (board_fixture_put_state(path, home, server, 1, &held, 1) ||
-	    board_fixture_put_map(path, version, n_shards))
+	/* The state goes first: the catalog drops a map that no server holds.
+	 */
+	if (board_fixture_put_state(fixture, home, server, 1, &held, 1) ||
+	    board_fixture_put_map(fixture, version, n_shards))
 		abort();
 }
--- a/tests/matrix_change.c
+++ b/tests/matrix_change.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "sheets.h"
+#include "table_gen.h"
 #include "step.h"
 #include "table_sim.h"
 
@@ -34,7 +34,7 @@
  */
 struct change_cell {
 	struct sim sim;
-	struct sheets sheets;
+	struct table_gen sheets;
 	int first_version;
 	int changed_version;
 };
--- a/tests/store_world.c
+++ b/tests/store_fixture.c
@@ -1,4 +1,4 @@
-#include "store_world.h"
+#include "store_fixture.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -6,7 +6,7 @@
 #include "error.h"
 #include "unit.h"
 
-#define START MSEC(1000000)
+#define START_TIME MSEC(1000000)
 
 int fixture_decode_server(const struct store_item *item,
 			  struct server_entry *entry)
@@ -27,11 +27,11 @@
 
 static void on_call(void *arg, const struct store_call *call, int64_t timeout)
 {
-	struct world *world = arg;
+	struct fixture *fixture = arg;
 
 	CU_ASSERT(timeout > MSEC(call->wait_ms));
-	world->calls[call->topic] = *call;
-	world->n_calls[call->topic]++;
+	fixture->calls[call->topic] = *call;
+	fixture->n_calls[call->topic]++;
 }
 
 static void on_routes(void *arg)
@@ -60,35 +60,35 @@
 	(void)server;
 }
 
-void world_init(struct world *world)
+void fixture_init(struct fixture *fixture)
 {
-	memset(world, 0, sizeof(*world));
-	clock_init_paused(&world->clock, START);
-	registry_init(&world->registry, STR("dc"), on_closing, NULL);
-	store_sync_init(&world->sync, &world->clock, &format, &ops, world,
-			&world->registry);
-	CU_ASSERT(!world->n_calls[STORE_SERVERS]);
-	clock_advance(&world->clock, MSEC(300));
-	store_sync_tick(&world->sync);
+	memset(fixture, 0, sizeof(*fixture));
+	clock_init_paused(&fixture->clock, START_TIME);
+	registry_init(&fixture->registry, STR("dc"), on_closing, NULL);
+	store_sync_init(&fixture->sync, &fixture->clock, &format, &ops, fixture,
+			&fixture->registry);
+	CU_ASSERT(!fixture->n_calls[STORE_SERVERS]);
+	clock_advance(&fixture->clock, MSEC(300));
+	store_sync_tick(&fixture->sync);
 }
 
-void world_restart(struct world *world)
+void fixture_restart(struct fixture *fixture)
 {
-	store_sync_finish(&world->sync);
-	store_sync_init(&world->sync, &world->clock, &format, &ops, world,
-			&world->registry);
+	store_sync_finish(&fixture->sync);
+	store_sync_init(&fixture->sync, &fixture->clock, &format, &ops, fixture,
+			&fixture->registry);
 }
 
-void world_finish(struct world *world)
+void fixture_finish(struct fixture *fixture)
 {
-	store_sync_finish(&world->sync);
-	registry_finish(&world->registry);
+	store_sync_finish(&fixture->sync);
+	registry_finish(&fixture->registry);
 }
 
-void world_pass(struct world *world, int64_t ms)
+void fixture_advance(struct fixture *fixture, int64_t ms)
 {
-	clock_advance(&world->clock, MSEC(ms));
-	store_sync_tick(&world->sync);
+	clock_advance(&fixture->clock, MSEC(ms));
+	store_sync_tick(&fixture->sync);
 }
 
 struct store_item make_item(const char *name, uint64_t at, bool removed)
@@ -100,30 +100,30 @@
 	return item;
 }
 
-void fixture_answer(struct world *world, enum store_topic topic,
+void fixture_answer(struct fixture *fixture, enum store_topic topic,
 		    uint64_t read_at, struct store_item *items, int n)
 {
-	struct store_answer answer = {.era = world->era,
+	struct store_answer answer = {.era = fixture->era,
 				      .revision = read_at,
 				      .items = items,
 				      .n_items = n};
 
-	store_sync_answered(&world->sync, topic, &answer);
+	store_sync_answered(&fixture->sync, topic, &answer);
 }
 
-void fixture_fail(struct world *world, enum store_topic topic, int code)
+void fixture_fail(struct fixture *fixture, enum store_topic topic, int code)
 {
-	struct store_answer answer = {.code = code, .era = world->era};
+	struct store_answer answer = {.code = code, .era = fixture->era};
 
-	store_sync_answered(&world->sync, topic, &answer);
+	store_sync_answered(&fixture->sync, topic, &answer);
 }
 
-bool fixture_has_server(const struct world *world, const char *id)
+bool fixture_has_server(const struct fixture *fixture, const char *id)
 {
-	return registry_find(&world->registry, str_from(id));
+	return registry_find(&fixture->registry, str_from(id));
 }
 
-void fixture_answer_routes(struct world *world, int version)
+void fixture_answer_routes(struct fixture *fixture, int version)
 {
 	struct store_item item = make_item("", 1, false);
 	char text[100];
@@ -131,13 +131,13 @@
 	snprintf(text, sizeof(text),
 		 "{\"version\":%d,\"routes\":[],\"services\":[]}", version);
 	item.value = str_from(text);
-	fixture_answer(world, STORE_ROUTES, 1, &item, 1);
+	fixture_answer(fixture, STORE_ROUTES, 1, &item, 1);
 }
 
-void fixture_answer_servers(struct world *world)
+void fixture_answer_servers(struct fixture *fixture)
 {
 	struct store_item items[] = {make_item("a", 1, false),
 				     make_item("b", 2, false)};
 
-	fixture_answer(world, STORE_SERVERS, 2, items, 2);
+	fixture_answer(fixture, STORE_SERVERS, 2, items, 2);
 }
--- a/tests/table_sim.c
+++ b/tests/table_sim.c
@@ -372,7 +372,7 @@
 	return platform->n_versions - 1;
 }
 
-int sim_publish_sheets(struct sim *sim, const struct sheets *sheets,
+int sim_publish_sheets(struct sim *sim, const struct table_gen *sheets,
 		       uint64_t revision)
 {
 	size_t len;
@@ -399,7 +399,7 @@
 		i ? "," : "", part->key, str_hash((struct str){text, len}));
 }
 
-int sim_publish_parts(struct sim *sim, const struct sheets *sheets,
+int sim_publish_parts(struct sim *sim, const struct table_gen *sheets,
 		      uint64_t revision, int n)
 {
 	struct table table;
--- a/tests/test_catalog.c
+++ b/tests/test_catalog.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "mem.h"
-#include "path_board.h"
+#include "board_fixture.h"
 #include "unit.h"
 
 static const struct catalog_placement *best(struct board_fixture *path)
@@ -30,7 +30,7 @@
 /* A state whose map was not fetched yet counts only once the map arrives. */
 static void test_map_may_arrive_after_the_state(void)
 {
-	struct path_held held = {1, 2, "01"};
+	struct held_version held = {1, 2, "01"};
 	struct board_fixture path;
 
 	board_fixture_init(&path, 1);
@@ -49,8 +49,8 @@
  */
 static void test_rollout_does_not_lower_coverage(void)
 {
-	struct path_held first = {1, 2, "0"};
-	struct path_held second[] = {{1, 2, "1"}, {2, 2, "1"}};
+	struct held_version first = {1, 2, "0"};
+	struct held_version second[] = {{1, 2, "1"}, {2, 2, "1"}};
 	struct board_fixture path;
 
 	board_fixture_init(&path, 2);
@@ -69,7 +69,7 @@
 
 static void test_newest_of_equally_covered(void)
 {
-	struct path_held held[] = {{3, 2, "01"}, {7, 2, "01"}, {5, 2, "01"}};
+	struct held_version held[] = {{3, 2, "01"}, {7, 2, "01"}, {5, 2, "01"}};
 	struct board_fixture path;
 
 	board_fixture_init(&path, 1);
@@ -88,7 +88,7 @@
  */
 static void test_repeated_state_keeps_the_map(void)
 {
-	struct path_held held = {1, 1, "0"};
+	struct held_version held = {1, 1, "0"};
 	struct board_fixture path;
 	int i;
 
@@ -103,7 +103,7 @@
 
 static void test_homes_are_added_and_removed(void)
 {
-	struct path_held held = {1, 1, "0"};
+	struct held_version held = {1, 1, "0"};
 	struct board_fixture path;
 
 	board_fixture_init(&path, 1);
@@ -157,7 +157,7 @@
 
 static void test_server_without_row_and_home_is_forgotten(void)
 {
-	struct path_held held = {1, 1, "0"};
+	struct held_version held = {1, 1, "0"};
 	struct board_fixture path;
 
 	board_fixture_init(&path, 1);
@@ -361,12 +361,12 @@
 
 static void test_too_many_versions_are_refused(void)
 {
-	struct path_held held[CATALOG_VERSIONS_MAX + 1];
+	struct held_version held[CATALOG_VERSIONS_MAX + 1];
 	struct board_fixture path;
 	int i;
 
 	for (i = 0; i <= CATALOG_VERSIONS_MAX; i++)
-		held[i] = (struct path_held){(uint64_t)i + 1, 1, "0"};
+		held[i] = (struct held_version){(uint64_t)i + 1, 1, "0"};
 	board_fixture_init(&path, 1);
 	CU_ASSERT_EQUAL(board_fixture_put_state(&path, "h1", "b1", 1, held,
 						CATALOG_VERSIONS_MAX + 1),
--- a/tests/test_lifecycle.c
+++ b/tests/test_lifecycle.c
@@ -1,5 +1,5 @@
 #include "lifecycle.h"
-#include "path_board.h"
+#include "board_fixture.h"
 #include "unit.h"
 
 /* Defaults of address_lifetime_ms and leave_spread_ms. */
--- a/tests/test_run_trace.c
+++ b/tests/test_run_trace.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "path_board.h"
+#include "board_fixture.h"
 #include "run_trace.h"
 #include "unit.h"
 
--- a/tests/test_search.c
+++ b/tests/test_search.c
@@ -4,7 +4,7 @@
 
 #include "answer.h"
 #include "mem.h"
-#include "path_board.h"
+#include "board_fixture.h"
 #include "search.h"
 #include "unit.h"
 
--- a/tests/test_table_delta.c
+++ b/tests/test_table_delta.c
@@ -1,14 +1,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "sheets.h"
+#include "table_gen.h"
 #include "table_delta.h"
 #include "unit.h"
 
 #define ROWS 40
 #define STEPS 200
 
-static struct table make_table(const struct sheets *sheets, uint64_t revision)
+static struct table make_table(const struct table_gen *sheets,
+			       uint64_t revision)
 {
 	struct error err = {0};
 	struct table table;
@@ -57,15 +58,15 @@
  */
 static void test_canonical(void)
 {
-	struct sheets sheets;
+	struct table_gen sheets;
 	struct table one;
 	struct table two;
 	struct table again;
 
 	table_gen_init(&sheets, ROWS);
 	one = make_table(&sheets, 3);
-	sheets.reversed = true;
-	sheets.swapped = true;
+	sheets.rows_reversed = true;
+	sheets.columns_reordered = true;
 	two = make_table(&sheets, 3);
 	check_same(&one, &two);
 	CU_ASSERT_EQUAL(table_init(&again, one.text, one.len, 3, NULL), 0);
@@ -80,13 +81,13 @@
 	table_gen_finish(&sheets);
 }
 
-static void change(struct sheets *sheets)
+static void change(struct table_gen *sheets)
 {
 	int n = rand() % 3 + 1;
 	int i;
 
 	for (i = 0; i < n; i++)
-		sheets->slots[rand() % sheets->n] = rand() % 4;
+		sheets->slots[rand() % sheets->n_servers] = rand() % 4;
 	if (!(rand() % 4))
 		sheets->lease_ms = rand() % 2 ? 200 + rand() % 9 : 0;
 }
@@ -127,7 +128,7 @@
 	struct table_delta both;
 	struct table tables[3];
 	struct table got;
-	struct sheets sheets;
+	struct table_gen sheets;
 	int i;
 
 	srand(1);
@@ -172,7 +173,7 @@
 {
 	struct table_delta delta;
 	struct error err = {0};
-	struct sheets sheets;
+	struct table_gen sheets;
 	struct table from;
 	struct table to;
 	struct table got;
@@ -204,7 +205,7 @@
 static void test_full_text(void)
 {
 	struct table_delta delta;
-	struct sheets sheets;
+	struct table_gen sheets;
 	struct table from;
 	struct table to;
 	int i;
--- a/tests/test_table_sync.c
+++ b/tests/test_table_sync.c
@@ -173,7 +173,7 @@
 /* A simulated fleet in which revision 10 is in force everywhere. */
 struct world {
 	struct sim sim;
-	struct sheets sheets;
+	struct table_gen sheets;
 };
 
 static void world_init(struct world *world, const struct sim_policy *policy)
