--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Runs a named experiment: scripts/bench.sh NAME, or --list.
-# BUILD names the build directory (build-rel), OUT the output directory.
+# Runs one experiment: scripts/bench.sh NAME. --list lists all of them.
+# BUILD is the build directory (default build-rel), OUT the output directory.
 set -eu
 cd "$(dirname "$0")/.."
 exec python3 bench/experiment.py "$@"
--- a/scripts/check-events.py
+++ b/scripts/check-events.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Compares log events, alarms and metrics of the code with operators' pages.
+"""Compares the log events, alarms and metrics in the code with their docs.
 
-The pages are docs/operators/events.md and docs/operators/metrics.md; rows of
-their tables begin with the name in backquotes. --write-metrics puts the list
-of metrics into its page.
+The pages are docs/operators/events.md and docs/operators/metrics.md; each row
+of their tables begins with the name in backquotes. --write-metrics rewrites
+the table of metrics from the code.
 """
 
 import argparse
@@ -26,15 +26,16 @@
     return sorted(p for p in root.glob("*.c") if not p.name.endswith(".pb-c.c"))
 
 
-def code_events(root, wrong):
-    """Set of (event, module, level)."""
+def code_events(root, problems):
+    """Returns a set of (event, module, level)."""
     out = set()
     for path in sources(root):
         text = path.read_text(encoding="utf-8")
         module = MODULE.search(text)
         for call in CALL.finditer(text):
             if not call.group(2):
-                wrong.append(f"{path.name}: an event's name is no constant")
+                problems.append(
+                    f"{path.name}: event name is no constant string")
                 continue
             out.add((call.group(2).strip('"'), module.group(1),
                      call.group(1).lower()))
@@ -50,7 +51,7 @@
 
 
 def code_metrics(root):
-    """Lines of the page's table, by name."""
+    """Returns the expected table rows of the metrics page, by name."""
     out = {}
     for header in METRIC_HEADERS:
         if not (root / header).exists():
@@ -64,51 +65,52 @@
 
 
 def section(text, title):
-    """The part of a page below a heading, up to the next of its level."""
+    """Returns the text from a heading to the next one of the same level."""
     found = re.search(rf"^## {title}$(.*?)(?=^## |\Z)", text, re.M | re.S)
     return found.group(1) if found else ""
 
 
-def rows(text):
-    """{name: cells} and names that stand twice."""
+def table_rows(text):
+    """Returns {name: cells} and the names that occur more than once."""
     out = {}
-    twice = []
+    duplicates = []
     for name, rest in ROW.findall(text):
         if name in out:
-            twice.append(name)
+            duplicates.append(name)
         out[name] = [cell.strip() for cell in rest.split("|")]
-    return out, twice
+    return out, duplicates
 
 
-def compare(what, code, page, page_name, wrong):
+def compare(kind, code, page, page_name, problems):
     for name in sorted(set(code) - set(page)):
-        wrong.append(f"{what} {name} is not on {page_name}")
+        problems.append(f"{kind} {name} is not on {page_name}")
     for name in sorted(set(page) - set(code)):
-        wrong.append(f"{page_name} names {what} {name}, the code does not")
+        problems.append(f"{page_name} names {kind} {name}, the code does not")
 
 
-def check_events(root, wrong):
+def check_events(root, problems):
     name = "docs/operators/events.md"
     text = (root / name).read_text(encoding="utf-8")
-    events = code_events(root, wrong)
-    page, twice = rows(section(text, "Log events"))
-    wrong.extend(f"{name}: {event} stands twice" for event in twice)
-    compare("event", {event for event, _, _ in events}, page, name, wrong)
+    events = code_events(root, problems)
+    page, duplicates = table_rows(section(text, "Log events"))
+    problems.extend(f"{name}: {event} stands twice" for event in duplicates)
+    compare("event", {event for event, _, _ in events}, page, name, problems)
     for event, cells in page.items():
         described = {(m, lv) for e, m, lv in events if e == event}
         if len(cells) < 4 or not all(cells[:4]):
-            wrong.append(f"{name}: {event} lacks a meaning or an action")
+            problems.append(f"{name}: {event} lacks a meaning or an action")
         elif described and described != {
                 (m.strip(), cells[1]) for m in cells[0].split(",")}:
-            wrong.append(f"{name}: {event} is {sorted(described)} in the code")
-    page, _ = rows(section(text, "Alarms"))
-    compare("alarm", code_alarms(root), page, name, wrong)
+            problems.append(
+                f"{name}: {event} is {sorted(described)} in the code")
+    page, _ = table_rows(section(text, "Alarms"))
+    compare("alarm", code_alarms(root), page, name, problems)
     for alarm, cells in page.items():
         if len(cells) < 2 or not all(cells[:2]):
-            wrong.append(f"{name}: {alarm} lacks a meaning or an action")
+            problems.append(f"{name}: {alarm} lacks a meaning or an action")
 
 
-def check_metrics(root, write, wrong):
+def check_metrics(root, write, problems):
     name = "docs/operators/metrics.md"
     text = (root / name).read_text(encoding="utf-8")
     head, rest = text.split(BEGIN)
@@ -119,9 +121,10 @@
         (root / name).write_text(head + BEGIN + new + END + tail,
                                  encoding="utf-8")
     elif old != new:
-        compare("metric", code_metrics(root), rows(old)[0], name, wrong)
-        wrong.append(f"{name} differs from counters.h; "
-                     "run scripts/check-events.sh --write-metrics")
+        compare("metric", code_metrics(root), table_rows(old)[0], name,
+                problems)
+        problems.append(f"{name} differs from counters.h; "
+                        "run scripts/check-events.sh --write-metrics")
 
 
 def main():
@@ -130,12 +133,12 @@
                         default=pathlib.Path(__file__).resolve().parent.parent)
     parser.add_argument("--write-metrics", action="store_true")
     args = parser.parse_args()
-    wrong = []
-    check_metrics(args.root, args.write_metrics, wrong)
-    check_events(args.root, wrong)
-    for line in wrong:
+    problems = []
+    check_metrics(args.root, args.write_metrics, problems)
+    check_events(args.root, problems)
+    for line in problems:
         print(line)
-    return 1 if wrong else 0
+    return 1 if problems else 0
 
 
 if __name__ == "__main__":
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Installs, builds with sanitizers, checks format and lint, runs all tests.
+# Installs packages, builds with sanitizers, checks format and lint, and runs
+# all tests.
 set -eu
 cd "$(dirname "$0")/.."
 
@@ -32,7 +33,7 @@
 failed=$(sed -n 's/^Fail: *//p' "$build/test.log" | tr -d ' ')
 timeouts=$(sed -n 's/^Timeout: *//p' "$build/test.log" | tr -d ' ')
 echo "${passed:-0} passed, $((${failed:-0} + ${timeouts:-0})) failed"
-# Listed failures are printed and passed over, and no others.
+# Failures listed in KNOWN-RED.txt are printed but do not fail the run.
 if [ "$status" -ne 0 ] && python3 scripts/known-red.py \
 	"$build/meson-logs/testlog.json" KNOWN-RED.txt; then
 	status=0
--- a/scripts/cold-copy.sh
+++ b/scripts/cold-copy.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Writes a copy of a site file in which cold servers bear few requests a second.
+# Copies a site file, and the files next to it, to FOLDER and limits each cold
+# server in the copy to PER_S requests per second (default 6.0).
 # usage: cold-copy.sh SITE_FILE FOLDER [PER_S]
 set -eu
 per_s=${3:-6.0}
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs, builds and shows the main job with both deployments; ends by
-# itself. --keep leaves it up and prints what to try.
+# Installs packages, builds, and runs the demo with both deployments. --keep
+# leaves the processes running and prints commands to try.
 set -eu
 cd "$(dirname "$0")/.."
 
--- a/scripts/describe-table.py
+++ b/scripts/describe-table.py
@@ -1,7 +1,10 @@
 #!/usr/bin/env python3
-"""Puts the output of `garnetreach check --describe` into the operators' page.
+"""Writes the output of `garnetreach check --describe` into operators/table.md.
 
 usage: describe-table.py GARNETREACH [--check]
+
+With --check it writes nothing and exits with status 1 if the page is out of
+date.
 """
 
 import pathlib
@@ -14,7 +17,7 @@
 
 
 def main():
-    lists = subprocess.run(
+    description = subprocess.run(
         [sys.argv[1], "check", "--describe"],
         check=True,
         capture_output=True,
@@ -23,12 +26,12 @@
     old = PAGE.read_text(encoding="utf-8")
     head, rest = old.split(BEGIN)
     tail = rest.split(END)[1]
-    new = head + BEGIN + lists + END + tail
+    new = head + BEGIN + description + END + tail
     if "--check" not in sys.argv:
         PAGE.write_text(new, encoding="utf-8")
         return 0
     if new != old:
-        print(f"{PAGE.name} lacks a change of the columns or tunables; run")
+        print(f"{PAGE.name} does not match the columns and tunables; run")
         print(f"{sys.argv[0]} {sys.argv[1]}")
         return 1
     return 0
--- a/scripts/fault-matrix.sh
+++ b/scripts/fault-matrix.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Every fault at every step, alone and in pairs, with three seeds; about a
-# minute. Options are those of the program: --cell NAME --seed N replays one.
+# Injects every fault at every step, alone and in pairs, with three seeds; takes
+# about a minute. Options go to the program: --cell NAME --seed N replays one
+# combination.
 set -eu
 cd "$(dirname "$0")/.."
 
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs what the build, the tests and the bench need, from Debian only.
+# Installs the Debian packages that the build, the tests and the bench need.
 set -eu
 
 packages="meson ninja-build gcc pkg-config libc6-dev libevent-dev
--- a/scripts/own-days.sh
+++ b/scripts/own-days.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Plays the days of deploy/days on the users' bench, which is not part of this
-# repository, and prints a line a day: worth, shares served, refused and failed,
-# and what rule was broken. usage: own-days.sh BENCH SITE_FILE [JOBS]
+# Runs the scenarios (days) in deploy/days on the users' bench, which is not
+# part of this repository. Prints one line per day: worth, shares of requests
+# served, refused and failed, and broken rules.
+# usage: own-days.sh BENCH SITE_FILE [JOBS]
 set -eu
 bench=$1
 site=$2
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# What is run on the users' bench before a landing; the bench is not part of this
-# repository. Scores each deployment and hunts for broken rules: 40 days each, 8
-# where a day takes minutes. usage: regression.sh BENCH SYSTEM_FOLDER [JOBS]
+# Regression run before a merge, on the users' bench, which is not part of this
+# repository. Scores each deployment and searches random days for broken rules:
+# 40 days each, 8 where a day takes minutes.
+# usage: regression.sh BENCH SYSTEM_FOLDER [JOBS]
 set -eu
 bench=$1
 system=$2
@@ -9,8 +10,9 @@
 out=${TMPDIR:-/tmp}/garnetreach-regression
 mkdir -p "$out"
 
-# Days to hunt, and the deployment. The largest came in place of the two oldest,
-# sites/rhh-search and sites/despac-garnet; their seeds are still played.
+# Number of days to search, and the deployment. sites/rhh-search and
+# sites/despac-garnet are left out in favour of the largest deployment; only
+# their recorded seeds are replayed, below.
 deployments="8 large/despac-garnet-large
 40 further/mavuno-frames
 8 further-grown/mavuno-frames-grown
--- a/scripts/replay-seeds.sh
+++ b/scripts/replay-seeds.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# Plays the days of tests/seeds.txt again on the users' bench, which is not part
-# of this repository. usage: replay-seeds.sh BENCH SITES_FOLDER
+# Replays the days and seeds in tests/seeds.txt on the users' bench, which is
+# not part of this repository. The exit status is 1 if a day broke a rule or
+# gave no result. usage: replay-seeds.sh BENCH SITES_FOLDER
 set -eu
 bench=$1
 sites=$2
 status=0
-here=$(dirname "$0")
+script_dir=$(dirname "$0")
 while read -r site day seed rest; do
 	case "$site" in "" | "#"*) continue ;; esac
 	day_name=$(basename "$day" .toml)
@@ -14,5 +15,5 @@
 		sed -n "s/^$day_name .*/&/p" | head -1)
 	echo "$site --seed $seed: $line"
 	case "$line" in *BROKEN* | "") status=1 ;; esac
-done <"$here/../tests/seeds.txt"
+done <"$script_dir/../tests/seeds.txt"
 exit $status
--- a/scripts/table-cost.sh
+++ b/scripts/table-cost.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Runs all measurements of the table: scripts/table-cost.sh BUILD_DIR
+# Measures what distributing the table costs, for several table and fleet sizes.
+# usage: table-cost.sh BUILD_DIR
 set -eu
 bench="$1/bench/bench-table-cost"
 
@@ -14,7 +15,7 @@
 	"$bench" --nodes "$1" --data-centres "$2" --rows 100 --loss 0.05
 	"$bench" --nodes "$1" --data-centres "$2" --rows 100 --all-watch
 done
-# 4 MB of table each: not at the larger sizes.
+# Each node holds 4 MB of table here, so the larger fleets are left out.
 for size in "8 4" "50 4" "200 8"; do
 	# shellcheck disable=SC2086
 	set -- $size
