--- a/tests/fuzz/seeds.py
+++ b/tests/fuzz/seeds.py
@@ -1,4 +1,4 @@
-"""Writes one or a few inputs for each fuzz entry: seeds.py DIRECTORY."""
+"""Writes the seed corpus of each fuzz target: seeds.py DIRECTORY."""
 
 import base64
 import json
@@ -21,15 +21,15 @@
 PART_REQUEST = 21
 PART_RESULT = 22
 PART_CANCEL = 23
-HALVES = [(0, 32767), (32768, 65535)]
+KEY_SPACE_HALVES = [(0, 32767), (32768, 65535)]
 
 
 def frame(kind, payload):
     return struct.pack(">HBBII", 0x4752, 1, kind, len(payload), 0) + payload
 
 
-def state(server, version, here):
-    held = wire.encode((1, version), (3, bytes(here)))
+def server_state(server, version, shards_held):
+    held = wire.encode((1, version), (3, bytes(shards_held)))
     return wire.encode(
         (1, server), (2, "desk"), (3, 2), (4, 4), (7, 1), (8, held)
     )
@@ -43,21 +43,21 @@
     return wire.encode((1, "desk"), (2, version), *infos)
 
 
-def frames():
+def peer_frames():
     states = wire.encode(
-        (1, state("b1", 1, [0, 1])), (1, state("b2", 2, [0]))
+        (1, server_state("b1", 1, [0, 1])), (1, server_state("b2", 2, [0]))
     )
     yield frame(SERVER_STATES, states)
     yield (
         frame(SERVER_STATES, states)
-        + frame(MAP, partition_map(1, HALVES))
+        + frame(MAP, partition_map(1, KEY_SPACE_HALVES))
         + frame(MAP, partition_map(2, [(0, 65535)]))
     )
     for kind in range(1, 16):
         yield frame(kind, wire.encode((1, 1), (2, 2)))
 
 
-def homes():
+def home_frames():
     part = wire.encode((1, "b1"), (2, wire.key_range(0, 65535)), (3, 1))
     other = wire.encode((1, "b2"), (2, wire.key_range(0, 65535)), (3, 2))
     query = wire.encode(
@@ -74,20 +74,20 @@
     yield frame(RUN, run) + frame(QUERY, query) + frame(FAILURE, b"")
 
 
-def answers():
-    """To the first request of the search that the entry starts."""
+def search_answers():
+    """Answers to the first request of the search that the target starts."""
     for held, count in ((10, 1), (10, 11)):
         partials = [
             (4, wire.encode(
                 (1, wire.key_range(lo, hi)), (3, held), (4, count),
                 (5, wire.encode((1, "s"), (2, "k"), (3, "{}"))),
             ))
-            for lo, hi in HALVES
+            for lo, hi in KEY_SPACE_HALVES
         ]
         yield wire.encode((1, "r/e1.7.1.0"), (2, "b1"), (3, 1), *partials)
 
 
-def requests():
+def caller_requests():
     yield b'{"service":"desk","where":{"urgency":"leak"},"mode":"count"}'
     yield (
         b'{"service":"desk","limit":7,"deadline_ms":50,'
@@ -136,7 +136,7 @@
     yield b"1-%016x-%016x-%016x-be1-a" % (1, 2, 3)
 
 
-def messages():
+def http_messages():
     request = (
         b"POST /a/b?c HTTP/1.1\r\nHost: h:1\r\nX-Request-Id: r\r\n"
         b"Connection: close, X-A\r\nX-A: 1\r\n"
@@ -153,21 +153,22 @@
         yield bytes([kind | 3]) + answer + b"Content-Length: 9\r\n\r\n"
 
 
-ENTRY = {"service": "s", "address": "127.0.0.1:1", "data_centre": "d",
-         "slots": 2, "state": "ready", "cold_for_ms": 5}
+SERVER_ENTRY = {"service": "s", "address": "127.0.0.1:1", "data_centre": "d",
+                "slots": 2, "state": "ready", "cold_for_ms": 5}
 
 
-def entries():
-    yield json.dumps(ENTRY).encode()
+def server_entries():
+    yield json.dumps(SERVER_ENTRY).encode()
     for born in (0, 1796256000123, -1, 1.5, "1796256000123", None):
-        yield json.dumps({**ENTRY, "born": born}).encode()
-    for key in ENTRY:
-        yield json.dumps({k: v for k, v in ENTRY.items() if k != key}).encode()
+        yield json.dumps({**SERVER_ENTRY, "born": born}).encode()
+    for key in SERVER_ENTRY:
+        yield json.dumps(
+            {k: v for k, v in SERVER_ENTRY.items() if k != key}).encode()
         for other in (None, 0, -1, 1.5, "", "x", [], {}):
-            yield json.dumps({**ENTRY, key: other}).encode()
+            yield json.dumps({**SERVER_ENTRY, key: other}).encode()
 
 
-def stores():
+def store_answers():
     routes = {
         "version": 3, "services": [{"name": "a", "connections_max": 4}],
         "limits": {"header_bytes_max": 9},
@@ -180,73 +181,74 @@
              "repeat": "once"}],
     }
     yield json.dumps(routes).encode()
-    for value in (ENTRY, routes):
+    for value in (SERVER_ENTRY, routes):
         text = base64.b64encode(json.dumps(value).encode()).decode()
         item = {"key": "servers/i", "value": text, "changed_at": 4}
         yield json.dumps({"items": [item], "more": True,
                           "read_at": 7}).encode()
-        gone = {"key": "servers/j", "changed_at": 5, "removed": True}
-        yield json.dumps({"events": [item, gone], "read_at": 8}).encode()
+        removed = {"key": "servers/j", "changed_at": 5, "removed": True}
+        yield json.dumps({"events": [item, removed], "read_at": 8}).encode()
 
 
-def views():
+def view_messages():
     server = wire.encode((1, "i1"), (2, "s"), (3, "d"), (4, "127.0.0.1:1"),
                          (5, 2), (9, 4), (10, 1000))
-    reborn = wire.encode((1, "i1"), (2, "s"), (3, "d"), (4, "127.0.0.1:1"),
-                         (5, 2), (9, 5), (10, 2000))
-    gone = wire.encode((1, "i1"), (8, 1), (9, 6))
+    restarted = wire.encode((1, "i1"), (2, "s"), (3, "d"), (4, "127.0.0.1:1"),
+                            (5, 2), (9, 5), (10, 2000))
+    removed = wire.encode((1, "i1"), (8, 1), (9, 6))
     routes = b'{"version":3,"routes":[],"services":[]}'
-    whole = wire.encode((1, 3), (2, routes), (3, 2), (5, 1), (7, 5),
-                        (9, server))
-    change = wire.encode((1, 3), (6, 5), (7, 6), (9, reborn), (9, gone),
-                         (10, 1))
-    ask = wire.encode((1, 2), (2, 5))
-    yield b"".join(bytes([len(m)]) + m for m in (whole, change, ask))
+    full_view = wire.encode((1, 3), (2, routes), (3, 2), (5, 1), (7, 5),
+                            (9, server))
+    delta = wire.encode((1, 3), (6, 5), (7, 6), (9, restarted), (9, removed),
+                        (10, 1))
+    view_request = wire.encode((1, 2), (2, 5))
+    yield b"".join(
+        bytes([len(m)]) + m for m in (full_view, delta, view_request))
     body = wire.encode((1, routes), (2, server))
     packed = wire.encode((1, 3), (3, 2), (5, 1), (7, 5),
                          (11, zlib.compress(body)), (12, len(body)))
     yield bytes([len(packed)]) + packed
-    yield bytes([len(change)]) + change
+    yield bytes([len(delta)]) + delta
 
 
-def relays():
+def relay_frames():
     head = b"POST /x HTTP/1.1\r\n"
-    near = [(10, wire.encode((1, i), (2, name), (3, 1000 * i)))
-            for i, name in enumerate(("a", "b", "none"))]
-    job = wire.encode((1, 1), (2, "r"), (3, head), (4, b"body"), (5, 50),
-                      (6, 20), (7, 4), (9, 2), *near)
+    sends = [(10, wire.encode((1, i), (2, name), (3, 1000 * i)))
+             for i, name in enumerate(("a", "b", "none"))]
+    request = wire.encode((1, 1), (2, "r"), (3, head), (4, b"body"), (5, 50),
+                          (6, 20), (7, 4), (9, 2), *sends)
     done = [(2, wire.encode((1, i), (4, 1), (5, "s"), (6, 900)))
             for i in range(2)]
     records = bytes(range(32))
     result = wire.encode((1, 1), *done, (3, records), (4, bytes([0, 1])))
-    lost = wire.encode((1, 1), (2, wire.encode((1, 0), (2, 9))))
+    failed = wire.encode((1, 1), (2, wire.encode((1, 0), (2, 9))))
     cancel = wire.encode((1, 1))
-    yield frame(PART_REQUEST, job) + frame(PART_CANCEL, cancel)
+    yield frame(PART_REQUEST, request) + frame(PART_CANCEL, cancel)
     yield frame(PART_RESULT, wire.encode((1, 1))) + frame(PART_RESULT, result)
-    yield frame(PART_RESULT, lost) + frame(HELLO, b"") + frame(
+    yield frame(PART_RESULT, failed) + frame(HELLO, b"") + frame(
         PART_RESULT, result) + frame(FAILURE, b"")
-    yield frame(PART_REQUEST, job) * 2 + frame(FAILURE, b"")
-    # More connections than an int holds.
-    most = wire.encode((1, 1), (2, "r"), (3, head), (5, 50), (9, 0xffffffff),
-                       *near)
-    yield frame(PART_REQUEST, most)
+    yield frame(PART_REQUEST, request) * 2 + frame(FAILURE, b"")
+    # connections_max above INT_MAX.
+    overflow = wire.encode((1, 1), (2, "r"), (3, head), (5, 50),
+                           (9, 0xffffffff), *sends)
+    yield frame(PART_REQUEST, overflow)
 
 
 def write(out):
-    """A directory of inputs for each entry."""
+    """Writes one directory of inputs per fuzz target."""
     for name, seeds in (
-        ("entry", entries()),
-        ("frame", frames()),
-        ("home", homes()),
-        ("http", messages()),
-        ("relay", relays()),
-        ("request", requests()),
-        ("search", answers()),
+        ("entry", server_entries()),
+        ("frame", peer_frames()),
+        ("home", home_frames()),
+        ("http", http_messages()),
+        ("relay", relay_frames()),
+        ("request", caller_requests()),
+        ("search", search_answers()),
         ("settings", settings()),
-        ("store", stores()),
+        ("store", store_answers()),
         ("table", tables()),
         ("ticket", tickets()),
-        ("view", views()),
+        ("view", view_messages()),
     ):
         directory = out / name
         directory.mkdir(parents=True, exist_ok=True)
--- a/tests/fuzz/test_seeds.py
+++ b/tests/fuzz/test_seeds.py
@@ -1,4 +1,4 @@
-"""Runs a fuzz entry on its seeds: test_seeds.py PROGRAM NAME."""
+"""Runs a fuzz target on its seed corpus: test_seeds.py PROGRAM NAME."""
 
 import pathlib
 import subprocess
