--- a/tests/test_backend_standin.py
+++ b/tests/test_backend_standin.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Drives bench-backend over its sockets: test_backend_standin.py PROGRAM."""
+"""Tests bench-backend over its sockets: test_backend_standin.py PROGRAM."""
 
 import collections
 import contextlib
@@ -23,8 +23,8 @@
 
 PROGRAM = None
 LOOPBACK = "127.0.0.1"
-BOUND_S = 20  # of every wait; reached only by a failure
-POLLS = 20000
+TIMEOUT_S = 20  # of every wait; only a failing test reaches it
+MAX_POLLS = 20000
 FOREVER_US = 600 * 1000 * 1000
 LONG_SETUP_US = 60 * 1000 * 1000
 DESK = "be-desk-01"
@@ -35,7 +35,7 @@
 
 
 class Backend:
-    """A bench-backend process with its servers."""
+    """A bench-backend process and the ports of its servers."""
 
     def __init__(self, directory, *args):
         command = [PROGRAM, "--servers",
@@ -50,38 +50,38 @@
                 self.control_port = item["control_port"]
                 return
             self.ports[item["server"]] = item["port"]
-        self.process.wait(BOUND_S)
+        self.process.wait(TIMEOUT_S)
         self.process.stdout.close()
         raise RuntimeError("bench-backend did not start")
 
     def stop(self):
         self.process.terminate()
-        code = self.process.wait(BOUND_S)
+        code = self.process.wait(TIMEOUT_S)
         self.process.stdout.close()
         return code
 
     def connect(self, server):
         conn = http.client.HTTPConnection(LOOPBACK, self.ports[server],
-                                          timeout=BOUND_S)
+                                          timeout=TIMEOUT_S)
         conn.connect()
         return conn
 
     def control(self, **command):
         with contextlib.closing(http.client.HTTPConnection(
-                LOOPBACK, self.control_port, timeout=BOUND_S)) as conn:
+                LOOPBACK, self.control_port, timeout=TIMEOUT_S)) as conn:
             conn.request("POST", "/control", json.dumps(command))
             response = conn.getresponse()
             return response.status, json.loads(response.read())
 
     def counters(self, server):
         with contextlib.closing(http.client.HTTPConnection(
-                LOOPBACK, self.control_port, timeout=BOUND_S)) as conn:
+                LOOPBACK, self.control_port, timeout=TIMEOUT_S)) as conn:
             conn.request("GET", "/control?tickets=1&server=" + server)
             return json.loads(conn.getresponse().read())["servers"][server]
 
     def wait(self, server, condition):
-        """Asks for the counters until they meet the condition."""
-        for _ in range(POLLS):
+        """Polls the counters until they meet the condition."""
+        for _ in range(MAX_POLLS):
             counters = self.counters(server)
             if condition(counters):
                 return counters
@@ -101,8 +101,8 @@
     return response, response.read()
 
 
-def search(conn, **what):
-    send_search(conn, **what)
+def search(conn, **fields):
+    send_search(conn, **fields)
     response, body = receive(conn)
     if response.status != 200:
         return response, None
@@ -128,8 +128,8 @@
     return receive(conn)[0].status
 
 
-def merged(answer, limit):
-    """What a caller is told: counts added, records in order."""
+def merge_shards(answer, limit):
+    """Merges a server's shards as for a caller: sums and sorted records."""
     records = sorted((r for s in answer["shards"] for r in s["records"]),
                      key=lambda r: (r[0].encode(), r[1].encode()))
     return {"total": sum(s["held"] for s in answer["shards"]),
@@ -142,7 +142,7 @@
 
 
 class StandInTest(unittest.TestCase):
-    """Each test has its own process, so that no fault leaks into another."""
+    """Starts one process per test, so that injected faults stay separate."""
 
     arguments = ()
 
@@ -259,13 +259,13 @@
 
     def test_registry_shards_on_two_servers(self):
         backend = self.start("--set", "slots=7")
-        places = collections.Counter()
+        replicas = collections.Counter()
         servers = [s for s in backend.ports if s.startswith(REGISTRY)]
         for server in servers:
             _, held = holdings(self.connect(backend, server))
-            places.update(held["snapshots"][1]["here"])
+            replicas.update(held["snapshots"][1]["here"])
             shards = len(held["snapshots"][1]["map"])
-        self.assertEqual(places, {shard: 2 for shard in range(shards)})
+        self.assertEqual(replicas, {shard: 2 for shard in range(shards)})
 
     def test_parts_share_the_servers(self):
         names = [set(self.start("--part", "%d/3" % i).ports)
@@ -281,7 +281,7 @@
             Backend(self.directory, "--only", "no-such-server")
 
     def test_keys_of_every_length(self):
-        """The scan's own hash agrees with the library's at each length."""
+        """The hash in scan.py must equal the library's at each key length."""
         with tempfile.TemporaryDirectory() as directory:
             with open(os.path.join(directory, "k.jsonl"), "w",
                       encoding="utf-8") as file:
@@ -321,23 +321,23 @@
                     self.assertEqual((answer["request_id"],
                                       answer["version"]), ("r", 1))
                     self.assertEqual(
-                        merged(answer, limit),
+                        merge_shards(answer, limit),
                         self.desk.scan(1, json.loads(where or "{}"), limit))
 
     def test_count_has_no_records(self):
         backend = self.start("--only", DESK + "-1")
         _, answer = search(self.connect(backend), mode="count", where=LEAK,
                            limit=0)
-        self.assertEqual(merged(answer, 10),
+        self.assertEqual(merge_shards(answer, 10),
                          self.desk.scan(1, json.loads(LEAK), 0))
 
     def test_refusals(self):
         backend = self.start("--only", REGISTRY + "-1," + DESK + "-1")
         conn = self.connect(backend)
-        for what, status in (({"version": 9}, 409), ({"where": "["}, 400),
-                             ({"where": "3"}, 400),
-                             ({"service": "another"}, 400)):
-            self.assertEqual(search(conn, **what)[0].status, status, what)
+        for fields, status in (({"version": 9}, 409), ({"where": "["}, 400),
+                               ({"where": "3"}, 400),
+                               ({"service": "another"}, 400)):
+            self.assertEqual(search(conn, **fields)[0].status, status, fields)
         conn.request("POST", "/v1/search", b"\xff\xff")
         self.assertEqual(receive(conn)[0].status, 400)
 
@@ -351,8 +351,8 @@
 
 
 class LimitTest(StandInTest):
-    def occupied(self, *args):
-        """A server whose two slots are taken until they are cancelled."""
+    def start_occupied(self, *args):
+        """Starts a server with both slots in use until cancelled."""
         backend = self.start("--only", DESK + "-1", "--service-us",
                              str(FOREVER_US), *args)
         conns = [self.connect(backend) for _ in range(2)]
@@ -362,7 +362,7 @@
         return backend, conns
 
     def test_no_slot(self):
-        backend, _ = self.occupied()
+        backend, _ = self.start_occupied()
         response, _ = search(self.connect(backend))
         self.assertEqual(response.status, 429)
         self.assertGreaterEqual(int(response.headers["Retry-After-Ms"]), 1)
@@ -371,7 +371,7 @@
         self.assertEqual(counters["slots_peak"], 2)
 
     def test_cancel_frees_the_slot(self):
-        backend, conns = self.occupied()
+        backend, conns = self.start_occupied()
         other = self.connect(backend)
         self.assertEqual(cancel(other, "slot-0"), 204)
         self.assertEqual(receive(conns[0])[0].status, 499)
@@ -381,7 +381,7 @@
         self.assertEqual(cancel(other, "no such request"), 204)
 
     def test_queue(self):
-        backend, conns = self.occupied("--set", "queue=1")
+        backend, conns = self.start_occupied("--set", "queue=1")
         waiting = self.connect(backend)
         send_search(waiting, request_id="waits")
         backend.wait(DESK + "-1", lambda c: c["queued_peak"] == 1)
@@ -415,8 +415,8 @@
         self.assertEqual(counters["connections_refused"], 1)
 
     def test_closing_while_worked_on(self):
-        """A caller that gave up is no longer counted as a connection."""
-        backend, conns = self.occupied()
+        """A closed connection is not counted, although its request runs."""
+        backend, conns = self.start_occupied()
         conns[0].close()
         counters = backend.wait(DESK + "-1",
                                 lambda c: c["connections_open"] == 1)
@@ -429,15 +429,15 @@
                              "cold_requests=2")
         self.command(backend, fault="crash_on", marker="poison",
                      restart_ms=1)
-        bystander = self.connect(backend)
+        other = self.connect(backend)
         conn = self.connect(backend)
         for _ in range(2):
-            self.assertEqual(search(bystander)[0].status, 200)
-        self.assertFalse(holdings(bystander)[1]["cold"])
+            self.assertEqual(search(other)[0].status, 200)
+        self.assertFalse(holdings(other)[1]["cold"])
         with self.assertRaises((ConnectionError, http.client.HTTPException)):
             search(conn, where='{"workspace":"poison"}')
         with self.assertRaises((ConnectionError, http.client.HTTPException)):
-            search(bystander)
+            search(other)
         counters = backend.wait(DESK + "-1", lambda c: not c["down"])
         self.assertEqual(counters["crashes"], 1)
         self.assertEqual(counters["running"], 0)
@@ -449,7 +449,7 @@
         backend = self.start("--only", DESK + "-1")
         self.command(backend, fault="crash")
         backend.wait(DESK + "-1", lambda c: c["down"])
-        for _ in range(POLLS):
+        for _ in range(MAX_POLLS):
             try:
                 backend.connect(DESK + "-1").close()
             except ConnectionRefusedError:
@@ -457,7 +457,7 @@
         self.fail("still listening")
 
     def test_silent_connections(self):
-        """An open connection never answers again while a new one does."""
+        """Connections open at the fault get no answer; new ones do."""
         backend = self.start("--only", DESK + "-1")
         conn = self.connect(backend)
         self.assertEqual(search(conn)[0].status, 200)
@@ -507,13 +507,13 @@
         for version, ranges in ((1, SHARDS), (2, scan.shard_ranges(16))):
             _, answer = search(conn, version=version, shards=ranges)
             self.assertEqual(answer["version"], version)
-            self.assertEqual(merged(answer, 1000),
+            self.assertEqual(merge_shards(answer, 1000),
                              self.desk.scan(version, {}, 1000))
         _, answer = search(conn, version=1, shards=scan.shard_ranges(16))
         self.assertEqual({s["status"] for s in answer["shards"]},
                          {SHARD_NOT_HELD})
         self.command(backend, fault="version", version=3, shards=16)
-        # Version 2 is dropped at once; version 1 still has its time.
+        # Version 2 is dropped at once; keep_ms of version 1 has not passed.
         self.assertEqual(sorted(holdings(conn)[1]["snapshots"]), [1, 3])
         self.assertEqual(search(conn, version=2)[0].status, 409)
 
@@ -668,7 +668,7 @@
         self.assertEqual(sorted(statuses), [200, 404])
 
     def test_crash_after_running(self):
-        """The worst case of at most once: it ran, and nobody was told."""
+        """A crash after the run loses its answer; the run still counts once."""
         backend = self.start("--only", DESK + "-1")
         conn = self.connect(backend)
         self.command(backend, fault="crash_on", marker="poison", restart_ms=1)
--- a/tests/test_check_events.py
+++ b/tests/test_check_events.py
@@ -1,4 +1,4 @@
-"""scripts/check-events.sh, on a small tree with one disagreement at a time."""
+"""Runs scripts/check-events.sh on a small tree with one difference each."""
 
 import pathlib
 import subprocess
@@ -65,56 +65,56 @@
             return (done.returncode, done.stdout,
                     (pages / "metrics.md").read_text())
 
-    def assert_wrong(self, word, **files):
+    def assert_found(self, text, **files):
         status, out, _ = self.check(**files)
         self.assertEqual(status, 1)
-        self.assertIn(word, out)
+        self.assertIn(text, out)
 
     def test_agree(self):
         self.assertEqual(self.check()[:2], (0, ""))
 
     def test_event_missing_on_the_page(self):
-        self.assert_wrong("event new is not on", code=CODE.replace(
+        self.assert_found("event new is not on", code=CODE.replace(
             "}\n", "}\nvoid g(void) { LOG_ERROR(\"new\"); }\n"))
 
     def test_event_not_in_the_code(self):
-        self.assert_wrong("names event in_force", code=CODE.replace(
+        self.assert_found("names event in_force", code=CODE.replace(
             "in_force", "call_failed"))
 
     def test_other_level(self):
-        self.assert_wrong("in_force is", code=CODE.replace(
+        self.assert_found("in_force is", code=CODE.replace(
             "LOG_INFO", "LOG_ERROR"))
 
     def test_other_module(self):
-        self.assert_wrong("in_force is", code=CODE.replace(
+        self.assert_found("in_force is", code=CODE.replace(
             "\"table\"", "\"tables\""))
 
     def test_name_is_no_constant(self):
-        self.assert_wrong("no constant", code=CODE.replace(
+        self.assert_found("no constant", code=CODE.replace(
             "LOG_INFO(\"in_force\"", "LOG_INFO(name"))
 
     def test_no_action(self):
-        self.assert_wrong("lacks", events=EVENTS.replace("None.", ""))
+        self.assert_found("lacks", events=EVENTS.replace("None.", ""))
 
     def test_event_twice(self):
         row = "| `in_force` | table | info | It is. | None. |\n"
-        self.assert_wrong("stands twice", events=EVENTS.replace(row, row * 2))
+        self.assert_found("stands twice", events=EVENTS.replace(row, row * 2))
 
     def test_alarm_missing(self):
-        self.assert_wrong("alarm table_refused is not on",
+        self.assert_found("alarm table_refused is not on",
                           events=EVENTS.replace("`table_refused`", "`other`"))
 
     def test_alarm_not_in_the_code(self):
-        self.assert_wrong("names alarm table_refused",
+        self.assert_found("names alarm table_refused",
                           code=CODE.replace("\"table_refused\"", "\"new\""))
 
     def test_metric_missing(self):
-        self.assert_wrong("metric new_total is not on",
+        self.assert_found("metric new_total is not on",
                           counters=COUNTERS.replace("searches_total",
                                                     "new_total"))
 
     def test_metric_with_other_words(self):
-        self.assert_wrong("differs", counters=COUNTERS.replace(
+        self.assert_found("differs", counters=COUNTERS.replace(
             "taken", "refused"))
 
     def test_write_metrics(self):
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments start real stand-ins; direct load must find the whole truth."""
+"""Tests bench/experiment.py with stand-in servers and direct load."""
 
 import pathlib
 import socket
@@ -48,10 +48,10 @@
                          6 * out["sent"])
 
     def test_a_shard_that_answers_nothing_is_not_covered(self):
-        """One server sheds everything.
+        """A server that sheds every request leaves its shard uncovered.
 
-        Its shard is missing from the answers that asked it; those must say
-        so, and their counts must not claim more than the truth.
+        The answers must report the missing shard, and their counts must not
+        exceed the correct ones.
         """
         deployment = self.deployment("--replicas", 1)
         deployment.control(fault="shed", server="fanout-1", ratio=1)
@@ -71,17 +71,19 @@
 
 class Ports(unittest.TestCase):
     def test_no_port_is_given_twice(self):
-        """An instance is told its port and starts slowly. Before it listens,
-        the next one is told its own; with the same port it could not start,
-        and a test would wait for it in vain."""
+        """Two instances must not be given the same port.
+
+        The second is given its port before the first one listens. With the
+        same port it fails to start, and the test waits until its timeout.
+        """
         ports = [experiment.free_ports(1)[0] for _ in range(2000)]
         self.assertEqual(len(set(ports)), len(ports))
 
     def test_no_port_of_the_ephemeral_range(self):
-        """An instance's port goes to a connection of another process.
+        """An ephemeral port can be taken before the instance binds it.
 
-        The port was free when it was chosen. A busy machine gives it away
-        before the instance starts, which ends with its address in use.
+        The kernel may give a port that was free when it was chosen to another
+        process's connection. The instance then exits: address in use.
         """
         first, _ = experiment.ephemeral_ports()
         ports = experiment.free_ports(50)
@@ -90,9 +92,12 @@
 
 
     def test_no_port_in_use_at_another_address(self):
-        """Instances listen at several addresses of the loopback range. A port
-        that is taken at one of them looked free at another, and an instance
-        of a test beside ended at its start, status 1, before it was ready."""
+        """A port in use at any loopback address must not count as free.
+
+        Instances listen at several loopback addresses. A port in use at one
+        of them looked free at another, and an instance of a concurrent test
+        exited with status 1 before it was ready.
+        """
         with socket.socket() as sock:
             sock.bind(("127.0.0.10", 0))
             self.assertFalse(experiment.is_free(sock.getsockname()[1]))
--- a/tests/test_history_check.py
+++ b/tests/test_history_check.py
@@ -1,4 +1,4 @@
-"""A clean history passes; each planted violation is caught and named."""
+"""Tests bench/history_check.py on a valid history and with violations."""
 
 import copy
 import io
@@ -15,7 +15,7 @@
 import history_check as hc  # noqa: E402
 import scan  # noqa: E402
 
-S = hc.USEC
+S = hc.USEC  # one second
 SERVICE = "desk"
 HALVES = [[0, 32767], [32768, 65535]]
 ADDRESS = "127.0.0.1:1"
@@ -28,7 +28,7 @@
 
 
 def records():
-    """Version 2 closes every third order and adds two."""
+    """Returns 40 orders. Version 2 closes every third one and adds two."""
     out = []
     for i in range(40):
         changed = i % 3 == 0
@@ -39,7 +39,7 @@
 
 
 class History:
-    """A small run without violations, to be spoilt by the tests."""
+    """Writes a small history without violations; each test alters it."""
 
     QUERIES = [{"service": SERVICE, "where": {"state": "open"}, "limit": 3},
                {"service": SERVICE, "mode": "count"}]
@@ -52,7 +52,7 @@
         self.load = []
         self.backend = []
         self.events = []
-        self.n = 0
+        self.work_no = 0
         self.build()
 
     def write(self, name, lines):
@@ -69,7 +69,7 @@
         self.first = self.search(3 * S)
         self.partial = self.search(4 * S, version=2, ranges=HALVES[:1])
         self.counted = self.search(5 * S, version=2, query=1)
-        self.refused = self.attempt(5 * S, "not_run", 503)
+        self.refused = self.add_attempt(5 * S, "not_run", 503)
         self.done = self.run_request(6 * S, "t1")
         self.refused_run = self.run_request(6 * S, "t2", "not_run", 503)
         self.fault(10 * S, "desk-1", fault="drain")
@@ -101,21 +101,21 @@
         self.backend.append(line)
         return line
 
-    def work(self, at, kind, request_id, server="desk-1", answer="done",
-             ran=True, **fields):
-        self.n += 1
-        common = {"server": server, "connection": self.n, "kind": kind,
-                  "request_id": f"{request_id}/a.1.{self.n}.0"}
+    def add_work(self, at, kind, request_id, server="desk-1", answer="done",
+                 ran=True, **fields):
+        self.work_no += 1
+        common = {"server": server, "connection": self.work_no, "kind": kind,
+                  "request_id": f"{request_id}/a.1.{self.work_no}.0"}
         lines = [{"event": "start", "time_us": at, **common, **fields},
                  {"event": "end", "time_us": at + 1000, **common,
                   "answer": answer, "ran": ran, "spoilt": False}]
         self.backend += lines
         return lines
 
-    def attempt(self, at, outcome, status, path="/v1/search", query=0,
-                address=ADDRESS, **fields):
-        self.n += 1
-        request_id = f"q{self.n}"
+    def add_attempt(self, at, outcome, status, path="/v1/search", query=0,
+                    address=ADDRESS, **fields):
+        self.work_no += 1
+        request_id = f"q{self.work_no}"
         line = {"id": request_id, "path": path, "attempt": 1,
                 "intended": at, "invoke": at, "return": at + 10000,
                 "address": address, "outcome": outcome, "status": status,
@@ -128,12 +128,12 @@
 
     def search(self, at, version=1, ranges=HALVES, query=0, address=ADDRESS,
                server="desk-1"):
-        """An answer that is true, and the server's record of it."""
+        """Adds a correct answer and the server's record of the search."""
         body = self.QUERIES[query]
         limit = 0 if body.get("mode") == "count" else body["limit"]
         found = self.data.scan(version, body.get("where", {}), limit, ranges)
         total = len(self.data.snapshot(version))
-        line = self.attempt(at, "done", 200, query=query, address=address)
+        line = self.add_attempt(at, "done", 200, query=query, address=address)
         missing = [{"lo": lo, "hi": hi, "reason": "too_late"}
                    for lo, hi in HALVES if [lo, hi] not in ranges]
         ratio = found["total"] / total
@@ -144,19 +144,19 @@
                          "ratio": round(ratio, 6), "sufficient": ratio >= 0.9,
                          "missing": missing, "missing_shards": len(missing)},
             "table": {"revision": 1, "age_ms": 1}})
-        self.work(at + 1000, "search", line["id"], server, version=version,
-                  shards=ranges)
+        self.add_work(at + 1000, "search", line["id"], server,
+                      version=version, shards=ranges)
         return line
 
     def run_request(self, at, ticket, outcome="done", status=200):
-        line = self.attempt(at, outcome, status, "/v1/run", ticket=ticket)
+        line = self.add_attempt(at, outcome, status, "/v1/run", ticket=ticket)
         if outcome == "done":
             line["answer"]["result"] = {"ran": True}
-            self.work(at + 1000, "run", line["id"], ticket=ticket)
+            self.add_work(at + 1000, "run", line["id"], ticket=ticket)
         return line
 
-    def works(self, line):
-        """The server's lines of a search, start and end."""
+    def server_lines(self, line):
+        """Returns the server's start and end lines of a search."""
         return [x for x in self.backend
                 if x.get("request_id", "").startswith(line["id"] + "/")]
 
@@ -175,7 +175,7 @@
         self.history = History(directory.name)
 
     def assert_violated(self, promise, text, count=1):
-        """Only that promise, and the lines that show it are named."""
+        """Checks that only this promise is violated and its lines are given."""
         verdicts = self.history.check()
         found = {name: [v[0] for v in verdict.violations]
                  for name, verdict in verdicts.items() if verdict.violations}
@@ -200,7 +200,7 @@
         self.assert_held()
 
     def test_nothing_is_said_of_what_was_not_seen(self):
-        """A run without a planned stop proves nothing about stops."""
+        """Without a planned stop in the history, that promise is unchecked."""
         self.history.events = [e for e in self.history.events
                                if e["event"] not in ("term", "exit")]
         verdicts = self.history.check()
@@ -235,7 +235,7 @@
         self.assert_violated(hc.SNAPSHOT, "count")
 
     def test_records_of_two_versions(self):
-        """One shard's partial answer came from the next version."""
+        """An answer merges one shard's records of the next version."""
         answer = self.history.first["answer"]
         first = [r["order"] for r in answer["records"]]
         other = self.history.data.scan(2, {"state": "open"}, 9)["records"]
@@ -252,7 +252,7 @@
 
 class Coverage(Planted):
     def test_more_claimed_than_answered(self):
-        """An answer with a shard missing says that it has everything."""
+        """An answer with a shard missing claims more than was answered."""
         coverage = self.history.partial["answer"]["coverage"]
         coverage["covered"] += 1
         self.assert_violated(hc.COVERAGE, "covered")
@@ -270,20 +270,20 @@
         self.assert_violated(hc.COVERAGE, "sufficient")
 
     def test_shard_that_no_server_answered(self):
-        start = self.history.works(self.history.first)[0]
+        start = self.history.server_lines(self.history.first)[0]
         start["shards"] = HALVES[:1]
         self.assert_violated(hc.COVERAGE, "answered usably by no server")
 
     def test_shard_answered_in_another_version(self):
-        self.history.works(self.history.first)[0]["version"] = 2
+        self.history.server_lines(self.history.first)[0]["version"] = 2
         self.assert_violated(hc.COVERAGE, "answered usably by no server")
 
     def test_truncated_answer_was_taken(self):
-        self.history.works(self.history.first)[1]["spoilt"] = True
+        self.history.server_lines(self.history.first)[1]["spoilt"] = True
         self.assert_violated(hc.COVERAGE, "answered usably by no server")
 
     def test_answer_that_came_after_the_callers(self):
-        end = self.history.works(self.history.first)[1]
+        end = self.history.server_lines(self.history.first)[1]
         end["time_us"] = self.history.first["return"] + 1
         self.assert_violated(hc.COVERAGE, "answered usably by no server")
 
@@ -311,11 +311,11 @@
         self.assert_violated(hc.WHOLE, "breaks the protocol")
 
     def test_cut_off_by_a_well_instance(self):
-        self.history.attempt(7 * S, "cut_off", 0)
+        self.history.add_attempt(7 * S, "cut_off", 0)
         self.assert_violated(hc.WHOLE, "the instance was well")
 
     def test_cut_off_by_a_crash(self):
-        self.history.attempt(7 * S, "cut_off", 0)
+        self.history.add_attempt(7 * S, "cut_off", 0)
         for event, at in (("kill", 7 * S + 5000), ("start", 8 * S)):
             self.history.event(event, at, instance="a", address=ADDRESS)
         self.assert_held()
@@ -335,17 +335,19 @@
 
 class NotRun(Planted):
     def test_refused_search_ran(self):
-        self.history.work(5 * S + 1000, "search", self.history.refused["id"],
-                          version=1, shards=HALVES)
+        self.history.add_work(5 * S + 1000, "search",
+                              self.history.refused["id"],
+                              version=1, shards=HALVES)
         self.assert_violated(hc.NOT_RUN, "a server ran it")
 
     def test_refused_search_was_refused_by_servers(self):
-        self.history.work(5 * S + 1000, "search", self.history.refused["id"],
-                          version=1, shards=HALVES, answer="shed", ran=False)
+        self.history.add_work(5 * S + 1000, "search",
+                              self.history.refused["id"], version=1,
+                              shards=HALVES, answer="shed", ran=False)
         self.assert_held()
 
     def test_search_that_ran_when_sent_again(self):
-        """Told to come back, the caller did, and then it ran."""
+        """A refused search may run when the caller sends it again."""
         line = self.history.search(8 * S)
         first = copy.deepcopy(self.history.refused)
         first["id"] = first["answer"]["request_id"] = line["id"]
@@ -355,18 +357,18 @@
         self.assert_held()
 
     def test_refused_run_ran(self):
-        """A van is scheduled, and the agent is told that it was not."""
-        self.history.work(9 * S, "run", "x", ticket="t2")
+        """A run reported as not_run must not have run on any server."""
+        self.history.add_work(9 * S, "run", "x", ticket="t2")
         self.assert_violated(hc.NOT_RUN, "but it ran")
 
 
 class AtMostOnce(Planted):
     def test_ticket_ran_on_two_servers(self):
-        self.history.work(6 * S + 3000, "run", "x", "desk-2", ticket="t1")
+        self.history.add_work(6 * S + 3000, "run", "x", "desk-2", ticket="t1")
         self.assert_violated(hc.AT_MOST_ONCE, "ran 2 times")
 
     def test_second_ticket_of_a_request_ran_too(self):
-        """Its first ticket had run although the answer was lost."""
+        """The caller lost the first answer and took a second ticket."""
         first = self.history.run_request(7 * S, "t4")
         second = self.history.run_request(8 * S, "t5")
         second["id"] = second["answer"]["request_id"] = first["id"]
@@ -418,8 +420,8 @@
 
     def test_killed_while_stopping(self):
         self.history.stopping.update(outcome="cut_off", status=0, answer=None)
-        self.history.attempt(19 * S + 999000, "bad_request", 400,
-                             address=OTHER)
+        self.history.add_attempt(19 * S + 999000, "bad_request", 400,
+                                 address=OTHER)
         for event in self.history.events:
             if event["event"] == "exit":
                 event["event"] = "kill"
@@ -453,7 +455,7 @@
         self.assert_violated(hc.REVISION, "revision 1 after 5")
 
     def test_answers_that_crossed(self):
-        """One was made before the change and returned after it."""
+        """Of two overlapping requests, either may have the older revision."""
         late = self.history.search(31 * S, version=2, server="desk-2")
         late["answer"]["table"]["revision"] = 5
         crossed = self.history.search(32 * S, version=2, server="desk-2")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool counts what callers see, against a stub of their protocol."""
+"""Tests the load tool against a stub of the callers' HTTP protocol."""
 
 import http.server
 import json
@@ -22,14 +22,14 @@
     def log_message(self, *_):
         pass
 
-    def reply(self, status, body, promised=None):
+    def reply(self, status, body, content_length=None):
         text = json.dumps(body).encode()
         self.send_response(status)
         self.send_header("Content-Type", "application/json")
-        self.send_header("Content-Length", str(promised or len(text)))
+        self.send_header("Content-Length", str(content_length or len(text)))
         self.end_headers()
         self.wfile.write(text)
-        if promised:
+        if content_length:
             self.close_connection = True
 
     def do_GET(self):
@@ -50,7 +50,7 @@
 
 
 class Stub:
-    """One instance. `answer` is replaced to make it misbehave."""
+    """Stands in for an instance. Tests replace `answer` to inject faults."""
 
     def __init__(self, fleet=None):
         self.server = Server(("127.0.0.1", 0), Handler)
@@ -59,14 +59,14 @@
         self.seen = []
         self.address = "127.0.0.1:%d" % self.server.server_address[1]
         self.fleet = fleet
-        self.asked = 0
+        self.lookups = 0
         self.lifetime_ms = 60000
         self.used = {}
         threading.Thread(target=self.server.serve_forever, args=(0.01,),
                          daemon=True).start()
 
     def addresses(self):
-        self.asked += 1
+        self.lookups += 1
         rows = self.fleet or [(self.address, "be1")]
         return {
             "lifetime_ms": self.lifetime_ms,
@@ -180,14 +180,14 @@
         self.assertEqual(out["latency_us"]["n"], 0)
 
     def test_a_short_body_is_no_answer(self):
-        """An instance dies in the middle of an answer.
+        """A body shorter than its Content-Length must count as cut off.
 
-        The head promised more than the body has. A caller that took it would
-        show a list with its tail missing.
+        This happens when an instance crashes while it writes an answer. The
+        records at the end of the list would be missing.
         """
         stub = self.stub()
         stub.answer = lambda handler, body, _: handler.reply(
-            200, done(body), promised=100000
+            200, done(body), content_length=100000
         )
         out = self.search(stub)
         self.assertEqual(out["outcomes"], {"cut_off": out["sent"]})
@@ -203,24 +203,25 @@
         self.assertEqual(out["outcomes"], {"silent": out["sent"]})
 
     def test_arrivals_wait_for_no_answer(self):
-        """An instance stalls, and closed-loop load would stall with it.
+        """Arrivals must not wait for answers (open-loop load).
 
-        As many requests must start as with a quick instance.
+        With a stalled instance as many requests must start as with a fast
+        one; closed-loop load would stall as well.
         """
-        quick = self.search(self.stub())
+        fast = self.search(self.stub())
         stub = self.stub()
         release = threading.Event()
         self.addCleanup(release.set)
 
         def answer(handler, body, number):
-            if number >= quick["sent"] // 2:
+            if number >= fast["sent"] // 2:
                 release.set()
             release.wait()
             handler.reply(200, done(body))
 
         stub.answer = answer
         out = self.search(stub)
-        self.assertEqual(out["sent"], quick["sent"])
+        self.assertEqual(out["sent"], fast["sent"])
         self.assertEqual(out["outcomes"], {"done": out["sent"]})
 
 
@@ -281,7 +282,7 @@
 
 class Addresses(Load):
     def fleet(self):
-        """Two instances of be1 and one of be2."""
+        """Returns two instances of be1 and one of be2."""
         rows = []
         stubs = [self.stub(fleet=rows) for _ in range(3)]
         rows += zip([s.address for s in stubs], ["be1", "be1", "be2"])
@@ -294,40 +295,41 @@
         self.assertGreater(len(stubs[0].seen), 0)
         self.assertGreater(len(stubs[1].seen), 0)
         self.assertEqual(len(stubs[2].seen), 0)
-        self.assertEqual(stubs[0].asked + stubs[1].asked, 0)
+        self.assertEqual(stubs[0].lookups + stubs[1].lookups, 0)
 
     def test_the_next_address_when_none_connects(self):
-        """An instance is gone before callers' answers run out.
+        """Requests must move to the next address if a connection fails.
 
-        Callers get no connection to it. Nothing was sent, so every request
-        must end well elsewhere, and the answer must be asked for anew.
+        An instance stops while callers still have it in their address list.
+        Nothing was sent to it, so every request must succeed at another one,
+        and the address list must be fetched again.
         """
         stubs = self.fleet()
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
-            gone = "127.0.0.1:%d" % unused.getsockname()[1]
-            stubs[0].fleet[:] = [(gone, "be1")] + stubs[0].fleet[1:]
+            closed = "127.0.0.1:%d" % unused.getsockname()[1]
+            stubs[0].fleet[:] = [(closed, "be1")] + stubs[0].fleet[1:]
             out = self.run_load([stubs[2].address], "--service", "desk",
                                 "--data-centre", "be1")
         self.assertEqual(out["outcomes"], {"done": out["sent"]})
-        self.assertGreater(out["addresses"][gone]["connect_failures"], 0)
+        self.assertGreater(out["addresses"][closed]["connect_failures"], 0)
         self.assertEqual(len(stubs[2].seen), 0)
         self.assertGreater(out["address_refreshes"], 16)
 
     def test_nobody_is_there(self):
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
-            gone = "127.0.0.1:%d" % unused.getsockname()[1]
-            out = self.run_load([gone], "--service", "desk", "--fixed")
+            closed = "127.0.0.1:%d" % unused.getsockname()[1]
+            out = self.run_load([closed], "--service", "desk", "--fixed")
         self.assertEqual(out["outcomes"], {"unreachable": out["sent"]})
 
     def test_the_answer_is_kept_for_its_lifetime(self):
         stub = self.stub()
         out = self.search(stub, "--callers", "3")
-        self.assertEqual(stub.asked, 3)
+        self.assertEqual(stub.lookups, 3)
         stub.lifetime_ms = 1
         out = self.search(stub, "--callers", "3")
-        self.assertGreater(stub.asked, 6)
+        self.assertGreater(stub.lookups, 6)
         self.assertEqual(out["outcomes"], {"done": out["sent"]})
 
 
@@ -384,15 +386,15 @@
         self.assertEqual(seen[0], seen[1])
         self.assertEqual(len(seen[0]), out["sent"])
 
-    def repeat(self, first, second):
-        """What is said of a ticket that gets two answers, one after other."""
+    def resend(self, first, second):
+        """Returns the fault reported for a ticket's two answers, or None."""
         stub = self.stub()
-        plain = stub.answer
+        default_answer = stub.answer
         seen = set()
 
         def answer(handler, body, number):
             if handler.path == "/v1/tickets":
-                plain(handler, body, number)
+                default_answer(handler, body, number)
                 return
             with stub.lock:
                 again = body["ticket"] in seen
@@ -406,20 +408,20 @@
         return out.get("first_wrong")
 
     def test_answers_that_contradict_each_other(self):
-        """A caller sends its ticket once more through another instance.
+        """Contradicting answers to one ticket must be reported.
 
-        What ran is then said not to have run, or runs again and gives
-        another result: two vans are on their way.
+        A caller sends its ticket again. What ran is then reported as not run,
+        or runs again with another result.
         """
         ran = (200, "done", 1)
         refused = (503, "not_run", None)
         unknown = (502, "unknown", None)
-        self.assertIsNone(self.repeat(ran, ran))
-        self.assertIsNone(self.repeat(ran, unknown))
-        self.assertIsNone(self.repeat(unknown, ran))
-        self.assertEqual(self.repeat(ran, refused), "not_run_after_done")
-        self.assertEqual(self.repeat(refused, ran), "done_after_not_run")
-        self.assertEqual(self.repeat(ran, (200, "done", 2)), "results_differ")
+        self.assertIsNone(self.resend(ran, ran))
+        self.assertIsNone(self.resend(ran, unknown))
+        self.assertIsNone(self.resend(unknown, ran))
+        self.assertEqual(self.resend(ran, refused), "not_run_after_done")
+        self.assertEqual(self.resend(refused, ran), "done_after_not_run")
+        self.assertEqual(self.resend(ran, (200, "done", 2)), "results_differ")
 
 
 class Records(Load):
--- a/tests/test_platform_standin.py
+++ b/tests/test_platform_standin.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in keeps the protocol that readers rely on."""
+"""Tests the platform stand-in against the protocol its readers use."""
 
 import json
 import pathlib
@@ -36,7 +36,7 @@
         return status, revision, body.decode()
 
     def wait_in_background(self, platform, key, query):
-        """A watch that the stand-in holds when this returns."""
+        """Starts a watch; returns once the stand-in holds it."""
         result = []
         thread = threading.Thread(
             target=lambda: result.append(self.get(platform, key, query))
@@ -67,13 +67,13 @@
 
     def test_values_have_a_limit(self):
         platform = self.start()
-        most = 1024 * 1024
+        max_bytes = 1024 * 1024
         status = experiment.request(
-            platform.port, "PUT", "/control/values/a", b"x" * (most + 1)
+            platform.port, "PUT", "/control/values/a", b"x" * (max_bytes + 1)
         )[0]
         self.assertEqual(status, 413)
-        platform.put("a", b"x" * most)
-        self.assertEqual(len(self.get(platform, "a")[2]), most)
+        platform.put("a", b"x" * max_bytes)
+        self.assertEqual(len(self.get(platform, "a")[2]), max_bytes)
 
     def test_readers_cannot_write(self):
         platform = self.start()
@@ -107,10 +107,10 @@
         )
 
     def test_a_reader_that_goes_away_waits_no_more(self):
-        """A reader is killed while its watch waits.
+        """A watch must end when its reader disconnects.
 
-        The stand-in would go on counting it until the wait is over, and
-        experiments would see readers that are not there.
+        Otherwise the stand-in counts the reader until wait_ms is over, and
+        experiments see too many readers.
         """
         platform = self.start()
         first = platform.put("a", "one")["revision"]
@@ -177,17 +177,17 @@
             ],
         )
 
-    def read_whole(self, platform):
+    def read_table(self, platform):
         manifest = json.loads(self.get(platform, "table")[2])["manifest"]
         parts = [self.get(platform, row["key"]) for row in manifest]
         self.assertEqual({status for status, _, _ in parts}, {200})
         return "".join(text for _, _, text in parts)
 
     def test_a_manifest_switches_all_parts_at_once(self):
-        """A table in parts is replaced while a reader collects them.
+        """A reader must not combine parts of two tables.
 
-        Were parts changed in place, the reader would put the head of one
-        table and the tail of another together.
+        A table in parts is replaced while a reader fetches them. If parts were
+        changed in place, it would get the head of one and the tail of another.
         """
         platform = self.start("--part-bytes", "100", "--rate", "1000000")
         tables = [f"{i:04d}" * 100 for i in range(25)]
@@ -201,9 +201,9 @@
         thread.start()
         seen = []
         while thread.is_alive():
-            seen.append(self.read_whole(platform))
+            seen.append(self.read_table(platform))
         thread.join()
-        seen.append(self.read_whole(platform))
+        seen.append(self.read_table(platform))
         self.assertLessEqual(set(seen), set(tables))
         self.assertEqual(seen[-1], tables[-1])
         self.assertEqual(seen, sorted(seen))
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""`garnetreach report` and `garnetreach explain` of a small fleet."""
+"""Tests `garnetreach report` and `garnetreach explain` on a small fleet."""
 
 import json
 import pathlib
@@ -14,15 +14,15 @@
 import experiment  # noqa: E402
 
 BUILD = None
-PLACES = [("i1", "dc-1"), ("i2", "dc-1"), ("i3", "dc-2")]
+INSTANCES = [("i1", "dc-1"), ("i2", "dc-1"), ("i3", "dc-2")]
 EXIT_FAILED = 1
 EXIT_NO_TRACE = 5
 EXIT_EVICTED = 6
 EXIT_PARTIAL = 7
 TRACE_MAX = 8
-IDLE = "idle"
-ODD_ID = "mine/1?&%25+"
-NO_ID = "no/such?&%"
+IDLE_SERVICE = "idle"
+RESERVED_CHARS_ID = "mine/1?&%25+"
+UNKNOWN_ID = "no/such?&%"
 
 
 class Report(unittest.TestCase):
@@ -37,9 +37,9 @@
             "--fanout", "4", "--replicas", "1", "--data-centres", "2",
             "--tunable", f"trace_max={TRACE_MAX}", processes=2)
         self.service, *columns = self.data.table["services"]["rows"][0]
-        self.data.table["services"]["rows"].append([IDLE, *columns])
+        self.data.table["services"]["rows"].append([IDLE_SERVICE, *columns])
         self.platform.publish(self.data.table)
-        self.instances = self.bench.instances(self.platform, PLACES)
+        self.instances = self.bench.instances(self.platform, INSTANCES)
         experiment.wait_until("the fleet is ready", self.is_ready)
 
     def is_ready(self):
@@ -50,12 +50,12 @@
                 any(home["reachable"] for home in server["homes"])
                 and bool(server["versions"])
                 for server in status["servers"])
-            if len(status["members"]) < len(PLACES) or reachable < n:
+            if len(status["members"]) < len(INSTANCES) or reachable < n:
                 return False
         return True
 
     def run_command(self, name, *args):
-        """(exit status, standard output, standard error)."""
+        """Returns (exit status, standard output, standard error)."""
         done = subprocess.run(
             [self.bench.build / "garnetreach", name, *args],
             capture_output=True, text=True, timeout=60)
@@ -79,7 +79,7 @@
         return self.run_command("explain", instance.address, request_id, *args)
 
     def check_page(self):
-        """The page is well formed and asks nothing of the network."""
+        """The page must be well-formed and load nothing from the network."""
         path = self.out / "burn.html"
         status, out, _ = self.report("--html", path)
         self.assertEqual(out, "")
@@ -92,8 +92,8 @@
         return status, page
 
     def test_explain(self):
-        """A caller asks why; the operator knows the id, not the instance."""
-        status, answer = self.search(self.instances[0], ODD_ID)
+        """Any instance must find the trace of a request by its id alone."""
+        status, answer = self.search(self.instances[0], RESERVED_CHARS_ID)
         self.assertEqual(status, 200, answer)
         request_id = answer["request_id"]
         for asked in self.instances:
@@ -120,7 +120,7 @@
         self.assertIn("sufficient", out)
 
     def test_explain_run(self):
-        """A request that must not be repeated is recorded where it came in."""
+        """The trace of a run is kept by the instance that received it."""
         port = self.instances[0].port
         ticket = experiment.request_json(
             port, "POST", "/v1/tickets", {"service": self.service})["ticket"]
@@ -138,7 +138,7 @@
         self.assertIn("run order-1 of", out)
 
     def test_explain_unknown_and_evicted(self):
-        status, out, err = self.explain(self.instances[0], NO_ID)
+        status, out, err = self.explain(self.instances[0], UNKNOWN_ID)
         self.assertEqual((status, out), (EXIT_NO_TRACE, ""))
         self.assertIn("[no_trace]", err)
         for i in range(TRACE_MAX + 1):
@@ -160,7 +160,7 @@
         self.assertEqual(status, 400)
 
     def test_report(self):
-        """Searches at each instance; one service never asked."""
+        """Sums the searches of all instances; one service gets none."""
         for instance in self.instances:
             for i in range(4):
                 status, answer = self.search(instance, f"r-{i}")
@@ -175,7 +175,8 @@
         self.assertEqual(windows["3d"]["total"], 12)
         self.assertEqual(windows["3d"]["refused"], 0)
         self.assertEqual(windows["3d"]["state"], "short")
-        self.assertEqual({w["state"] for w in rows[IDLE]["windows"]}, {"empty"})
+        self.assertEqual({w["state"] for w in rows[IDLE_SERVICE]["windows"]},
+                         {"empty"})
         markets = {m["market"]: m for m in report["markets"]}
         market = markets[rows[self.service]["market"]]
         self.assertEqual(market["windows"][0]["total"], 12)
@@ -190,9 +191,11 @@
         self.assertIn("is short", page)
 
     def test_an_instance_is_down(self):
-        """Half of the servers are gone, so that answers have gaps; then an
-        instance goes as well, and with it what it had counted. The report
-        must blame servers and shards, and say whose counts are missing."""
+        """The report must name failed shards and unreachable instances.
+
+        Half of the servers are killed, so that answers lack shards, then an
+        instance, whose counters are lost with it.
+        """
         self.data.backends[0].kill()
         status, answer = self.search(self.instances[0], "gap")
         self.assertEqual(status, 200, answer)
@@ -227,7 +230,7 @@
         status, page = self.check_page()
         self.assertEqual(status, EXIT_PARTIAL)
         self.assertRegex(page, r"PARTIAL.*i3")
-        status, _, err = self.explain(self.instances[0], NO_ID)
+        status, _, err = self.explain(self.instances[0], UNKNOWN_ID)
         self.assertEqual(status, EXIT_PARTIAL)
         self.assertIn("1 of 3 instances did not answer", err)
         status, _, err = self.run_command("report", self.instances[2].address)
