--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs packages, builds, and runs the demo with both deployments. --keep
-# leaves the processes running and prints commands to try.
+# Installs packages, builds, runs the demo with both deployments, and exits.
+# --keep leaves the processes running and prints commands to try.
 set -eu
 cd "$(dirname "$0")/.."
 
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # Regression run before a merge, on the users' bench, which is not part of this
-# repository. Scores each deployment and searches random days for broken rules:
-# 40 days each, 8 where a day takes minutes.
+# repository. Scores each deployment and searches days for broken rules: 40 days
+# each, 8 where a day takes minutes.
 # usage: regression.sh BENCH SYSTEM_FOLDER [JOBS]
 set -eu
 bench=$1
--- a/tests/test_history_check.py
+++ b/tests/test_history_check.py
@@ -1,4 +1,4 @@
-"""Tests bench/history_check.py on a valid history and with violations."""
+"""history_check.py must accept a valid history and name each violation."""
 
 import copy
 import io
@@ -52,7 +52,7 @@
         self.load = []
         self.backend = []
         self.events = []
-        self.work_no = 0
+        self.last_no = 0
         self.build()
 
     def write(self, name, lines):
@@ -103,9 +103,9 @@
 
     def add_work(self, at, kind, request_id, server="desk-1", answer="done",
                  ran=True, **fields):
-        self.work_no += 1
-        common = {"server": server, "connection": self.work_no, "kind": kind,
-                  "request_id": f"{request_id}/a.1.{self.work_no}.0"}
+        self.last_no += 1
+        common = {"server": server, "connection": self.last_no, "kind": kind,
+                  "request_id": f"{request_id}/a.1.{self.last_no}.0"}
         lines = [{"event": "start", "time_us": at, **common, **fields},
                  {"event": "end", "time_us": at + 1000, **common,
                   "answer": answer, "ran": ran, "spoilt": False}]
@@ -114,8 +114,8 @@
 
     def add_attempt(self, at, outcome, status, path="/v1/search", query=0,
                     address=ADDRESS, **fields):
-        self.work_no += 1
-        request_id = f"q{self.work_no}"
+        self.last_no += 1
+        request_id = f"q{self.last_no}"
         line = {"id": request_id, "path": path, "attempt": 1,
                 "intended": at, "invoke": at, "return": at + 10000,
                 "address": address, "outcome": outcome, "status": status,
