--- a/bench/generate.py
+++ b/bench/generate.py
@@ -1,12 +1,13 @@
 #!/usr/bin/env python3
-"""Seeded data, operators' table and server list of a deployment.
+"""Generates the data, operators' table and server list of a deployment.
 
 Writes into --out: SERVICE.jsonl (records of all snapshot versions),
 table.json (the operators' table) and servers.json (for bench-backend). The
-same arguments give the same files.
+output is deterministic: the same arguments give the same files.
 
 A line of SERVICE.jsonl is {"key", "from", "to", "sort", "body"}: the record
-belongs to snapshot version v if from <= v < to; "to" null means for good.
+belongs to snapshot version v if from <= v < to; "to" null means it is never
+removed.
 """
 
 import argparse
@@ -37,7 +38,8 @@
              "egg"]
 MEALS = ["buffet", "a_la_carte", "packed"]
 
-# Shapes of the services: (slots, connections, microseconds a connection).
+# Limits of a server by kind of service: (slots, connections, microseconds to
+# establish a connection).
 DESK = (2, 25, 5000)
 REGISTRY = (3, 100, 1000)
 BOOKING = (6, 50, 1000)
@@ -95,19 +97,19 @@
     return body
 
 
-def service(name, market, data_centres, servers, shape, shards, replicas=2,
+def service(name, market, data_centres, servers, limits, shards, replicas=2,
             mode="latency", deadline_ms=500, priority=5, first_dc=0):
     return {
         "name": name, "market": market, "mode": mode,
         "deadline_ms": deadline_ms, "priority": priority, "shards": shards,
-        "replicas": replicas, "shape": shape,
+        "replicas": replicas, "limits": limits,
         "data_centres": [data_centres[(first_dc + i) % len(data_centres)]
                          for i in range(servers)],
     }
 
 
-def scaled(count, scale, least=1):
-    return max(least, round(count * scale))
+def scaled(count, scale, minimum=1):
+    return max(minimum, round(count * scale))
 
 
 def belgium(args):
@@ -150,17 +152,17 @@
 
 def fanout(args):
     dcs = ["be1", "be2", "be3", "be4"][:args.data_centres]
-    shape = (args.slots, args.connections, args.connect_cost_us)
+    limits = (args.slots, args.connections, args.connect_cost_us)
     return [service("fanout", "belgium", dcs, args.fanout * args.replicas,
-                    shape, args.fanout, replicas=args.replicas,
+                    limits, args.fanout, replicas=args.replicas,
                     deadline_ms=args.deadline_ms)]
 
 
 class Market:
-    def __init__(self, services, make, change, region):
+    def __init__(self, services, make_record, change_record, region):
         self.services = services
-        self.make = make
-        self.change = change
+        self.make_record = make_record
+        self.change_record = change_record
         self.region = region
 
 
@@ -171,7 +173,7 @@
 
 
 def records(rng, market, name, count):
-    """All records of all versions, in order of their creation."""
+    """The records of all versions, in order of creation."""
     out = []
     live = []
     serial = 0
@@ -179,7 +181,7 @@
     def add(version):
         nonlocal serial
         serial += 1
-        sort, body = market.make(rng, serial)
+        sort, body = market.make_record(rng, serial)
         record = {"key": "%s/%07d" % (name, serial), "from": version,
                   "to": None, "sort": sort, "body": body}
         out.append(record)
@@ -192,7 +194,8 @@
             if rng.random() >= CHANGED_RATIO:
                 continue
             old["to"] = version
-            new = dict(old, to=None, body=market.change(rng, old["body"]))
+            new = dict(old, to=None,
+                       body=market.change_record(rng, old["body"]))
             new["from"] = version
             out.append(new)
             live[i] = new
@@ -214,7 +217,8 @@
 
 
 def read_ports(path):
-    """Ports by position, or by server from the lines bench-backend prints."""
+    """A list of ports in server order, or a dict by server name if the file
+    has the lines that bench-backend prints."""
     with open(path, encoding="utf-8") as file:
         text = file.read()
     by_server = {}
@@ -232,7 +236,7 @@
     ports = read_ports(args.ports) if args.ports else None
     out = []
     for item in services:
-        slots, connections, connect_cost_us = item["shape"]
+        slots, connections, connect_cost_us = item["limits"]
         for i, data_centre in enumerate(item["data_centres"]):
             name = "%s-%s" % (item["name"], i + 1)
             if isinstance(ports, dict):
@@ -286,7 +290,8 @@
 
 
 def replica_set(server):
-    """Servers with the same shards, where the spread makes such sets."""
+    """The replica set of a server, or "" if servers do not divide evenly into
+    sets that hold the same shards."""
     if server["servers"] % server["replicas"]:
         return ""
     return "set-%d" % (server["index"] // server["replicas"] + 1)
@@ -304,29 +309,30 @@
                         default="belgium")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--scale", type=float, default=1.0,
-                        help="1: the services and servers of the brief")
+                        help="size of the deployment; 1 is full size")
     parser.add_argument("--out", required=True)
     parser.add_argument("--records", type=int,
-                        help="a service, in version 1; default 300, or 10 a "
-                             "shard with --fanout if that is more")
+                        help="records per service in version 1; default 300, "
+                             "or 10 per shard with --fanout if that is more")
     parser.add_argument("--version", type=int, default=1,
-                        help="snapshot version held at the start")
+                        help="snapshot version that servers hold at startup")
     parser.add_argument("--base-port", type=int, default=0)
     parser.add_argument("--ports", metavar="FILE",
-                        help="ports in the order of the servers, or the "
-                             "lines that bench-backend printed")
+                        help="ports in server order, or the lines that "
+                             "bench-backend printed")
     parser.add_argument("--table-only", action="store_true",
                         help="write table.json and servers.json only")
     parser.add_argument("--tunable", action="append", default=[],
                         metavar="NAME=VALUE")
     parser.add_argument("--mode", choices=["latency", "coverage"],
-                        help="of all services")
+                        help="mode of all services")
     parser.add_argument("--service-us", type=int, default=2000)
     parser.add_argument("--service-random-us", type=int, default=0,
-                        help="mean of the exponential part")
+                        help="mean of the exponential part of the service "
+                             "time")
     parser.add_argument("--fanout", type=int,
-                        help="one service of so many shards, each on its own "
-                             "servers")
+                        help="generate one service with this many shards, "
+                             "each on its own servers")
     parser.add_argument("--replicas", type=int, default=2)
     parser.add_argument("--data-centres", type=int, default=4)
     parser.add_argument("--slots", type=int, default=2)
--- a/bench/scan.py
+++ b/bench/scan.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Independent scan of generated data: what a complete answer must say.
+"""Independent scan of generated data, the expected result of a search.
 
 Shares no code with the C programs. Prints JSON:
 
@@ -7,9 +7,9 @@
      "shards":[{"lo":0,"hi":8191,"held":35,"count":5}]}
 
 "total" is the number of records of the version, "count" those that match,
-"records" the bodies of the first of them by (sort, key), "shards" the same
-numbers for each of --shards equal key ranges. --ranges restricts all of it to
-records whose keys hash there, as for an answer with shards missing.
+"records" the bodies of the first of these by (sort, key), "shards" the same
+numbers for each of --shards equal hash ranges. --ranges restricts the scan to
+records whose keys hash into the ranges, as in an answer with missing shards.
 """
 
 import argparse
@@ -17,6 +17,7 @@
 import json
 import os
 
+# Size of the hash space that shards divide.
 POINTS = 65536
 
 MASK = (1 << 64) - 1
@@ -35,19 +36,19 @@
 )
 
 
-def read32(data, at):
-    return int.from_bytes(data[at:at + 4], "little")
+def read32(data, offset):
+    return int.from_bytes(data[offset:offset + 4], "little")
 
 
-def read64(data, at):
-    return int.from_bytes(data[at:at + 8], "little")
+def read64(data, offset):
+    return int.from_bytes(data[offset:offset + 8], "little")
 
 
-def rotate(value, bits):
+def rotate_left(value, bits):
     return (value << bits | value >> (64 - bits)) & MASK
 
 
-def fold(left, right):
+def multiply_fold(left, right):
     product = left * right
     return product & MASK ^ product >> 64
 
@@ -66,12 +67,13 @@
     return value ^ value >> 32
 
 
-def mix16(data, at, secret_at):
-    return fold(read64(data, at) ^ read64(SECRET, secret_at),
-                read64(data, at + 8) ^ read64(SECRET, secret_at + 8))
+def mix16(data, offset, secret_offset):
+    return multiply_fold(read64(data, offset) ^ read64(SECRET, secret_offset),
+                         read64(data, offset + 8) ^
+                         read64(SECRET, secret_offset + 8))
 
 
-def hash_to_3(data, size):
+def hash_0_to_3(data, size):
     if not size:
         return avalanche64(read64(SECRET, 56) ^ read64(SECRET, 64))
     combined = (data[0] << 16 | data[size >> 1] << 24 | data[size - 1] |
@@ -79,24 +81,24 @@
     return avalanche64(combined ^ read32(SECRET, 0) ^ read32(SECRET, 4))
 
 
-def hash_to_8(data, size):
+def hash_4_to_8(data, size):
     value = read32(data, size - 4) + (read32(data, 0) << 32)
     value ^= read64(SECRET, 8) ^ read64(SECRET, 16)
-    value ^= rotate(value, 49) ^ rotate(value, 24)
+    value ^= rotate_left(value, 49) ^ rotate_left(value, 24)
     value = value * PRIME_MX2 & MASK
     value ^= (value >> 35) + size
     value = value * PRIME_MX2 & MASK
     return value ^ value >> 28
 
 
-def hash_to_16(data, size):
+def hash_9_to_16(data, size):
     low = read64(data, 0) ^ read64(SECRET, 24) ^ read64(SECRET, 32)
     high = read64(data, size - 8) ^ read64(SECRET, 40) ^ read64(SECRET, 48)
     swapped = int.from_bytes(low.to_bytes(8, "little"), "big")
-    return avalanche((size + swapped + high + fold(low, high)) & MASK)
+    return avalanche((size + swapped + high + multiply_fold(low, high)) & MASK)
 
 
-def hash_to_128(data, size):
+def hash_17_to_128(data, size):
     value = size * PRIME64_1
     for i in range((size - 1) // 32, -1, -1):
         value += mix16(data, 16 * i, 32 * i)
@@ -104,7 +106,7 @@
     return avalanche(value & MASK)
 
 
-def hash_to_240(data, size):
+def hash_129_to_240(data, size):
     value = size * PRIME64_1
     for i in range(8):
         value += mix16(data, 16 * i, 16 * i)
@@ -116,13 +118,14 @@
 
 
 def xxh3(data):
-    """XXH3 64-bit of up to 240 bytes with seed 0."""
+    """XXH3 64-bit hash of up to 240 bytes, with seed 0."""
     size = len(data)
-    for most, function in ((3, hash_to_3), (8, hash_to_8), (16, hash_to_16),
-                           (128, hash_to_128), (240, hash_to_240)):
-        if size <= most:
+    for max_size, function in ((3, hash_0_to_3), (8, hash_4_to_8),
+                               (16, hash_9_to_16), (128, hash_17_to_128),
+                               (240, hash_129_to_240)):
+        if size <= max_size:
             return function(data, size)
-    raise ValueError("keys longer than 240 bytes are not hashed here")
+    raise ValueError("keys longer than 240 bytes are not supported")
 
 
 @functools.cache
@@ -140,7 +143,8 @@
 
 
 def equal(left, right):
-    """Of the same JSON type and value; 3 equals 3.0, but not true."""
+    """Whether two values have the same JSON type and value; 3 equals 3.0, and
+    1 does not equal true."""
     if is_number(left) and is_number(right):
         return left == right
     return type(left) is type(right) and left == right
@@ -152,7 +156,7 @@
 
 
 class Data:
-    """The records of a service in all versions."""
+    """The records of a service in all snapshot versions."""
 
     def __init__(self, directory, service):
         path = os.path.join(directory, service + ".jsonl")
@@ -168,7 +172,7 @@
         return out
 
     def scan(self, version, where, limit=0, ranges=None):
-        """Total, count and the first records, as a complete answer has."""
+        """Total, count and first records that a complete answer must have."""
         held = self.snapshot(version, ranges)
         found = [r for r in held if matches(r["body"], where)]
         found.sort(key=lambda r: (r["sort"].encode(), r["key"].encode()))
@@ -179,15 +183,16 @@
         counts = [{"lo": lo, "hi": hi, "held": 0, "count": 0}
                   for lo, hi in shard_ranges(shards)]
         for record in self.snapshot(version, ranges):
-            at = point(record["key"])
-            shard = next(c for c in counts if c["lo"] <= at <= c["hi"])
+            record_point = point(record["key"])
+            shard = next(c for c in counts
+                         if c["lo"] <= record_point <= c["hi"])
             shard["held"] += 1
             shard["count"] += matches(record["body"], where)
         return counts
 
 
 def parse_ranges(text):
-    return [tuple(int(end) for end in item.split("-"))
+    return [tuple(int(bound) for bound in item.split("-"))
             for item in text.split(",") if item]
 
 
