--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,7 +1,8 @@
-"""The main job, shown: both deployments of the users, with their stand-ins.
+"""Demonstration: runs both example deployments against a simulated platform
+and simulated backend servers.
 
-Called by scripts/demo.sh. Prints what it does, and exits 1 if an answer is
-not the truth or something planned cut a request off.
+Called by scripts/demo.sh. Prints each step, and exits 1 if an answer differs
+from the data or a planned stop interrupts a request.
 """
 
 import argparse
@@ -16,7 +17,7 @@
 import scan
 
 READY_SECONDS = 30
-CHANGE_SECONDS = 10
+PUBLISH_SECONDS = 10
 LOAD_RATE = 100
 LOAD_SECONDS = 12
 
@@ -27,10 +28,10 @@
 
 
 class Mismatch(Exception):
-    """Something was not as it must be."""
+    """An observed result differs from the expected one."""
 
 
-def say(text):
+def echo(text):
     print(text, flush=True)
 
 
@@ -39,7 +40,8 @@
 
     def __init__(self, name, build_dir, out_dir, scale):
         self.name = name
-        self.bench = experiment.Bench(name, build_dir, pathlib.Path(out_dir) / name)
+        self.bench = experiment.Bench(name, build_dir,
+                                      pathlib.Path(out_dir) / name)
         self.platform = self.bench.platform()
         self.data = self.bench.deployment(
             "--deployment", name, "--scale", scale, processes=2,
@@ -55,8 +57,8 @@
         return self.column("servers", "name")
 
     def column(self, sheet, name):
-        at = self.table[sheet]["columns"].index(name)
-        return [row[at] for row in self.table[sheet]["rows"]]
+        column_index = self.table[sheet]["columns"].index(name)
+        return [row[column_index] for row in self.table[sheet]["rows"]]
 
     def wait_ready(self):
         n = len(self.servers())
@@ -75,11 +77,11 @@
         return [i.address for i in self.instances]
 
     def query(self, service, where, mode="records", limit=3):
-        """Asks by the command line as a person would, then checks it."""
+        """Runs a query on the command line and checks the answer."""
         args = [str(self.binary), "query", self.instances[0].address,
                 "--service", service, "--where", json.dumps(where),
                 "--mode", mode, "--limit", str(limit)]
-        say("$ garnetreach query " + " ".join(
+        echo("$ garnetreach query " + " ".join(
             f"'{a}'" if "{" in a else a for a in args[2:]))
         subprocess.run(args, check=False, stdout=sys.stdout.buffer)
         sys.stdout.flush()
@@ -89,101 +91,104 @@
         return answer
 
     def check(self, service, where, answer, limit):
-        """Against a scan of the data file, of the shards covered."""
+        """Compares an answer with a scan of the covered shards' records."""
         missing = [(m["lo"], m["hi"]) for m in answer["coverage"]["missing"]]
         ranges = covered_ranges(missing)
         data = scan.Data(self.data.directory, service)
-        truth = data.scan(answer["snapshot"], where, limit, ranges)
-        whole = data.scan(answer["snapshot"], where)
-        if (answer["count"] != truth["count"]
-                or answer["coverage"]["covered"] != truth["total"]
-                or answer["coverage"]["total"] != whole["total"]
-                or answer.get("records", []) != truth["records"]):
-            raise Mismatch(f"{service}: answer {answer}, truth {truth}")
-        say(f"  truth by a scan of the file: the same ({truth['count']} of "
-            f"{whole['count']} matching records are in the shards covered)")
+        expected = data.scan(answer["snapshot"], where, limit, ranges)
+        everything = data.scan(answer["snapshot"], where)
+        if (answer["count"] != expected["count"]
+                or answer["coverage"]["covered"] != expected["total"]
+                or answer["coverage"]["total"] != everything["total"]
+                or answer.get("records", []) != expected["records"]):
+            raise Mismatch(f"{service}: answer {answer}, expected {expected}")
+        echo(f"  matches a scan of the data file ({expected['count']} of "
+             f"{everything['count']} matching records are in the shards "
+             "covered)")
 
     def publish(self):
-        """Publishes the table; returns the seconds until it is everywhere."""
+        """Publishes the table; returns the seconds until all instances
+        use it."""
         start = time.monotonic()
         self.revision = self.platform.publish(self.table)
         experiment.wait_until(
             f"{self.name}: revision {self.revision} in force everywhere",
             lambda: all(i.status()["table"]["revision"] >= self.revision
-                        for i in self.instances), CHANGE_SECONDS)
+                        for i in self.instances), PUBLISH_SECONDS)
         return time.monotonic() - start
 
 
 def covered_ranges(missing):
-    """The ranges of points that are left when some are missing."""
+    """The hash ranges that remain when the missing ones are removed."""
     ranges = []
-    at = 0
+    next_point = 0
     for lo, hi in sorted(missing):
-        if lo > at:
-            ranges.append((at, lo - 1))
-        at = hi + 1
-    if at < scan.POINTS:
-        ranges.append((at, scan.POINTS - 1))
+        if lo > next_point:
+            ranges.append((next_point, lo - 1))
+        next_point = hi + 1
+    if next_point < scan.POINTS:
+        ranges.append((next_point, scan.POINTS - 1))
     return ranges
 
 
 def show_searches(belgium, costa_rica):
-    say("\n== A few searches, checked against the data files")
+    echo("\n== Searches, checked against the data files")
     belgium.query("be-desk-01", {"urgency": "leak", "state": "open"})
     belgium.query("be-registry", {}, mode="count")
     service = costa_rica.column("services", "name")[0]
     costa_rica.query(service, {}, mode="count")
 
 
-def replicas(fleet, service):
-    """Servers of a service by replica set."""
+def servers_by_replica_set(fleet, service):
+    """Server names of a service by replica set."""
     sheet = fleet.table["servers"]
-    name, of, group = (sheet["columns"].index(c)
-                       for c in ("name", "service", "replica_set"))
+    name_index, service_index, set_index = (
+        sheet["columns"].index(c) for c in ("name", "service", "replica_set"))
     sets = {}
     for row in sheet["rows"]:
-        if row[of] == service:
-            sets.setdefault(row[group], []).append(row[name])
+        if row[service_index] == service:
+            sets.setdefault(row[set_index], []).append(row[name_index])
     return sets
 
 
 def show_loss(fleet):
     service = "be-registry"
-    servers = [s for group in replicas(fleet, service).values() for s in group]
-    say(f"\n== A server of {service} is lost: replicas cover its shards")
+    servers = [s for group in servers_by_replica_set(fleet, service).values()
+               for s in group]
+    echo(f"\n== A server of {service} crashes: replicas cover its shards")
     fleet.data.control(fault="crash", server=servers[0])
     answer = fleet.query(service, {}, mode="count")
     if answer["coverage"]["covered"] != answer["coverage"]["total"]:
-        raise Mismatch("one lost server lowered the coverage")
-    say(f"\n== Two more are lost: coverage falls, and the answer says so")
+        raise Mismatch("losing one server reduced the coverage")
+    echo(f"\n== Two more crash: coverage falls, and the answer reports it")
     for server in servers[1:3]:
         fleet.data.control(fault="crash", server=server)
     time.sleep(1)
     answer = fleet.query(service, {}, mode="count")
     if answer["coverage"]["covered"] == answer["coverage"]["total"]:
-        raise Mismatch("no shard was lost with three of the servers")
+        raise Mismatch("coverage is complete with three servers down")
 
 
 def show_edit(fleet):
-    say("\n== The table is edited: be-desk-02-1 leaves")
+    echo("\n== The table is edited: be-desk-02-1 is set to leaving")
     sheet = fleet.table["servers"]
     if "state" not in sheet["columns"]:
         sheet["columns"].append("state")
         for row in sheet["rows"]:
             row.append("on")
-    at = sheet["columns"].index("state")
+    column_index = sheet["columns"].index("state")
     row = next(r for r in sheet["rows"] if r[0] == "be-desk-02-1")
-    row[at] = "leaving"
+    row[column_index] = "leaving"
     seconds = fleet.publish()
-    say(f"revision {fleet.revision} in force on all {len(fleet.instances)} "
-        f"instances after {seconds * 1000:.0f} ms")
+    echo(f"revision {fleet.revision} in force on all {len(fleet.instances)} "
+         f"instances after {seconds * 1000:.0f} ms")
     fleet.query("be-desk-02", {"urgency": "heating"}, limit=1)
 
 
 def show_stop(fleet):
     stopping = fleet.instances[0]
-    say(f"\n== A graceful stop under load: {LOAD_RATE} searches a second, "
-        f"SIGTERM to {stopping.instance}")
+    echo(f"\n== A graceful stop under load: {LOAD_RATE} searches a second, "
+         f"SIGTERM to {stopping.instance}")
     load = fleet.bench.load_start(
         fleet.addresses(), "--rate", str(LOAD_RATE), "--seconds",
         str(LOAD_SECONDS), "--service", "cr-kitchen-01", "--mode", "count")
@@ -194,41 +199,42 @@
     summary, _ = fleet.bench.load_end(load)
     cut_off = sum(a["cut_off"] + a["silent"]
                   for a in summary["addresses"].values())
-    say(f"{stopping.instance} ended after {seconds:.1f} s with status "
-        f"{status}; {summary['sent']} searches sent, outcomes "
-        f"{summary['outcomes']}, {cut_off} cut off, p99 "
-        f"{summary['latency_us']['p99'] / 1000:.1f} ms")
-    if status != 0 or cut_off or summary["outcomes"].get("done") != summary["sent"]:
-        raise Mismatch("the stop cut something off")
+    echo(f"{stopping.instance} ended after {seconds:.1f} s with status "
+         f"{status}; {summary['sent']} searches sent, outcomes "
+         f"{summary['outcomes']}, {cut_off} cut off, p99 "
+         f"{summary['latency_us']['p99'] / 1000:.1f} ms")
+    if (status != 0 or cut_off
+            or summary["outcomes"].get("done") != summary["sent"]):
+        raise Mismatch("the graceful stop interrupted requests")
 
 
-def show(args, fleets):
-    say("== Starting both deployments")
+def run_demo(args, fleets):
+    echo("== Starting both deployments")
     for name in FLEETS:
         fleets.append(Fleet(name, args.build, args.out, args.scale))
     belgium, costa_rica = fleets
     for fleet in fleets:
         fleet.wait_ready()
-        say(f"{fleet.name}: {len(fleet.instances)} instances in "
-            f"{len(FLEETS[fleet.name])} data centres, "
-            f"{len(fleet.column('services', 'name'))} services, "
-            f"{len(fleet.servers())} backend servers")
+        echo(f"{fleet.name}: {len(fleet.instances)} instances in "
+             f"{len(FLEETS[fleet.name])} data centres, "
+             f"{len(fleet.column('services', 'name'))} services, "
+             f"{len(fleet.servers())} backend servers")
     show_searches(belgium, costa_rica)
     show_loss(belgium)
     show_edit(belgium)
     show_stop(costa_rica)
 
 
-def keep_up(fleets):
-    say("\n== Left running. Try:")
+def wait_for_interrupt(fleets):
+    echo("\n== Left running. Try:")
     for fleet in fleets:
         address = fleet.instances[-1].address
         service = fleet.column("services", "name")[0]
-        say(f"  {fleet.binary} status {address}")
-        say(f"  {fleet.binary} query {address} --service {service}")
-        say(f"  curl -T table.json http://{fleet.platform.address}"
-            f"/control/values/table   # from {fleet.data.directory}")
-    say("Ctrl-C ends all of it.")
+        echo(f"  {fleet.binary} status {address}")
+        echo(f"  {fleet.binary} query {address} --service {service}")
+        echo(f"  curl -T table.json http://{fleet.platform.address}"
+             f"/control/values/table   # from {fleet.data.directory}")
+    echo("Press Ctrl-C to stop everything.")
     try:
         signal.pause()
     except KeyboardInterrupt:
@@ -245,17 +251,17 @@
     fleets = []
     start = time.monotonic()
     try:
-        show(args, fleets)
+        run_demo(args, fleets)
         if args.keep:
-            keep_up(fleets)
+            wait_for_interrupt(fleets)
     except (Mismatch, experiment.Failed) as err:
-        say(f"FAILED: {err}")
+        echo(f"FAILED: {err}")
         return 1
     finally:
         for fleet in fleets:
             fleet.bench.finish()
-    say(f"\n== Done in {time.monotonic() - start:.0f} s; nothing is left "
-        "running")
+    echo(f"\n== Done in {time.monotonic() - start:.0f} s; all "
+         "processes stopped")
     return 0
 
 
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,9 +1,10 @@
-"""Runs experiments: starts the stand-ins, instances of garnetreach and load,
-reads their counters and processor time, and stops them by their ids.
+"""Experiment runner: starts the simulated platform and backend servers,
+garnetreach instances and load generators, reads their counters and processor
+time, and stops them.
 
-An experiment is a file bench/experiments/NAME.py with a line of text TITLE and
-a function run(bench), which compares a baseline and the current way in one
-run. bench.record() writes JSON lines to the output directory.
+An experiment is a file bench/experiments/NAME.py with a string TITLE and a
+function run(bench), which measures a baseline and the current implementation
+in one run. bench.record() writes JSON lines to the output directory.
 """
 
 import contextlib
@@ -25,16 +26,16 @@
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 READY_SECONDS = 30
 STOP_SECONDS = 20
-FIRST_PORT = 10000
-LOG_TAIL = 3000
+MIN_PORT = 10000
+LOG_TAIL_CHARS = 3000
 
 
 class Failed(Exception):
-    """A process or an answer is not as the experiment needs it."""
+    """A process or a response does not meet an experiment's requirements."""
 
 
 def request(port, method, path, body=None, timeout=35):
-    """One HTTP exchange with a local server: (status, headers, body)."""
+    """Sends an HTTP request to a local server: (status, headers, body)."""
     conn = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout)
     try:
         conn.request(method, path, body)
@@ -45,7 +46,7 @@
 
 
 def request_json(port, method, path, body=None):
-    """An exchange whose answer must be 200 with JSON."""
+    """Sends a request that must be answered with status 200 and JSON."""
     if body is not None and not isinstance(body, (bytes, str)):
         body = json.dumps(body)
     status, _, text = request(port, method, path, body)
@@ -55,7 +56,10 @@
 
 
 def wait_until(what, check, seconds=READY_SECONDS):
-    """Polls until check() is true; errors of the connection count as false."""
+    """Polls until check() is true; connection errors count as false.
+
+    Raises Failed after `seconds`.
+    """
     end = time.monotonic() + seconds
     while True:
         try:
@@ -65,7 +69,7 @@
         if result:
             return result
         if time.monotonic() > end:
-            raise Failed(f"gave up waiting: {what}")
+            raise Failed(f"timed out waiting for: {what}")
         time.sleep(0.02)
 
 
@@ -83,16 +87,16 @@
                 stderr=log,
             )
         self.pid = self.child.pid
-        self.asked_to_stop = False
+        self.stop_requested = False
 
     def cpu_seconds(self):
-        """Processor time so far, user and system."""
+        """Processor time used so far, user and system."""
         stat = pathlib.Path(f"/proc/{self.pid}/stat").read_text()
         fields = stat.rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
     def rss_bytes(self):
-        """Resident memory."""
+        """Resident set size."""
         statm = pathlib.Path(f"/proc/{self.pid}/statm").read_text()
         return int(statm.split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
@@ -103,29 +107,31 @@
         self.child.send_signal(signal.SIGCONT)
 
     def kill(self):
-        self.asked_to_stop = True
+        self.stop_requested = True
         self.child.kill()
         self.child.wait()
         self.child.stdout.close()
 
-    def tell_own_end(self):
-        """Shows the end of the log if it ended without being asked to."""
+    def report_unexpected_exit(self):
+        """Prints the end of the log if the process exited unexpectedly."""
         status = self.child.poll()
-        if status is None or self.asked_to_stop:
+        if status is None or self.stop_requested:
             return
         if status or isinstance(self, (Server, Backend, Instance)):
             log = self.log_path.read_text(errors="replace")
-            print(f"{self.name} ended by itself, status {status}:\n"
-                  f"{log[-LOG_TAIL:]}", file=sys.stderr)
+            print(f"{self.name} exited unexpectedly, status {status}:\n"
+                  f"{log[-LOG_TAIL_CHARS:]}", file=sys.stderr)
 
     def ask_to_stop(self):
-        """Once: a second signal could meet a process that is ending."""
-        if not self.asked_to_stop and self.child.poll() is None:
-            self.asked_to_stop = True
+        """Sends SIGTERM, only once: a second signal could interrupt the
+        shutdown."""
+        if not self.stop_requested and self.child.poll() is None:
+            self.stop_requested = True
             self.child.send_signal(signal.SIGTERM)
 
     def stop(self, seconds=STOP_SECONDS):
-        """A planned stop. Returns the exit status; kills after `seconds`."""
+        """Stops gracefully. Returns the exit status, or None if the process
+        had to be killed after `seconds`."""
         self.ask_to_stop()
         try:
             status = self.child.wait(seconds)
@@ -137,7 +143,7 @@
 
 
 class Server(Process):
-    """A stand-in that prints {"port":N} when it is ready."""
+    """A test server that prints {"port":N} when it is ready."""
 
     def __init__(self, name, args, out_dir):
         super().__init__(name, args, out_dir)
@@ -152,10 +158,10 @@
 
 
 class Platform(Server):
-    """The configuration service and the instance list."""
+    """The simulated configuration service and instance list."""
 
     def publish(self, table):
-        """A new table, as an object or a text. Returns its revision."""
+        """Publishes a table, an object or JSON text. Returns its revision."""
         if not isinstance(table, (bytes, str)):
             table = json.dumps(table)
         return request_json(self.port, "POST", "/control/publish", table)[
@@ -173,7 +179,7 @@
 
 
 class Backend(Process):
-    """A process of backend servers; the ports are known once ready() is."""
+    """A process of backend servers; ready() fills in their ports."""
 
     def __init__(self, name, args, out_dir):
         super().__init__(name, args, out_dir)
@@ -181,7 +187,7 @@
         self.control_port = None
 
     def ready(self):
-        """Reads the ports that it prints when it serves."""
+        """Waits until all servers listen and reads their ports."""
         for line in self.child.stdout:
             row = json.loads(line)
             if "control_port" in row:
@@ -194,15 +200,16 @@
         return request_json(self.control_port, "POST", "/control", command)
 
     def counters(self):
-        """By server."""
+        """Counters by server name."""
         return request_json(self.control_port, "GET", "/control")["servers"]
 
 
 class Deployment:
-    """Generated data, and the processes that serve it.
+    """Generated data and the backend processes that serve it.
 
-    options are those of bench/generate.py, less --out. The servers are spread
-    over `processes` processes; with `histories` each writes one.
+    options are those of bench/generate.py without --out. The servers are
+    spread over `processes` processes; with `histories` each process writes a
+    history file.
     """
 
     def __init__(self, bench, *options, processes=1, backend_options=(),
@@ -213,7 +220,7 @@
         servers = self.directory / "servers.json"
         program = bench.program("backend")
         self.backends = [
-            bench.keep(
+            bench.track(
                 Backend(
                     f"backend{i}",
                     [program, "--servers", servers, "--part",
@@ -230,8 +237,8 @@
         self.write_table()
 
     @staticmethod
-    def history_options(bench, number, wanted):
-        if not wanted:
+    def history_options(bench, number, enabled):
+        if not enabled:
             return []
         return ["--history", bench.out / f"backend{number}.history.jsonl"]
 
@@ -243,7 +250,7 @@
         )
 
     def write_table(self, *more):
-        """Writes the table with the ports in use; `more` options change it."""
+        """Writes the table with the ports in use and the `more` options."""
         ports = self.directory / "ports.jsonl"
         ports.write_text(
             "".join(
@@ -258,23 +265,25 @@
         return [f"127.0.0.1:{port}" for port in self.ports.values()]
 
     def control(self, **command):
-        """A command to all processes; says how many servers it met."""
+        """Sends a command to all processes; returns how many servers it
+        affected."""
         return sum(b.control(**command)["servers"] for b in self.backends)
 
     def counters(self):
-        """By server."""
+        """Counters by server name."""
         out = {}
         for backend in self.backends:
             out.update(backend.counters())
         return out
 
     def total(self, group, name):
-        """Sum over all servers, as total("received", "search")."""
+        """Sum of a counter over all servers: total("received", "search")."""
         return sum(row[group][name] for row in self.counters().values())
 
     def write_queries(self, name, bodies, versions=(1,)):
-        """A file for load's --queries with the true answer of each body."""
-        import scan  # beside this file
+        """Writes a file for load's --queries with the expected count and total
+        of each body, by snapshot version."""
+        import scan  # in this directory
 
         data = {}
         path = self.directory / name
@@ -294,16 +303,18 @@
 
 
 def ephemeral_ports():
-    """First and last port that the system gives to outgoing connections."""
+    """First and last port that the kernel assigns to outgoing connections."""
     text = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range").read_text()
     first, last = text.split()
     return int(first), int(last)
 
 
 def is_free(port):
-    """Whether both TCP and UDP can be bound, at any address: instances take
-    several of the loopback range, and one that found its port taken ended at
-    its start."""
+    """Whether the port can be bound for TCP and UDP on the wildcard address.
+
+    Instances listen on several loopback addresses and exit at startup if their
+    port is taken on any of them.
+    """
     for kind in socket.SOCK_STREAM, socket.SOCK_DGRAM:
         with socket.socket(socket.AF_INET, kind) as sock:
             try:
@@ -313,32 +324,31 @@
     return True
 
 
-given_ports = set()
+assigned_ports = set()
 
 
 def free_ports(n):
-    """Random ports that were free a moment ago, and were not given before.
+    """Random ports that are free and that no earlier call returned.
 
-    A process binds its port only some time after it was told of it. Until then
-    the port looks free, and another one must not be told of it too.
+    A process binds its port some time after the port was chosen. Until then
+    the port looks free and must not be assigned to a second process.
 
-    A port of the ephemeral range could go to an outgoing connection of any
-    process before the instance binds it: the instance would end at its start,
-    and the experiment would wait for it in vain. Those below are never given
-    away by themselves.
+    Ports are below the ephemeral range, because the kernel could assign an
+    ephemeral port to an outgoing connection before the instance binds it. The
+    instance would then exit at startup and the experiment would time out.
     """
     first, _ = ephemeral_ports()
     ports = []
     while len(ports) < n:
-        port = random.randrange(FIRST_PORT, first)
-        if port not in given_ports and is_free(port):
-            given_ports.add(port)
+        port = random.randrange(MIN_PORT, first)
+        if port not in assigned_ports and is_free(port):
+            assigned_ports.add(port)
             ports.append(port)
     return ports
 
 
 class Instance(Process):
-    """One `garnetreach serve`."""
+    """A `garnetreach serve` process."""
 
     def __init__(self, binary, name, data_centre, platform, out_dir):
         self.instance = name
@@ -361,7 +371,7 @@
         super().__init__(name, [binary, "serve", settings], out_dir)
 
     def row(self, state="live"):
-        """Its row in the platform's instance list."""
+        """This instance's entry in the platform's instance list."""
         return {
             "instance": self.instance,
             "data_centre": self.data_centre,
@@ -374,7 +384,7 @@
         return request_json(self.port, "GET", "/v1/status")
 
     def search(self, body):
-        """(status, answer) of one search."""
+        """Sends a search; returns (status, answer)."""
         status, _, text = request(
             self.port, "POST", "/v1/search", json.dumps(body)
         )
@@ -392,7 +402,7 @@
 
 
 class Bench:
-    """The processes and the records of one experiment."""
+    """The processes and result records of an experiment."""
 
     def __init__(self, name, build_dir, out_dir):
         self.name = name
@@ -408,28 +418,28 @@
             raise Failed(f"{path} is not built")
         return path
 
-    def keep(self, process):
+    def track(self, process):
         self.processes.append(process)
         return process
 
     def platform(self, *options):
         args = [self.program("platform"), *options]
-        return self.keep(Platform("platform", args, self.out))
+        return self.track(Platform("platform", args, self.out))
 
-    def deployment(self, *options, **kinds):
-        return Deployment(self, *options, **kinds)
+    def deployment(self, *options, **settings):
+        return Deployment(self, *options, **settings)
 
     def server(self, name, program, *options):
-        """Any stand-in that prints its port."""
-        return self.keep(
+        """Starts a test server that prints its port."""
+        return self.track(
             Server(name, [self.program(program), *options], self.out)
         )
 
     def instances(self, platform, places):
-        """Starts instances and publishes the list; places: (name, data
-        centre). They are not waited for."""
+        """Starts instances and publishes the instance list, without waiting
+        for them to be ready. places: (name, data centre)."""
         started = [
-            self.keep(
+            self.track(
                 Instance(self.build / "garnetreach", name, dc, platform,
                          self.out)
             )
@@ -439,35 +449,35 @@
         return started
 
     def load_start(self, addresses, *options):
-        """Starts load on addresses; see load_end()."""
+        """Starts a load generator; load_end() collects its results."""
         args = [self.program("load"), "--addresses", ",".join(addresses)]
         n = sum(1 for p in self.processes if p.name.startswith("load"))
-        return self.keep(
+        return self.track(
             Process(f"load{n}", [*args, *options], self.out)
         )
 
     @staticmethod
     def load_end(process):
-        """Waits for load to end: (summary, lines of the timeline)."""
+        """Waits for a load generator to exit: (summary, timeline lines)."""
         text, _ = process.child.communicate()
         lines = [json.loads(line) for line in text.splitlines()]
         if not lines or not lines[-1].get("summary"):
-            raise Failed(f"load gave no summary: see {process.log_path}")
+            raise Failed(f"load printed no summary: see {process.log_path}")
         return lines[-1], lines[:-1]
 
     def load(self, addresses, *options):
-        """Runs load to its end and returns its summary."""
+        """Runs a load generator to completion and returns its summary."""
         return self.load_end(self.load_start(addresses, *options))[0]
 
     def record(self, **fields):
-        """One line of the results; also shown."""
+        """Writes a line of results and prints it."""
         line = json.dumps({"experiment": self.name, **fields})
         print(line, flush=True)
         self.records.write(line + "\n")
         self.records.flush()
 
     def plot(self, name, script, rows):
-        """Draws NAME.svg; the script finds the rows in $DATA."""
+        """Draws NAME.svg with gnuplot; the script reads the rows as $DATA."""
         lines = [" ".join(map(str, row)) for row in rows]
         path = self.out / f"{name}.gp"
         path.write_text(
@@ -479,7 +489,8 @@
 
     @contextlib.contextmanager
     def part(self, name):
-        """Processes that end with a with block; the records are shared."""
+        """A bench in a subdirectory whose processes stop at the end of the
+        with block. The record file is shared."""
         part = copy.copy(self)
         part.out = self.out / name
         part.out.mkdir(parents=True, exist_ok=True)
@@ -490,14 +501,15 @@
             part.stop_all()
 
     def stop_all(self):
-        """Stops instances before what they need. Exit status by name."""
+        """Stops instances before the servers they depend on. Returns exit
+        statuses by process name."""
         for process in self.processes:
-            process.tell_own_end()
-        by_need = [
+            process.report_unexpected_exit()
+        stop_order = [
             [p for p in self.processes if isinstance(p, Instance)],
             [p for p in self.processes if not isinstance(p, Instance)],
         ]
-        for processes in by_need:
+        for processes in stop_order:
             for process in processes:
                 process.ask_to_stop()
             for process in processes:
@@ -510,7 +522,7 @@
 
 
 class CpuMeter:
-    """Processor time that processes spend inside a with block."""
+    """Measures the processor time of processes during a with block."""
 
     def __init__(self, *processes):
         self.processes = processes
--- a/bench/experiments/at_most_once.py
+++ b/bench/experiments/at_most_once.py
@@ -1,8 +1,9 @@
-"""At most once: orders under kills, stops, resets, crashes and lost answers.
+"""At-most-once execution under kills, pauses, resets, crashes, shedding and
+lost answers.
 
-Callers order under a ticket and ask again with it, at any instance, until they
-know. The baseline orders anew under another ticket on any error. Backend
-servers count the runs of each ticket.
+Callers send an order with a ticket and retry with the same ticket, at any
+instance, until they know the outcome. The baseline takes a new ticket for each
+retry. Backend servers count the runs of each ticket.
 """
 
 import http.client
@@ -13,17 +14,17 @@
 
 import experiment
 
-TITLE = "orders that ran twice, or ran although called not run"
+TITLE = "orders that ran twice, or ran although reported as not run"
 INSTANCES = 4
 CALLERS = 8
 SECONDS = 20
-TRIES = 4
-CALLER_TIMEOUT = 1.5
+MAX_ATTEMPTS = 4
+CALLER_TIMEOUT_SECONDS = 1.5
 PLACES = [(f"be1-{name}", "be1") for name in "abcd"[:INSTANCES]]
 
 
 class Fleet:
-    """Instances that come and go under the same names."""
+    """Instances that are killed and replaced under the same names."""
 
     def __init__(self, bench, platform):
         self.bench = bench
@@ -31,16 +32,16 @@
         self.lock = threading.Lock()
         self.instances = bench.instances(platform, PLACES)
 
-    def pick(self, rng):
+    def pick_port(self, rng):
         with self.lock:
             return rng.choice(self.instances).port
 
     def replace(self, index):
-        """Kills one; another takes its name a moment later."""
+        """Kills an instance and starts another under its name."""
         old = self.instances[index]
         old.kill()
         time.sleep(0.3)
-        new = self.bench.keep(
+        new = self.bench.track(
             experiment.Instance(
                 self.bench.build / "garnetreach", old.instance,
                 old.data_centre, self.platform, self.bench.out,
@@ -53,10 +54,11 @@
 
 
 def post(port, path, body):
-    """(status, answer), or (None, None) when no whole answer came."""
+    """(status, answer), or (None, None) if no complete answer arrived."""
     try:
         status, _, text = experiment.request(
-            port, "POST", path, json.dumps(body), timeout=CALLER_TIMEOUT
+            port, "POST", path, json.dumps(body),
+            timeout=CALLER_TIMEOUT_SECONDS,
         )
         return status, json.loads(text)
     except (OSError, http.client.HTTPException, ValueError):
@@ -64,7 +66,7 @@
 
 
 class Order:
-    """One order: the tickets it went out under and what was said of it."""
+    """An order: the tickets it was sent with and the outcomes received."""
 
     def __init__(self, key):
         self.key = key
@@ -96,27 +98,27 @@
         return outcome
 
 
-def order_once(order, fleet, rng, plain):
+def submit_order(order, fleet, rng, plain_retries):
     ticket = None
-    for _ in range(TRIES):
-        if not ticket or plain:
-            ticket = order.take_ticket(fleet.pick(rng))
+    for _ in range(MAX_ATTEMPTS):
+        if not ticket or plain_retries:
+            ticket = order.take_ticket(fleet.pick_port(rng))
         if not ticket:
             continue
-        if order.send(fleet.pick(rng), ticket) in ("done", "not_run"):
+        if order.send(fleet.pick_port(rng), ticket) in ("done", "not_run"):
             return
 
 
-def caller(number, fleet, plain, end, orders):
-    rng = random.Random(number)
+def caller(caller_id, fleet, plain_retries, end, orders):
+    rng = random.Random(caller_id)
     while time.monotonic() < end:
-        order = Order(f"order-{number}-{len(orders)}")
+        order = Order(f"order-{caller_id}-{len(orders)}")
         orders.append(order)
-        order_once(order, fleet, rng, plain)
+        submit_order(order, fleet, rng, plain_retries)
 
 
-def disturb(fleet, deployment, end):
-    """One fault after another, until the end."""
+def inject_faults(fleet, deployment, end):
+    """Injects random faults until the end. Returns how many."""
     rng = random.Random(7)
     servers = list(deployment.ports)
     faults = 0
@@ -144,7 +146,7 @@
 
 
 def count_runs(deployment):
-    """Runs by ticket, over all servers."""
+    """Runs of each ticket, summed over all servers."""
     runs = {}
     for backend in deployment.backends:
         report = experiment.request_json(
@@ -156,55 +158,58 @@
     return runs
 
 
-def count(names):
+def count_values(values):
     out = {}
-    for name in names:
+    for name in values:
         out[name] = out.get(name, 0) + 1
     return out
 
 
-def has_run(port):
-    """Whether an order goes through, so that the fleet is ready."""
+def order_succeeds(port):
+    """Whether an order succeeds, which shows that the fleet is ready."""
     order = Order("ready")
     ticket = order.take_ticket(port)
     return ticket and order.send(port, ticket) == "done"
 
 
-def measure(bench, fleet, deployment, plain):
+def measure(bench, fleet, deployment, plain_retries):
     end = time.monotonic() + SECONDS
-    lists = [[] for _ in range(CALLERS)]
+    orders_by_caller = [[] for _ in range(CALLERS)]
     threads = [
-        threading.Thread(target=caller, args=(i, fleet, plain, end, orders))
-        for i, orders in enumerate(lists)
+        threading.Thread(target=caller,
+                         args=(i, fleet, plain_retries, end, orders))
+        for i, orders in enumerate(orders_by_caller)
     ]
     for thread in threads:
         thread.start()
-    faults = disturb(fleet, deployment, end)
+    faults = inject_faults(fleet, deployment, end)
     for thread in threads:
         thread.join()
     runs = count_runs(deployment)
-    orders = [order for orders in lists for order in orders]
-    by_order = [sum(runs.get(t, 0) for t in o.tickets) for o in orders]
-    not_run = [n for o, n in zip(orders, by_order)
+    orders = [order for orders in orders_by_caller for order in orders]
+    runs_by_order = [sum(runs.get(t, 0) for t in o.tickets) for o in orders]
+    not_run = [n for o, n in zip(orders, runs_by_order)
                if o.outcomes and o.outcomes[-1] == "not_run"]
-    ends = count(o.outcomes[-1] if o.outcomes else "no_ticket" for o in orders)
+    last_outcomes = count_values(
+        o.outcomes[-1] if o.outcomes else "no_ticket" for o in orders)
     bench.record(
-        way="plain retries" if plain else "tickets",
+        way="plain retries" if plain_retries else "tickets",
         orders=len(orders),
         faults=faults,
-        runs=sum(by_order),
-        orders_run_twice=sum(n > 1 for n in by_order),
+        runs=sum(runs_by_order),
+        orders_run_twice=sum(n > 1 for n in runs_by_order),
         tickets_run_twice=sum(n > 1 for n in runs.values()),
         called_not_run=len(not_run),
         falsely_not_run=sum(n > 0 for n in not_run),
         done_without_run=sum(
-            n == 0 and "done" in o.outcomes for o, n in zip(orders, by_order)
+            n == 0 and "done" in o.outcomes
+            for o, n in zip(orders, runs_by_order)
         ),
         answers_that_differ=sum(len(o.results) > 1 for o in orders)
-        if not plain else None,
+        if not plain_retries else None,
         asked_again=sum(len(o.outcomes) > 1 for o in orders),
-        last_outcomes=ends,
-        errors=count(e for o in orders for e in o.errors),
+        last_outcomes=last_outcomes,
+        errors=count_values(e for o in orders for e in o.errors),
     )
 
 
@@ -216,6 +221,7 @@
     platform.publish(deployment.table)
     fleet = Fleet(bench, platform)
     for instance in fleet.instances:
-        experiment.wait_until("the first order", lambda: has_run(instance.port))
-    for plain in (True, False):
-        measure(bench, fleet, deployment, plain)
+        experiment.wait_until("the first order to succeed",
+                              lambda: order_succeeds(instance.port))
+    for plain_retries in (True, False):
+        measure(bench, fleet, deployment, plain_retries)
--- a/bench/experiments/chaos.py
+++ b/bench/experiments/chaos.py
@@ -1,15 +1,16 @@
 #!/usr/bin/env python3
-"""Real processes under load with random faults, and their histories checked.
+"""Injects random faults into real processes under load and checks histories.
 
     bench/experiments/chaos.py [--seed N] [--seconds N] [--build DIR]
         [--out DIR] [--deployment belgium|fanout]
 
-belgium: 12 services of 2 servers with all shards each. fanout: one service of
-24 servers, where each shard is on 2 of them, so that answers can be partial.
+belgium: 12 services with 2 servers each, which hold all shards. fanout: one
+service with 24 servers and 2 replicas of each shard, so that answers can be
+partial.
 
-The same seed gives the same faults at the same planned times; what the
-processes make of them differs from run to run. Exit status: that of
-bench/history-check, or 1 if an instance died on its own.
+The same seed schedules the same faults at the same times; their effects differ
+between runs. Exit status: that of bench/history-check, or 1 if an instance
+exited unexpectedly.
 """
 
 import argparse
@@ -29,19 +30,19 @@
 import experiment  # noqa: E402
 import history_check  # noqa: E402
 
-TITLE = "random faults under load, histories checked against the promises"
+TITLE = "random faults under load, histories checked against the guarantees"
 
 DATA_CENTRES = ("be1", "be2", "be3", "be4")
 BACKEND_PROCESSES = 2
 RATE = 60
 MIN_COVERAGE = 0.9
-# So long nothing is wrong at the end, so that all must be well again.
-QUIET_SECONDS = 10
-DISTURBED_MAX = 3
+# No faults are injected in this time at the end, so that all can recover.
+RECOVERY_SECONDS = 10
+MAX_DISTURBED_INSTANCES = 3
 STOP_SECONDS = 40
-POLL_SECONDS = 0.15
-STEP_SECONDS = 0.05
-POISON = "poison-order"
+POLL_INTERVAL_SECONDS = 0.15
+LOOP_INTERVAL_SECONDS = 0.05
+POISON_MARKER = "poison-order"
 VERSIONS = 4
 TUNABLES = ("address_lifetime_ms=1500", "stop_max_ms=20000",
             "ticket_lifetime_ms=20000")
@@ -51,7 +52,7 @@
                "--records", 360),
 }
 RUN_SERVICES = {"belgium": "be-registry", "fanout": "fanout"}
-FAULT_GAP_SECONDS = 0.5
+MEAN_FAULT_INTERVAL_SECONDS = 0.5
 REPLICA_SET_RATIO = 0.3
 
 SEARCHES = [
@@ -63,7 +64,7 @@
     {"service": "be-portal-02", "where": {"urgency": "heating"}, "limit": 3},
     {"service": "be-registry", "where": {"municipality": "Namur"}},
     {"service": "be-reporting", "mode": "count"},
-    {"service": "be-desk-04", "where": {"workspace": POISON}},
+    {"service": "be-desk-04", "where": {"workspace": POISON_MARKER}},
 ]
 
 
@@ -78,7 +79,7 @@
 
 
 class Events:
-    """events.jsonl, written by several threads."""
+    """Writes events.jsonl; safe to use from several threads."""
 
     def __init__(self, path):
         self.file = open(path, "w", encoding="utf-8")
@@ -95,108 +96,108 @@
             self.file.close()
 
 
-class Member:
-    """An instance over its restarts: always the same name and addresses."""
+class ManagedInstance:
+    """An instance that keeps its name and addresses across restarts."""
 
-    def __init__(self, bench, events, first):
+    def __init__(self, bench, events, initial):
         self.bench = bench
         self.events = events
-        self.first = first
-        self.process = first
-        self.name = first.instance
+        self.initial = initial
+        self.process = initial
+        self.name = initial.instance
         self.state = "live"
         self.stopping_since = None
-        events.write("start", instance=self.name, address=first.address)
+        events.write("start", instance=self.name, address=initial.address)
 
-    def note(self, event, **fields):
+    def log_event(self, event, **fields):
         self.events.write(event, instance=self.name,
-                          address=self.first.address, **fields)
+                          address=self.initial.address, **fields)
 
     def start(self):
         settings = self.bench.out / f"{self.name}.settings.json"
         binary = self.bench.build / "garnetreach"
-        self.note("start")
-        self.process = self.bench.keep(
+        self.log_event("start")
+        self.process = self.bench.track(
             experiment.Process(self.name, [binary, "serve", settings],
                                self.bench.out))
         self.state = "live"
 
     def kill(self):
-        self.note("kill")
+        self.log_event("kill")
         self.process.kill()
         self.state = "down"
 
     def pause(self):
-        self.note("pause")
+        self.log_event("pause")
         self.process.pause()
         self.state = "paused"
 
     def resume(self):
         self.process.resume()
-        self.note("resume")
+        self.log_event("resume")
         self.state = "live"
 
     def ask_to_stop(self):
-        self.note("term")
+        self.log_event("term")
         self.process.ask_to_stop()
         self.state = "stopping"
         self.stopping_since = time.monotonic()
 
-    def look(self):
-        """Notes an end; says whether it came unasked."""
+    def poll_exit(self):
+        """Records an exit; returns whether it was unexpected."""
         status = self.process.child.poll()
         if self.state in ("down", "died", "starting") or status is None:
             return False
-        asked = self.state == "stopping"
-        self.note("exit" if asked else "died", status=status)
-        self.state = "down" if asked else "died"
-        return not asked
+        expected = self.state == "stopping"
+        self.log_event("exit" if expected else "died", status=status)
+        self.state = "down" if expected else "died"
+        return not expected
 
 
 class Poller(threading.Thread):
-    """Reads the table's revision from an instance's status page."""
+    """Records the table revision on an instance's status page."""
 
     def __init__(self, events, member):
         super().__init__(daemon=True)
         self.events = events
         self.member = member
-        self.over = threading.Event()
+        self.stop_event = threading.Event()
 
     def run(self):
-        while not self.over.wait(POLL_SECONDS):
-            asked = now_us()
+        while not self.stop_event.wait(POLL_INTERVAL_SECONDS):
+            requested_at = now_us()
             try:
                 page = self.read()
             except (OSError, ValueError, http.client.HTTPException):
                 continue
             table = page.get("table") or {}
             self.events.write(
-                "status", asked_us=asked, instance=self.member.name,
+                "status", asked_us=requested_at, instance=self.member.name,
                 incarnation=page["incarnation"], lifecycle=page["lifecycle"],
                 revision=table.get("revision"), digest=table.get("digest"))
 
     def read(self):
         status, _, text = experiment.request(
-            self.member.first.port, "GET", "/v1/status", timeout=1)
+            self.member.initial.port, "GET", "/v1/status", timeout=1)
         if status != 200:
             raise ValueError(status)
         return json.loads(text)
 
 
 class Chaos:
-    """The processes of one run, and what is done to them and when."""
+    """The processes of a run and the schedule of faults."""
 
     def __init__(self, bench, seed, seconds, deployment):
         self.bench = bench
-        self.kind = deployment
+        self.deployment_name = deployment
         self.searches = searches(deployment)
         self.seconds = seconds
         self.rng = random.Random(seed)
         self.events = Events(bench.out / "events.jsonl")
-        self.due = []
-        self.order = 0
-        self.deaths = 0
-        self.platform_wrong = False
+        self.timers = []
+        self.timer_sequence = 0
+        self.unexpected_exits = 0
+        self.platform_faulty = False
         self.versions = {}
         self.counts = {}
 
@@ -206,7 +207,7 @@
         bench = self.bench
         self.platform = bench.platform()
         self.deployment = experiment.Deployment(
-            bench, *DEPLOYMENTS[self.kind], "--service-us", 1000,
+            bench, *DEPLOYMENTS[self.deployment_name], "--service-us", 1000,
             "--service-random-us", 3000,
             *(word for item in TUNABLES for word in ("--tunable", item)),
             processes=BACKEND_PROCESSES, histories=True)
@@ -217,11 +218,11 @@
         self.publish()
         places = [(f"{dc}-{letter}", dc) for letter in "ab"
                   for dc in DATA_CENTRES]
-        self.members = [Member(bench, self.events, instance)
+        self.members = [ManagedInstance(bench, self.events, instance)
                         for instance in bench.instances(self.platform, places)]
         self.events.write(
             "run", version=1, min_coverage=MIN_COVERAGE,
-            addresses={m.first.address: m.name for m in self.members})
+            addresses={m.initial.address: m.name for m in self.members})
         self.wait_for_answers()
         self.pollers = [Poller(self.events, m) for m in self.members]
         for poller in self.pollers:
@@ -230,8 +231,8 @@
     def wait_for_answers(self):
         for member in self.members:
             experiment.wait_until(
-                f"{member.name} answers in full",
-                lambda m=member: self.covers_all(m.first))
+                f"full coverage at {member.name}",
+                lambda m=member: self.covers_all(m.initial))
 
     def covers_all(self, instance):
         for body in self.searches:
@@ -244,110 +245,113 @@
         queries = self.bench.out / "queries.jsonl"
         queries.write_text(
             "".join(json.dumps(body) + "\n" for body in self.searches))
-        addresses = [m.first.address for m in self.members]
+        addresses = [m.initial.address for m in self.members]
         return [
             self.bench.load_start(
                 addresses, "--data-centre", dc, "--queries", queries,
                 "--rate", str(RATE), "--seconds",
-                str(self.seconds + QUIET_SECONDS), "--history",
+                str(self.seconds + RECOVERY_SECONDS), "--history",
                 self.bench.out / f"load{i}.history.jsonl",
                 "--history-answers", "--runs", "0.2", "--run-service",
-                RUN_SERVICES[self.kind], "--repeat-runs", "0.3",
-                "--resend-not-run", "--patience-ms", "1000", "--timeout-ms", "5000", "--callers",
-                "6", "--seed", str(self.rng.randrange(1 << 20)))
+                RUN_SERVICES[self.deployment_name], "--repeat-runs", "0.3",
+                "--resend-not-run", "--patience-ms", "1000", "--timeout-ms",
+                "5000", "--callers", "6", "--seed",
+                str(self.rng.randrange(1 << 20)))
             for i, dc in enumerate(DATA_CENTRES[:2])
         ]
 
     # Schedule
 
-    def after(self, seconds, action, *arguments):
-        self.order += 1
-        heapq.heappush(self.due, (time.monotonic() + seconds, self.order,
-                                  action, arguments))
+    def schedule(self, seconds, action, *arguments):
+        self.timer_sequence += 1
+        heapq.heappush(self.timers, (time.monotonic() + seconds,
+                                     self.timer_sequence, action, arguments))
 
     def run(self):
         self.start()
         loads = self.start_load()
-        begun = time.monotonic()
-        next_fault = begun
-        while time.monotonic() < begun + self.seconds + QUIET_SECONDS:
+        start = time.monotonic()
+        next_fault = start
+        while time.monotonic() < start + self.seconds + RECOVERY_SECONDS:
             now = time.monotonic()
-            if now >= next_fault and now < begun + self.seconds:
-                self.one_fault()
-                next_fault += self.rng.expovariate(1 / FAULT_GAP_SECONDS)
-            while self.due and self.due[0][0] <= now:
-                _, _, action, arguments = heapq.heappop(self.due)
+            if now >= next_fault and now < start + self.seconds:
+                self.inject_fault()
+                next_fault += self.rng.expovariate(
+                    1 / MEAN_FAULT_INTERVAL_SECONDS)
+            while self.timers and self.timers[0][0] <= now:
+                _, _, action, arguments = heapq.heappop(self.timers)
                 action(*arguments)
-            self.look()
-            time.sleep(STEP_SECONDS)
+            self.poll_members()
+            time.sleep(LOOP_INTERVAL_SECONDS)
         summaries = [self.bench.load_end(load)[0] for load in loads]
         self.end()
         return summaries
 
     def end(self):
         for poller in self.pollers:
-            poller.over.set()
+            poller.stop_event.set()
         for poller in self.pollers:
             poller.join()
         for backend in self.deployment.backends:
             backend.stop()
         self.events.close()
 
-    def look(self):
+    def poll_members(self):
         for member in self.members:
-            if member.look():
-                self.deaths += 1
+            if member.poll_exit():
+                self.unexpected_exits += 1
             late = (member.state == "stopping" and
                     time.monotonic() > member.stopping_since + STOP_SECONDS)
             if late:
-                member.note("stop_too_long")
+                member.log_event("stop_too_long")
                 member.kill()
             if member.state in ("down", "died"):
                 member.state = "starting"
-                self.after(self.rng.uniform(0.2, 2), self.restart, member)
+                self.schedule(self.rng.uniform(0.2, 2), self.restart, member)
 
     def restart(self, member):
         member.start()
-        self.list_instances()
+        self.publish_instances()
 
-    def one_fault(self):
-        name = self.rng.choices(list(FAULTS), list(FAULTS.values()))[0]
+    def inject_fault(self):
+        name = self.rng.choices(list(FAULT_WEIGHTS),
+                                list(FAULT_WEIGHTS.values()))[0]
         if getattr(self, name)():
             self.counts[name] = self.counts.get(name, 0) + 1
 
     # Instances
 
-    def list_instances(self):
+    def publish_instances(self):
         self.platform.instances(
-            [m.first.row("leaving" if m.state == "stopping" else "live")
+            [m.initial.row("leaving" if m.state == "stopping" else "live")
              for m in self.members])
 
-    def draw_member(self):
+    def pick_live_member(self):
         live = [m for m in self.members if m.state == "live"]
         member = self.rng.choice(self.members)
-        if len(self.members) - len(live) >= DISTURBED_MAX:
+        if len(self.members) - len(live) >= MAX_DISTURBED_INSTANCES:
             return None
         return member if member.state == "live" else None
 
     def kill_instance(self):
-        member = self.draw_member()
+        member = self.pick_live_member()
         if member:
             member.kill()
         return member
 
     def pause_instance(self):
-        member = self.draw_member()
+        member = self.pick_live_member()
         seconds = self.rng.uniform(0.1, 5)
         if member:
             member.pause()
-            self.after(seconds, member.resume)
+            self.schedule(seconds, member.resume)
         return member
 
     def stop_instance(self):
-        member = self.draw_member()
+        member = self.pick_live_member()
         if member:
             member.ask_to_stop()
-            self.list_instances()
+            self.publish_instances()
         return member
 
     def list_lag(self):
@@ -361,7 +365,7 @@
         names = ["down", "stale", "old", "flap"]
         name = self.rng.choice(names)
         seconds = self.rng.uniform(0.5, 6)
-        if self.platform_wrong:
+        if self.platform_faulty:
             return False
         newest = self.revisions[-1]
         older = self.revisions[max(0, len(self.revisions) - 3)]
@@ -370,16 +374,16 @@
                  "flap": {"flap": [older, newest]}}[name]
         clear = {"down": {"down": False}, "stale": {"stale": False},
                  "old": {"serve_old": 0}, "flap": {"flap": None}}[name]
-        self.platform_wrong = True
+        self.platform_faulty = True
         self.events.write("platform", healthy=False, state=state)
         self.platform.state(**state)
-        self.after(seconds, self.platform_well, clear)
+        self.schedule(seconds, self.clear_platform_fault, clear)
         return True
 
-    def platform_well(self, clear):
+    def clear_platform_fault(self, clear):
         self.platform.state(**clear)
         self.events.write("platform", healthy=True, state=clear)
-        self.platform_wrong = False
+        self.platform_faulty = False
 
     # Table
 
@@ -393,7 +397,7 @@
                           leaving=self.leaving())
 
     def column(self, sheet, name):
-        """The position of a column; it is added where the sheet has none."""
+        """The index of a column, which is added if the sheet lacks it."""
         sheet = self.table[sheet]
         if name not in sheet["columns"]:
             sheet["columns"].append(name)
@@ -404,60 +408,62 @@
     def leaving(self):
         if "state" not in self.table["servers"]["columns"]:
             return []
-        at = self.column("servers", "state")
+        column_index = self.column("servers", "state")
         return [row[0] for row in self.table["servers"]["rows"]
-                if row[at] == "leaving"]
+                if row[column_index] == "leaving"]
 
     def edit_weight(self):
-        at = self.column("servers", "weight")
+        column_index = self.column("servers", "weight")
         row = self.rng.choice(self.table["servers"]["rows"])
-        row[at] = self.rng.choice([1, 50, 100, 200])
+        row[column_index] = self.rng.choice([1, 50, 100, 200])
         self.publish()
         return True
 
     def edit_state(self):
-        at = self.column("servers", "state")
+        column_index = self.column("servers", "state")
         row = self.rng.choice(self.table["servers"]["rows"])
-        if row[at] == "leaving" or len(self.leaving()) >= 2:
+        if row[column_index] == "leaving" or len(self.leaving()) >= 2:
             return False
-        row[at] = "leaving"
+        row[column_index] = "leaving"
         self.publish()
-        self.after(self.rng.uniform(4, 14), self.server_on, row, at)
+        self.schedule(self.rng.uniform(4, 14), self.reactivate_server, row,
+                      column_index)
         return True
 
-    def server_on(self, row, at):
-        row[at] = "on"
+    def reactivate_server(self, row, column_index):
+        row[column_index] = "on"
         self.publish()
 
     def edit_invalid(self):
         table = json.loads(json.dumps(self.table))
         table["services"]["rows"][0][1] = "no-such-market"
         self.publish(table, valid=False)
-        self.after(self.rng.uniform(0.2, 2), self.publish)
+        self.schedule(self.rng.uniform(0.2, 2), self.publish)
         return True
 
     # Backend servers
 
-    def play(self, servers, seconds, fault, undo=None):
+    def control_servers(self, servers, seconds, fault, revert=None):
         for server in servers:
             self.deployment.control(server=server, **fault)
-        if undo:
-            self.after(seconds, self.play, servers, 0, undo)
+        if revert:
+            self.schedule(seconds, self.control_servers, servers, 0, revert)
         return True
 
-    def draw_target(self):
-        """Mostly one server; at times all that have the same shards."""
-        drawn = self.rng.choice(self.servers)
+    def pick_servers(self):
+        """A random server or, with probability REPLICA_SET_RATIO, its whole
+        replica set."""
+        picked = self.rng.choice(self.servers)
         if self.rng.random() >= REPLICA_SET_RATIO:
-            return [drawn["server"]]
+            return [picked["server"]]
         return [s["server"] for s in self.servers
-                if s["service"] == drawn["service"] and
-                s["index"] // 2 == drawn["index"] // 2]
+                if s["service"] == picked["service"] and
+                s["index"] // 2 == picked["index"] // 2]
 
     def backend_fault(self):
         rng = self.rng
-        target = self.draw_target()
-        name, undo = rng.choice([
+        target = self.pick_servers()
+        name, revert = rng.choice([
             ("slow", {"factor": 1}), ("crash", None), ("silent", None),
             ("pause", None), ("reset", None), ("shed", {"ratio": 0}),
             ("cold", {"factor": 1}), ("wrong_version", {"probability": 0}),
@@ -473,23 +479,22 @@
             "cold": {"ms": 2000, "requests": 20},
         }.get(name, {"probability": rng.choice([0.2, 1])})
         seconds = rng.uniform(0.5, 4)
-        return self.play(target, seconds, {"fault": name, **values},
-                         undo and {"fault": name, **undo})
+        return self.control_servers(target, seconds, {"fault": name, **values},
+                                    revert and {"fault": name, **revert})
 
     def drain(self):
-        target = self.draw_target()
+        target = self.pick_servers()
         seconds = self.rng.uniform(3.5, 8)
-        return self.play(target, seconds, {"fault": "drain"},
-                         {"fault": "drain", "on": 0})
+        return self.control_servers(target, seconds, {"fault": "drain"},
+                                    {"fault": "drain", "on": 0})
 
     def poison(self):
-        return self.play(["*"], 4,
-                         {"fault": "crash_on", "marker": POISON,
-                                  "restart_ms": 300},
-                         {"fault": "crash_on"})
+        return self.control_servers(
+            ["*"], 4, {"fault": "crash_on", "marker": POISON_MARKER,
+                       "restart_ms": 300}, {"fault": "crash_on"})
 
     def switch_version(self):
-        """All servers of a service, one after the other."""
+        """Switches all servers of a service, each after a random delay."""
         rng = self.rng
         service = rng.choice(self.searches)["service"]
         version = min(VERSIONS, self.versions.get(service, 1) +
@@ -502,13 +507,13 @@
             if server["service"] != service:
                 continue
             delay = rng.uniform(0, 0.5)
-            self.after(delay, lambda name=server["server"]:
-                       self.deployment.control(server=name, **command))
+            self.schedule(delay, lambda name=server["server"]:
+                          self.deployment.control(server=name, **command))
         return True
 
 
-# How often each comes, in parts of their sum.
-FAULTS = {
+# Relative frequency of each fault; the keys are names of Chaos methods.
+FAULT_WEIGHTS = {
     "kill_instance": 3, "pause_instance": 4, "stop_instance": 4,
     "list_lag": 1, "platform_fault": 2, "edit_weight": 2, "edit_state": 2,
     "edit_invalid": 1, "backend_fault": 8, "drain": 3, "poison": 1,
@@ -517,7 +522,7 @@
 
 
 def sanitizer_reports(directory):
-    """Logs in which a sanitizer complains."""
+    """Names of logs that contain a sanitizer error."""
     out = []
     for path in sorted(directory.glob("*.log")):
         text = path.read_text(encoding="utf-8", errors="replace")
@@ -527,7 +532,7 @@
 
 
 def run(bench, seed=1, seconds=30, deployment="belgium"):
-    """Returns the exit status."""
+    """Runs the experiment; returns the exit status."""
     chaos = Chaos(bench, seed, seconds, deployment)
     summaries = chaos.run()
     for summary in summaries:
@@ -535,11 +540,12 @@
                           ("sent", "outcomes", "runs", "coverage")}))
     print(json.dumps({"seed": seed, "seconds": seconds,
                       "deployment": deployment,
-                      "faults": chaos.counts, "died": chaos.deaths,
+                      "faults": chaos.counts, "died": chaos.unexpected_exits,
                       "sanitizers": sanitizer_reports(bench.out)}))
     verdicts = history_check.Check(bench.out).run()
     history_check.report(verdicts, most=3)
-    return history_check.status_of(verdicts) or int(bool(chaos.deaths))
+    return (history_check.status_of(verdicts)
+            or int(bool(chaos.unexpected_exits)))
 
 
 def main():
@@ -555,7 +561,7 @@
     for path in [*out.glob("*.jsonl"), *out.glob("*.log")]:
         path.unlink()
     bench = experiment.Bench("chaos", args.build, out)
-    # The HTTP library forgets connections that are open at the end.
+    # The HTTP library leaks connections that are open at exit.
     os.environ.setdefault("ASAN_OPTIONS", "detect_leaks=0")
     try:
         return run(bench, args.seed, args.seconds, args.deployment)
--- a/bench/experiments/direct.py
+++ b/bench/experiments/direct.py
@@ -1,17 +1,18 @@
-"""What an instance adds to searches, and how many it can take."""
+"""Latency and processor time that an instance adds to a search, and the rate
+it can sustain."""
 
 import experiment
 
-TITLE = "one instance against asking the backend servers directly"
+TITLE = "searches through one instance, against searches sent to backends"
 
 SHARDS = 10
 RATE = 150
 SECONDS = 5
 ROUNDS = 3
-STEPS = (250, 500, 1000, 1500, 2000, 3000, 4000)
-STEP_SECONDS = 3
-GOOD_P99_US = 50000
-GOOD_RATIO = 0.99
+RATES = (250, 500, 1000, 1500, 2000, 3000, 4000)
+RATE_SECONDS = 3
+MAX_P99_US = 50000
+MIN_DONE_RATIO = 0.99
 PLOT = """
 set logscale y
 set xlabel 'searches a second'
@@ -26,64 +27,68 @@
 ]
 
 
-def ready(instance):
-    """Until a count covers everything."""
+def wait_for_full_coverage(instance):
+    """Waits until a count query covers all records."""
 
     def check():
         _, answer = instance.search({"service": "fanout", "mode": "count"})
         return (answer["outcome"] == "done"
-                and answer["coverage"]["covered"] == answer["coverage"]["total"])
+                and answer["coverage"]["covered"]
+                == answer["coverage"]["total"])
 
     experiment.wait_until("full coverage", check)
 
 
-def summary(out):
-    latency = out["latency_us"]
+def summarise(summary):
+    latency = summary["latency_us"]
     return {
-        "rate": out["rate"],
-        "done_ratio": round(out["outcomes"].get("done", 0) / out["sent"], 4),
+        "rate": summary["rate"],
+        "done_ratio": round(
+            summary["outcomes"].get("done", 0) / summary["sent"], 4),
         "p50_us": latency.get("p50"),
         "p99_us": latency.get("p99"),
         "p999_us": latency.get("p99.9"),
-        "late_p99_us": out["lateness_us"]["p99"],
-        "coverage": round(out["coverage"]["mean"], 5),
-        "wrong": out["wrong"],
-        "requests_a_search": round(out["work"]["requests"] / out["sent"], 2),
+        "late_p99_us": summary["lateness_us"]["p99"],
+        "coverage": round(summary["coverage"]["mean"], 5),
+        "wrong": summary["wrong"],
+        "requests_a_search": round(
+            summary["work"]["requests"] / summary["sent"], 2),
     }
 
 
 def compare(bench, deployment, instance, queries):
-    """Both ways in turn, so that noise of the machine meets both."""
+    """Alternates between both ways, so that noise of the machine affects both
+    equally."""
     options = ("--queries", queries, "--rate", str(RATE), "--seconds",
                str(SECONDS))
     for i in range(ROUNDS):
         seed = ("--seed", str(i + 1))
         direct = bench.load(deployment.addresses(), "--direct",
                             "--connections", "8", *options, *seed)
-        bench.record(way="direct", round=i, **summary(direct))
+        bench.record(way="direct", round=i, **summarise(direct))
         with experiment.CpuMeter(instance) as meter:
-            through = bench.load([instance.address], *options, *seed)
-        bench.record(way="instance", round=i, **summary(through),
+            via_instance = bench.load([instance.address], *options, *seed)
+        bench.record(way="instance", round=i, **summarise(via_instance),
                      cpu_us_a_search=round(
-                         meter.total() * 1e6 / through["sent"], 1))
+                         meter.total() * 1e6 / via_instance["sent"], 1))
 
 
-def climb(bench, deployment, instance, queries):
-    """Raises the rate until the instance cannot keep up; backend servers that
-    take no time are not what limits it."""
+def increase_rate(bench, deployment, instance, queries):
+    """Raises the rate until the instance cannot keep up. The service time is
+    set to 0, so that backend servers are not the bottleneck."""
     deployment.control(fault="service_time", server="*", service_us=0,
                        service_random_us=0)
     rows = []
-    for rate in STEPS:
+    for rate in RATES:
         with experiment.CpuMeter(instance) as meter:
-            out = bench.load([instance.address], "--queries", queries,
-                             "--rate", str(rate), "--seconds",
-                             str(STEP_SECONDS))
-        row = summary(out)
+            summary = bench.load([instance.address], "--queries", queries,
+                                 "--rate", str(rate), "--seconds",
+                                 str(RATE_SECONDS))
+        row = summarise(summary)
         bench.record(way="climb", **row,
-                     cpu_share=round(meter.total() / STEP_SECONDS, 3))
+                     cpu_share=round(meter.total() / RATE_SECONDS, 3))
         rows.append((rate, row["p50_us"], row["p99_us"]))
-        if row["done_ratio"] < GOOD_RATIO or row["p99_us"] > GOOD_P99_US:
+        if row["done_ratio"] < MIN_DONE_RATIO or row["p99_us"] > MAX_P99_US:
             break
     bench.plot("climb", PLOT, rows)
 
@@ -96,6 +101,6 @@
     platform = bench.platform()
     platform.publish(deployment.table)
     (instance,) = bench.instances(platform, [("one", "be1")])
-    ready(instance)
+    wait_for_full_coverage(instance)
     compare(bench, deployment, instance, queries)
-    climb(bench, deployment, instance, queries)
+    increase_rate(bench, deployment, instance, queries)
--- a/bench/experiments/fanout.py
+++ b/bench/experiments/fanout.py
@@ -1,7 +1,8 @@
-"""Processor time of each tier for a request to a backend server.
+"""Processor time of each tier per request to a backend server.
 
-The backend servers are all in be1. The instance in be2 holds none of their
-shares and only enters searches; the one in be1 is home to all of them.
+The backend servers are all in be1. The instance in be2 has no share of their
+limits and is only the entry of searches; the one in be1 is the home of all
+servers.
 """
 
 import time
@@ -9,7 +10,7 @@
 import experiment
 from experiments import direct, evhttp_floor
 
-TITLE = "processor time of entry and home for each backend request"
+TITLE = "processor time of entry and home per backend request"
 
 SHARDS = (10, 100, 730)
 REQUESTS_A_SECOND = 3000
@@ -28,8 +29,8 @@
 SEARCH = {"service": "fanout", "mode": "count"}
 
 
-def idle(processes):
-    """Processor microseconds a second without searches."""
+def idle_cost(processes):
+    """Processor time without searches, in microseconds per second."""
     with experiment.CpuMeter(*processes) as meter:
         time.sleep(IDLE_SECONDS)
     return {name: round(seconds * 1e6 / IDLE_SECONDS)
@@ -47,8 +48,8 @@
     client_us = round(out["cpu_us"] / requests, 2)
     bench.record(way="direct", shards=shards, requests=requests,
                  cpu_us_a_request=client_us,
-                 **direct.summary(out))
-    at_rest = idle((entry, home))
+                 **direct.summarise(out))
+    idle_us = idle_cost((entry, home))
     before = deployment.total("received", "search")
     with experiment.CpuMeter(entry, home) as meter:
         out = bench.load([entry.address], *options, "--fixed")
@@ -62,9 +63,9 @@
         entry_us_a_request=entry_us, home_us_a_request=home_us,
         entry_us_a_search=round(
             meter.seconds["entry"] * 1e6 / out["sent"], 1),
-        idle_us_a_second=at_rest,
+        idle_us_a_second=idle_us,
         entry_bytes=entry.rss_bytes(), home_bytes=home.rss_bytes(),
-        **direct.summary(out))
+        **direct.summarise(out))
     return shards, client_us, entry_us, home_us
 
 
@@ -72,7 +73,7 @@
     server = bench.server("floor-server", "floor", "server")
     bench.record(way="evhttp", connections=64,
                  cpu_us_a_request=round(
-                     evhttp_floor.client(bench, server, 64, 30000), 2))
+                     evhttp_floor.client_cost_us(bench, server, 64, 30000), 2))
     rows = []
     for shards in SHARDS:
         with bench.part(str(shards)) as part:
@@ -84,6 +85,6 @@
             platform.publish(deployment.table)
             entry, home = part.instances(
                 platform, [("entry", "be2"), ("home", "be1")])
-            direct.ready(entry)
+            direct.wait_for_full_coverage(entry)
             rows.append(measure(part, deployment, shards, entry, home))
     bench.plot("fanout", PLOT, rows)
--- a/bench/experiments/leave.py
+++ b/bench/experiments/leave.py
@@ -1,7 +1,8 @@
-"""What callers notice when an instance stops as planned, and when it is lost.
+"""Effect on callers of a graceful stop and of a sudden loss of an instance.
 
-The platform's list is never changed: the fleet has to find out by itself. A
-load of searches and of requests that must not be repeated goes on meanwhile.
+The platform's instance list is not changed: the fleet must detect the
+departure itself. Load of searches and of non-idempotent requests runs
+meanwhile.
 """
 
 import threading
@@ -9,38 +10,39 @@
 
 import experiment
 
-TITLE = "a planned stop and a sudden loss of an instance, under load"
+TITLE = "a graceful stop and a sudden loss of an instance, under load"
 
 INSTANCES = 8
 DATA_CENTRES = 4
 RATE = 150
-BEFORE_SECONDS = 2
-AFTER_SECONDS = 10
+WARMUP_SECONDS = 2
+OBSERVE_SECONDS = 10
 SERVICE = "be-desk-01"
 DATA_CENTRE = "be1"
 
 
-def names(instance, gone):
+def lists_instance(instance, departing):
     rows = experiment.request_json(
         instance.port, "GET", f"/v1/addresses?data_centre={DATA_CENTRE}")
-    return gone.instance in [row["instance"] for row in rows["addresses"]]
+    return departing.instance in [row["instance"] for row in rows["addresses"]]
 
 
-def watch(others, gone, begun, end, out):
-    """When the last instance stopped naming the one that goes."""
+def watch_listings(others, departing, start, end, out):
+    """Records when the last instance stopped listing the departing one."""
     out["unnamed_s"] = None
     while time.monotonic() < end:
         now = time.monotonic()
-        named = any(names(instance, gone) for instance in others)
-        if named:
+        listed = any(lists_instance(instance, departing)
+                     for instance in others)
+        if listed:
             out["unnamed_s"] = None
         elif out["unnamed_s"] is None:
-            out["unnamed_s"] = round(now - begun, 2)
+            out["unnamed_s"] = round(now - start, 2)
         time.sleep(0.05)
 
 
-def complete(instances, services):
-    """Whether all instances find every service whole."""
+def all_covered(instances, services):
+    """Whether all instances cover all records of every service."""
     for instance in instances:
         for service in services:
             _, answer = instance.search({"service": service, "mode": "count"})
@@ -52,7 +54,7 @@
 
 
 def start_fleet(bench):
-    """Instances that find everything, and a file of searches for them."""
+    """Starts instances, waits for full coverage and writes the queries."""
     deployment = bench.deployment("--scale", 0.1, "--service-us", 1000)
     services = [row[0] for row in deployment.table["services"]["rows"]]
     queries = deployment.write_queries(
@@ -63,41 +65,42 @@
         platform,
         [(f"i{n}", f"be{n % DATA_CENTRES + 1}") for n in range(INSTANCES)])
     experiment.wait_until("full coverage",
-                          lambda: complete(instances, services))
+                          lambda: all_covered(instances, services))
     return instances, queries
 
 
 def start_load(bench, instances, queries):
     return bench.load_start(
         [i.address for i in instances], "--queries", queries, "--rate",
-        str(RATE), "--seconds", str(BEFORE_SECONDS + AFTER_SECONDS),
+        str(RATE), "--seconds", str(WARMUP_SECONDS + OBSERVE_SECONDS),
         "--data-centre", DATA_CENTRE, "--runs", "0.2", "--run-service",
         SERVICE, "--resend-not-run")
 
 
-def go(way, gone, others):
-    """The first instance goes. Says when it ended and was named no more."""
-    begun = time.monotonic()
-    seen = {}
+def remove_instance(way, departing, others):
+    """Stops or kills an instance. Returns when it exited and when it was no
+    longer listed."""
+    start = time.monotonic()
+    observed = {}
     watcher = threading.Thread(
-        target=watch,
-        args=(others, gone, begun, begun + AFTER_SECONDS, seen))
+        target=watch_listings,
+        args=(others, departing, start, start + OBSERVE_SECONDS, observed))
     if way == "stop":
-        gone.ask_to_stop()
+        departing.ask_to_stop()
     else:
-        gone.kill()
+        departing.kill()
     watcher.start()
-    seen["exit_status"] = gone.child.wait()
-    seen["ended_s"] = round(time.monotonic() - begun, 2)
+    observed["exit_status"] = departing.child.wait()
+    observed["ended_s"] = round(time.monotonic() - start, 2)
     watcher.join()
-    return seen
+    return observed
 
 
-def run_one(bench, way):
+def measure(bench, way):
     instances, queries = start_fleet(bench)
     load = start_load(bench, instances, queries)
-    time.sleep(BEFORE_SECONDS)
-    seen = go(way, instances[0], instances[1:])
+    time.sleep(WARMUP_SECONDS)
+    observed = remove_instance(way, instances[0], instances[1:])
     out, _ = bench.load_end(load)
     target = out["addresses"][instances[0].address]
     bench.record(
@@ -107,10 +110,10 @@
         p99_us=out["latency_us"].get("p99"),
         run_p99_us=out["run_latency_us"].get("p99"),
         late_p99_us=out["lateness_us"]["p99"],
-        min_coverage=out["coverage"]["min"], wrong=out["wrong"], **seen)
+        min_coverage=out["coverage"]["min"], wrong=out["wrong"], **observed)
 
 
 def run(bench):
     for way in ("stop", "kill"):
         with bench.part(way) as part:
-            run_one(part, way)
+            measure(part, way)
--- a/bench/experiments/limits.py
+++ b/bench/experiments/limits.py
@@ -1,11 +1,11 @@
-"""Slots and connections that are used at backend servers, against their limits.
-
-More is asked than the servers can answer, by four callers: through four
-instances, which share out each server's limits and of which one is killed and
-replaced meanwhile; and directly, each caller with its own connections and a
-fourth of the load. The servers count the most requests that ran, waited and
-connections that were open at once, and connections that they refused. A search
-is good if it is answered with sufficient coverage.
+"""Slots and connections in use at backend servers, against their limits.
+
+The load exceeds the capacity of the servers. It is sent either through four
+instances, which divide each server's limits among themselves and one of which
+is killed and replaced meanwhile; or directly, by four callers with their own
+connections and a fourth of the load each. The servers count the peaks of
+running requests, queued requests and open connections, and the connections
+that they refused. A search is good if it is answered with sufficient coverage.
 """
 
 import threading
@@ -13,22 +13,22 @@
 
 import experiment
 
-TITLE = "most slots and connections in use at a server, shared and unshared"
+TITLE = "peak slots and connections in use at a server, shared and unshared"
 PLACES = [(f"be1-{name}", "be1") for name in "abcd"]
 SHARDS = 4
 REPLICAS = 2
 SLOTS = 4
 CONNECTIONS = 8
 SERVICE_MS = 10
-# Each search asks one server of each shard.
+# Searches per second; each search asks one server of each shard.
 CAPACITY = REPLICAS * SLOTS * 1000 / SERVICE_MS
-TIMES = 2
+LOAD_FACTOR = 2
 SECONDS = 10
-KILL_AFTER = 4
-REPLACE_AFTER = 1
+KILL_AFTER_SECONDS = 4
+REPLACE_AFTER_SECONDS = 1
 
 
-def deployment_of(bench):
+def start_deployment(bench):
     return bench.deployment(
         "--fanout", SHARDS, "--replicas", REPLICAS, "--data-centres", 1,
         "--service-us", SERVICE_MS * 800, "--service-random-us",
@@ -44,19 +44,19 @@
     )
 
 
-def replace_one(bench, platform, instances):
-    """One process ends without a word; another takes its name."""
-    time.sleep(KILL_AFTER)
+def kill_and_replace(bench, platform, instances):
+    """Kills an instance and later starts another under its name."""
+    time.sleep(KILL_AFTER_SECONDS)
     old = instances[0]
     old.kill()
-    time.sleep(REPLACE_AFTER)
-    bench.keep(experiment.Instance(
+    time.sleep(REPLACE_AFTER_SECONDS)
+    bench.track(experiment.Instance(
         bench.build / "garnetreach", old.instance, old.data_centre, platform,
         bench.out,
     ))
 
 
-def most(counters, name):
+def max_counter(counters, name):
     return max(row[name] for row in counters.values())
 
 
@@ -67,9 +67,9 @@
                - s["coverage"].get("insufficient", 0) for s in summaries)
     bench.record(
         way=way, slots=SLOTS, connections=CONNECTIONS,
-        slots_peak=most(counters, "slots_peak"),
-        queued_peak=most(counters, "queued_peak"),
-        connections_peak=most(counters, "connections_peak"),
+        slots_peak=max_counter(counters, "slots_peak"),
+        queued_peak=max_counter(counters, "queued_peak"),
+        connections_peak=max_counter(counters, "connections_peak"),
         connections_refused=sum(row["connections_refused"]
                                 for row in counters.values()),
         sent=sent, good_ratio=round(good / sent, 3),
@@ -79,16 +79,16 @@
     )
 
 
-def queries_of(deployment):
+def write_queries_file(deployment):
     return deployment.write_queries(
         "queries.jsonl",
         [{"service": "fanout", "where": {"urgency": "leak"}, "limit": 5}],
     )
 
 
-def shared(bench):
-    deployment = deployment_of(bench)
-    queries = queries_of(deployment)
+def measure_shared(bench):
+    deployment = start_deployment(bench)
+    queries = write_queries_file(deployment)
     platform = bench.platform()
     platform.publish(deployment.table)
     instances = bench.instances(platform, PLACES)
@@ -99,8 +99,8 @@
             .get("coverage", {}).get("ratio") == 1,
         )
     load = load_start(bench, [i.address for i in instances], queries,
-                      CAPACITY * TIMES, "--connections", "1024")
-    killer = threading.Thread(target=replace_one,
+                      CAPACITY * LOAD_FACTOR, "--connections", "1024")
+    killer = threading.Thread(target=kill_and_replace,
                               args=(bench, platform, instances))
     killer.start()
     summary, _ = bench.load_end(load)
@@ -108,12 +108,12 @@
     record(bench, "shared", deployment, [summary])
 
 
-def unshared(bench):
-    deployment = deployment_of(bench)
-    queries = queries_of(deployment)
+def measure_unshared(bench):
+    deployment = start_deployment(bench)
+    queries = write_queries_file(deployment)
     loads = [
         load_start(bench, deployment.addresses(), queries,
-                   CAPACITY * TIMES / len(PLACES), "--direct",
+                   CAPACITY * LOAD_FACTOR / len(PLACES), "--direct",
                    "--connections", str(CONNECTIONS), "--seed", str(i))
         for i in range(len(PLACES))
     ]
@@ -122,8 +122,8 @@
 
 
 def run(bench):
-    shared(bench)
+    measure_shared(bench)
     for process in reversed(bench.processes):
         process.stop()
     bench.processes.clear()
-    unshared(bench)
+    measure_unshared(bench)
--- a/bench/experiments/outage.py
+++ b/bench/experiments/outage.py
@@ -1,11 +1,11 @@
-"""Retry budget and ejection against the loss of a whole service."""
+"""Retry budget and ejection when all servers of a service fail."""
 
 import tails
 
-TITLE = "every server of the service is shedding, or hangs up, and comes back"
+TITLE = "all servers of a service shed or truncate responses, then recover"
 SHARDS = 50
-SHARE = 0.4
-WARM_SECONDS = 3
+LOAD_RATIO = 0.4
+WARMUP_SECONDS = 3
 FAULT_SECONDS = 8
 AFTER_SECONDS = 6
 
@@ -17,13 +17,13 @@
 
 
 def run(bench):
-    fleet = tails.Tails(bench, SHARDS)
+    fleet = tails.FaultBench(bench, SHARDS)
     for name, (begin, end) in FAULTS.items():
         for policy in tails.POLICIES:
-            fleet.use(policy)
-            names = {"policy": policy, "fault": name}
-            fleet.measure(WARM_SECONDS, SHARE, phase="before", **names)
+            fleet.apply_policy(policy)
+            labels = {"policy": policy, "fault": name}
+            fleet.measure(WARMUP_SECONDS, LOAD_RATIO, phase="before", **labels)
             fleet.data.control(server="*", **begin)
-            fleet.measure(FAULT_SECONDS, SHARE, phase="outage", **names)
+            fleet.measure(FAULT_SECONDS, LOAD_RATIO, phase="outage", **labels)
             fleet.data.control(server="*", **end)
-            fleet.measure(AFTER_SECONDS, SHARE, phase="after", **names)
+            fleet.measure(AFTER_SECONDS, LOAD_RATIO, phase="after", **labels)
--- a/bench/experiments/overload.py
+++ b/bench/experiments/overload.py
@@ -1,9 +1,9 @@
-"""Overload: offered load at 1, 2, 5 and 10 times what the servers can answer.
+"""Overload: offered load of 1, 2, 5 and 10 times the capacity of the servers.
 
-A search is good when it is answered within its deadline and with sufficient
-coverage. The baseline starts every search at once and lets it wait at homes
-(tunable admission off). Then a flood on one service beside calm searches of an
-urgent one, which share the instances.
+A search is good if it is answered within its deadline and with sufficient
+coverage. The baseline starts every search immediately and queues it at homes
+(tunable admission off). A second part floods one service while searches of an
+urgent service run at a low rate through the same instances.
 """
 
 import time
@@ -15,10 +15,10 @@
 SLOTS = 2
 SERVERS = 4
 SERVICE_MS = 10
-# Each search asks one server of each of two shards.
+# Searches per second; each search asks one server of each of two shards.
 CAPACITY = SLOTS * SERVERS * 1000 / SERVICE_MS / 2
 SECONDS = 6
-TIMES = (1, 2, 5, 10)
+LOAD_FACTORS = (1, 2, 5, 10)
 SETTLE_SECONDS = 1.5
 URGENT = "be-desk-01"
 FLOODED = "be-portal-01"
@@ -31,7 +31,7 @@
     time.sleep(SETTLE_SECONDS)
 
 
-def start(bench, deployment, service):
+def start_fleet(bench, deployment, service):
     platform = bench.platform()
     platform.publish(deployment.table)
     instances = bench.instances(platform, PLACES)
@@ -76,10 +76,10 @@
         "queries.jsonl",
         [{"service": "fanout", "where": {"urgency": "leak"}, "limit": 5}],
     )
-    platform, addresses = start(bench, deployment, "fanout")
+    platform, addresses = start_fleet(bench, deployment, "fanout")
     for admission in ("off", "on"):
         publish(platform, deployment.table, admission)
-        for times in TIMES:
+        for times in LOAD_FACTORS:
             load = load_start(bench, addresses, queries, CAPACITY * times)
             summary, _ = bench.load_end(load)
             bench.record(part="loads", admission=admission, times=times,
@@ -94,7 +94,7 @@
     )
     urgent = deployment.write_queries("urgent.jsonl", [{"service": URGENT}])
     flood = deployment.write_queries("flood.jsonl", [{"service": FLOODED}])
-    platform, addresses = start(bench, deployment, URGENT)
+    platform, addresses = start_fleet(bench, deployment, URGENT)
     for admission in ("off", "on"):
         publish(platform, deployment.table, admission)
         for rate in (0, 4000):
--- a/bench/experiments/poison.py
+++ b/bench/experiments/poison.py
@@ -1,21 +1,22 @@
-"""A search that crashes each server that runs it, sent again and again.
+"""Poison queries: a search that crashes every server that runs it, and is
+retried.
 
-Its caller sends it to one instance after the other, as soon as it has an
-answer, while calm searches of other callers go on. Servers come back after a
-while. Counted are the servers lost to each such search.
+Its caller sends it to the instances in turn, each time as soon as it has an
+answer, while other callers run background searches. Crashed servers restart
+after RESTART_MS. The experiment counts the servers lost to each poison query.
 """
 
 import time
 
 import experiment
 
-TITLE = "servers lost to a search that crashes them"
+TITLE = "servers lost to poison queries"
 PLACES = [(f"be1-{name}", "be1") for name in "abcd"]
 SERVERS = 6
-POISONS = 6
+POISON_QUERIES = 6
 RESENDS = 12
 RESTART_MS = 1500
-CALM_RATE = 100
+BACKGROUND_RATE = 100
 LOAD_SECONDS = 40
 
 
@@ -27,17 +28,18 @@
     time.sleep(1.5)
 
 
-def is_whole(instance):
+def is_covered(instance):
     _, answer = instance.search({"service": "fanout"})
     return answer.get("coverage", {}).get("ratio") == 1
 
 
-def crashes(deployment):
+def crash_count(deployment):
     return sum(row["crashes"] for row in deployment.counters().values())
 
 
 def send_poison(instances, marker):
-    """Outcomes of a caller that does not give up."""
+    """Sends the query RESENDS times; returns the answers by error or
+    outcome."""
     errors = {}
     for i in range(RESENDS):
         instance = instances[i % len(instances)]
@@ -53,19 +55,20 @@
 def measure(bench, deployment, platform, instances, way, **values):
     publish(platform, deployment.table, **values)
     for instance in instances:
-        experiment.wait_until("full coverage", lambda: is_whole(instance))
+        experiment.wait_until("full coverage", lambda: is_covered(instance))
     load = bench.load_start(
         [i.address for i in instances], "--service", "fanout", "--rate",
-        str(CALM_RATE), "--seconds", str(LOAD_SECONDS), "--timeout-ms", "2000",
+        str(BACKGROUND_RATE), "--seconds", str(LOAD_SECONDS), "--timeout-ms",
+        "2000",
     )
     lost = []
     errors = {}
-    for i in range(POISONS):
-        before = crashes(deployment)
+    for i in range(POISON_QUERIES):
+        before = crash_count(deployment)
         marker = f"boom-{way}-{i}".replace(" ", "-")
         for error, n in send_poison(instances, marker).items():
             errors[error] = errors.get(error, 0) + n
-        lost.append(crashes(deployment) - before)
+        lost.append(crash_count(deployment) - before)
         time.sleep(2 * RESTART_MS / 1000)
     summary, _ = bench.load_end(load)
     bench.record(way=way, lost=lost, most=max(lost), answers=errors,
--- a/bench/experiments/stragglers.py
+++ b/bench/experiments/stragglers.py
@@ -1,23 +1,23 @@
-"""Hedging against single slow requests."""
+"""Hedging against individual slow requests."""
 
 import tails
 
-TITLE = "1 in 100 shard requests 20 times slower, 100 shards, half load"
+TITLE = "1 in 100 shard requests 20 times slower; 100 shards, half load"
 SHARDS = 100
-WARM_SECONDS = 4
+WARMUP_SECONDS = 4
 SECONDS = 12
-SHARE = 0.5
+LOAD_RATIO = 0.5
 
 
 def run(bench):
-    fleet = tails.Tails(bench, SHARDS)
+    fleet = tails.FaultBench(bench, SHARDS)
     for name, fault in (("none", {"factor": 1}),
                         ("stragglers", {"factor": 20, "probability": 0.01}),
                         ("all slow", {"factor": 1.6})):
         for policy in tails.POLICIES:
-            fleet.use(policy)
+            fleet.apply_policy(policy)
             fleet.data.control(fault="slow", server="*", **fault)
-            fleet.measure(WARM_SECONDS, SHARE, policy=policy, fault=name,
-                          phase="warm")
-            fleet.measure(SECONDS, SHARE, policy=policy, fault=name,
+            fleet.measure(WARMUP_SECONDS, LOAD_RATIO, policy=policy,
+                          fault=name, phase="warm")
+            fleet.measure(SECONDS, LOAD_RATIO, policy=policy, fault=name,
                           phase="measured")
--- a/bench/tails.py
+++ b/bench/tails.py
@@ -1,5 +1,6 @@
-"""What the experiments on slow, refusing and lost servers share: one service
-of many shards on servers of their own, and a table that names the policy.
+"""Common setup of the experiments with slow, refusing and lost servers: one
+service with many shards, each on its own servers, and a table that selects the
+search policy.
 """
 
 import experiment
@@ -8,8 +9,9 @@
 SERVICE = "fanout"
 
 
-class Tails:
-    """Instances, servers and a table, with load measured by phases."""
+class FaultBench:
+    """Instances and servers under a selectable policy; measures load by
+    phase."""
 
     def __init__(self, bench, shards, *options, instances=4, processes=3,
                  service_us=30000, random_us=10000, deadline_ms=2000,
@@ -22,7 +24,8 @@
             "--service-us", service_us, "--service-random-us", random_us,
             "--deadline-ms", deadline_ms, "--mode", mode, *options,
             processes=processes)
-        # Mean answers a second of all servers, each shard on two of two slots.
+        # Searches per second that all servers can answer: each shard is on two
+        # servers with two slots each.
         self.capacity = 4 * 1e6 / (service_us + random_us)
         self.publish(POLICIES[0])
         places = [(f"be1-{i}", "be1") for i in range(instances)]
@@ -44,8 +47,8 @@
             *rows, ["search_policy", policy]]
         return self.platform.publish(self.data.table)
 
-    def use(self, policy):
-        """Puts a policy in force everywhere."""
+    def apply_policy(self, policy):
+        """Applies a policy and waits until all instances use it."""
         revision = self.publish(policy)
         experiment.wait_until(
             f"revision {revision} in force",
@@ -67,27 +70,28 @@
             "received": self.data.total("received", "search"),
         }
 
-    def measure(self, seconds, share, *options, **names):
-        """Load at a share of the capacity; one record. Returns its fields."""
-        rate = share * self.capacity
+    def measure(self, seconds, load_ratio, *options, **labels):
+        """Runs load at a fraction of the capacity and writes a record. Returns
+        its fields."""
+        rate = load_ratio * self.capacity
         before = self.counts()
         summary = self.bench.load(
             self.addresses, "--rate", f"{rate:.0f}", "--seconds", str(seconds),
             "--service", SERVICE, "--mode", "count", "--where", "{}",
             *options)
         after = self.counts()
-        grown = {key: after[key] - before[key] for key in after}
-        fields = {**names, "rate": round(rate), **digest(summary),
-                  "needed": grown["needed"], "hedged": grown["hedged"],
-                  "retried": grown["retried"],
-                  "load": round(grown["received"] / max(1, grown["needed"]),
-                                4)}
+        increase = {key: after[key] - before[key] for key in after}
+        fields = {**labels, "rate": round(rate), **summarise(summary),
+                  "needed": increase["needed"], "hedged": increase["hedged"],
+                  "retried": increase["retried"],
+                  "load": round(
+                      increase["received"] / max(1, increase["needed"]), 4)}
         self.bench.record(**fields)
         return fields
 
 
-def digest(summary):
-    """The figures of a summary of load that these experiments compare."""
+def summarise(summary):
+    """The values of a load summary that these experiments compare."""
     latency = summary["latency_us"]
     coverage = summary["coverage"]
     fields = {
