--- a/tests/fake_server.py
+++ b/tests/fake_server.py
@@ -1,18 +1,18 @@
-"""A backend server that answers what a test wants, right or wrong."""
+"""A fake backend server whose answers, valid or not, are set by a test."""
 
 import socket
 import threading
 
 import wire
 
-POINTS = 65536
+KEY_COUNT = 65536
 BACKLOG = 64
 
 
-def even_map(shards, held):
-    """Equal key ranges with as many records each."""
+def even_shard_map(shards, held):
+    """Split the key space evenly into shards of `held` records each."""
     return [
-        (i * POINTS // shards, (i + 1) * POINTS // shards - 1, held)
+        (i * KEY_COUNT // shards, (i + 1) * KEY_COUNT // shards - 1, held)
         for i in range(shards)
     ]
 
@@ -21,12 +21,12 @@
     return wire.encode((1, lo or None), (2, hi or None))
 
 
-def pack_holdings(server, service, version, ranges, here):
+def pack_holdings(server, service, version, ranges, shard_indexes):
     infos = [
         (2, wire.encode((1, pack_range(lo, hi)), (2, held or None)))
         for lo, hi, held in ranges
     ]
-    indexes = b"".join(wire.varint(i) for i in here)
+    indexes = b"".join(wire.varint(i) for i in shard_indexes)
     snapshot = wire.encode((1, version), *infos, (3, indexes or None))
     return wire.encode((1, server), (2, service), (5, snapshot))
 
@@ -54,14 +54,14 @@
 def read_search(body):
     fields = wire.decode(body)
     return {
-        "request_id": wire.text(fields, 1),
-        "version": wire.number(fields, 3),
+        "request_id": wire.last_text(fields, 1),
+        "version": wire.last_int(fields, 3),
         "shards": [wire.read_range(item) for item in fields.get(4, [])],
     }
 
 
-def http(body, status="200 OK", length=None):
-    """A whole answer; `length` is what it says of its body."""
+def http_response(body, status="200 OK", length=None):
+    """Build a response; `length` overrides its Content-Length."""
     if length is None:
         length = len(body)
     head = f"HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n"
@@ -69,23 +69,25 @@
 
 
 class FakeServer:
-    """Listens on an own port until close().
+    """Listens on a port of its own until close().
 
-    `holdings` and `search` take the server and the request's body, and give
+    `holdings` and `search` take the server and the request body and return
     the bytes to send; None closes the connection.
     """
 
-    def __init__(self, name, service, held=10, shards=2, here=None, version=1):
+    def __init__(self, name, service, held=10, shards=2, shard_indexes=None,
+                 version=1):
         self.name = name
         self.service = service
         self.version = version
-        self.ranges = even_map(shards, held)
-        self.here = list(range(shards)) if here is None else here
-        self.holdings = type(self).good_holdings
-        self.search = type(self).good_search
+        self.ranges = even_shard_map(shards, held)
+        self.shard_indexes = (list(range(shards)) if shard_indexes is None
+                              else shard_indexes)
+        self.holdings = type(self).valid_holdings
+        self.search = type(self).valid_search
         self.close_after = False
         self.searches = 0
-        self.conns = set()
+        self.connections = set()
         self.lock = threading.Lock()
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
         self.port = self.listener.getsockname()[1]
@@ -93,7 +95,7 @@
         self.thread.start()
 
     def row(self, data_centre):
-        """Its row of the table: name, service, data_centre, address."""
+        """Return its row of the servers table."""
         return [
             self.name,
             self.service,
@@ -101,15 +103,16 @@
             f"127.0.0.1:{self.port}",
         ]
 
-    def good_holdings(self, _):
-        return http(
+    def valid_holdings(self, _):
+        return http_response(
             pack_holdings(
-                self.name, self.service, self.version, self.ranges, self.here
+                self.name, self.service, self.version, self.ranges,
+                self.shard_indexes
             )
         )
 
-    def partials(self, asked, **changes):
-        """One record matches in each shard."""
+    def partials(self, request, **changes):
+        """Answer each shard with one matching record."""
         held = {(lo, hi): n for lo, hi, n in self.ranges}
         return [
             pack_partial(
@@ -121,20 +124,21 @@
                     "records", [(f"s{lo}", f"k{lo}", '{"lo":%d}' % lo)]
                 ),
             )
-            for lo, hi in asked["shards"]
+            for lo, hi in request["shards"]
         ]
 
     def answer(self, body, **changes):
-        asked = read_search(body)
+        """Encode a valid answer, except for the fields in `changes`."""
+        request = read_search(body)
         return pack_answer(
-            changes.get("request_id", asked["request_id"]),
+            changes.get("request_id", request["request_id"]),
             changes.get("server", self.name),
-            changes.get("version", asked["version"]),
-            changes.get("partials", self.partials(asked, **changes)),
+            changes.get("version", request["version"]),
+            changes.get("partials", self.partials(request, **changes)),
         )
 
-    def good_search(self, body):
-        return http(self.answer(body))
+    def valid_search(self, body):
+        return http_response(self.answer(body))
 
     def accept(self):
         while True:
@@ -144,7 +148,7 @@
                 return
             conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             with self.lock:
-                self.conns.add(conn)
+                self.connections.add(conn)
             threading.Thread(
                 target=self.serve, args=(conn,), daemon=True
             ).start()
@@ -157,7 +161,7 @@
         except OSError:
             pass
         with self.lock:
-            self.conns.discard(conn)
+            self.connections.discard(conn)
 
     def serve_one(self, conn, stream):
         line = stream.readline()
@@ -183,7 +187,7 @@
         if path == "/v1/search":
             self.searches += 1
             return self.search(self, body)
-        return http(b"", "204 No Content")
+        return http_response(b"", "204 No Content")
 
     def stop_listening(self):
         if self.listener.fileno() < 0:
@@ -194,8 +198,8 @@
     def close(self):
         self.stop_listening()
         with self.lock:
-            conns = list(self.conns)
-        for conn in conns:
+            connections = list(self.connections)
+        for conn in connections:
             try:
                 conn.shutdown(socket.SHUT_RDWR)
             except OSError:
--- a/tests/opaque_world.py
+++ b/tests/gateway_fixtures.py
@@ -1,5 +1,6 @@
-"""Stand-ins for what a gateway meets: the platform's store, and backend servers
-of opaque requests. Both answer right unless a test tells them otherwise."""
+"""Fixtures for tests of the gateway: an instance under test, a fake of the
+platform's store and fake backend servers of opaque requests. The fakes answer
+correctly unless a test changes them."""
 
 import base64
 import http.client
@@ -14,13 +15,13 @@
 import time
 import urllib.parse
 
-HERE = pathlib.Path(__file__).resolve().parent
-sys.path.insert(0, str(HERE.parent / "bench"))
+TESTS_DIR = pathlib.Path(__file__).resolve().parent
+sys.path.insert(0, str(TESTS_DIR.parent / "bench"))
 
 import experiment  # noqa: E402
 from fake_server import FakeServer  # noqa: E402
 
-PAGE = 3
+ITEMS_PER_PAGE = 3
 HOST = "shop.example"
 
 
@@ -29,7 +30,7 @@
 
 
 class Request:
-    """A request as it arrived at a server."""
+    """A request as a server received it."""
 
     def __init__(self, method, target, headers, body):
         self.method = method
@@ -41,8 +42,8 @@
 
 
 def answer(body=b"", status="200 OK", headers=(), length=None):
-    """A whole answer; `length` is what it says of its body, None: the truth,
-    -1: nothing."""
+    """Build a response. `length` overrides its Content-Length; -1 omits the
+    header."""
     lines = [f"HTTP/1.1 {status}"]
     lines += [f"{name}: {value}" for name, value in headers]
     if length is None:
@@ -53,14 +54,19 @@
 
 
 class OpaqueServer(FakeServer):
-    """`behave` takes the server and a Request and gives the bytes to send;
-    None resets the connection. `ran` are the requests that it ran."""
+    """A fake server whose entry is in the store.
+
+    `respond` takes the server and a Request and returns the bytes to send;
+    None resets the connection. `seen` holds the requests whose headers were
+    read, `ran` those that were executed. A test may set `early_response` to a
+    function whose response is sent before the request body is read.
+    """
 
     def __init__(self, store, name, service, data_centre="dc-0"):
         self.store = store
         self.data_centre = data_centre
         self.cold_for_ms = 0
-        self.behave = type(self).good
+        self.respond = type(self).echo
         self.ran = []
         self.seen = []
         self.closed = threading.Event()
@@ -91,13 +97,13 @@
             ("X-Server-Stamp", self.stamp(request)),
         ]
 
-    def good(self, request):
+    def echo(self, request):
         self.ran.append(request)
         body = f"{self.name} {request.target} ".encode() + request.body
         return answer(body, headers=self.headers(request))
 
-    def records(self, request):
-        """Two records of 16 bytes, and a rest that is none."""
+    def send_records(self, request):
+        """Answer with two records of 16 bytes and a trailing partial record."""
         self.ran.append(request)
         tail = int(self.name.rpartition("-")[2])
         body = b"".join(
@@ -111,7 +117,7 @@
             headers=[("X-Request-Id", request.id), ("X-Not-Executed", "1")],
         )
 
-    def serve_one(self, conn, stream):
+    def serve_one(self, connection, stream):
         line = stream.readline()
         if not line:
             return False
@@ -124,22 +130,25 @@
             headers[name.lower()] = value.strip()
         request = Request(method, target, headers, b"")
         self.seen.append(request)
-        early = getattr(self, "early", None)
-        if early:
-            conn.sendall(early(request))
+        early_response = getattr(self, "early_response", None)
+        if early_response:
+            connection.sendall(early_response(request))
         request.body = stream.read(int(headers.get("content-length", 0)))
-        data = b"" if early else self.behave(self, request)
+        data = b"" if early_response else self.respond(self, request)
         if data is None:
-            conn.setsockopt(
+            connection.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
             )
             return False
-        conn.sendall(data)
+        connection.sendall(data)
         return not self.close_after
 
 
 class Store(http.server.ThreadingHTTPServer):
-    """The platform's store: items, their revisions and changes."""
+    """A fake of the platform's store.
+
+    Items, their revisions, and the changes that watches are answered from.
+    """
 
     daemon_threads = True
 
@@ -150,10 +159,10 @@
         self.era = None
         self.items = {}
         self.changes = []
-        self.calls = 0
-        self.refused = set()
-        self.away = False
-        self.compacted = 0
+        self.call_count = 0
+        self.refused_addresses = set()
+        self.unavailable = False
+        self.compacted_revision = 0
         threading.Thread(target=self.serve_forever, daemon=True).start()
 
     @property
@@ -186,7 +195,7 @@
 
     def compact(self):
         with self.cond:
-            self.compacted = self.revision
+            self.compacted_revision = self.revision
             self.changes = []
             self.cond.notify_all()
 
@@ -194,9 +203,9 @@
         with self.cond:
             return self.revision, dict(self.items), list(self.changes)
 
-    def go_back(self, copy):
-        """What was written since the copy is gone, its revisions are given
-        out again."""
+    def restore(self, copy):
+        """Restore a copy in a new era: later writes are lost and their
+        revisions are assigned again."""
         with self.cond:
             self.revision, items, changes = copy
             self.items = dict(items)
@@ -204,14 +213,14 @@
             self.era += 1
             self.cond.notify_all()
 
-    def range(self, prefix, after):
+    def list_page(self, prefix, after):
         with self.cond:
             keys = sorted(
                 k for k in self.items if k.startswith(prefix) and k > after
             )
             return {
-                "items": [self.items[k] for k in keys[:PAGE]],
-                "more": len(keys) > PAGE,
+                "items": [self.items[k] for k in keys[:ITEMS_PER_PAGE]],
+                "more": len(keys) > ITEMS_PER_PAGE,
                 "read_at": self.revision,
             }
 
@@ -225,10 +234,10 @@
     def watch(self, prefix, after, wait_s):
         with self.cond:
             era = self.era
-            if after < self.compacted or after > self.revision:
+            if after < self.compacted_revision or after > self.revision:
                 return None
             self.cond.wait_for(
-                lambda: self.away or self.era != era
+                lambda: self.unavailable or self.era != era
                 or self.events(prefix, after), wait_s
             )
             if self.era != era:
@@ -255,30 +264,31 @@
             self.end_headers()
             self.wfile.write(body)
         except OSError:
-            # The caller stopped while its watch was waiting.
+            # The client went away while its watch was pending.
             self.close_connection = True
 
     def do_GET(self):
         store = self.server
-        store.calls += 1
+        store.call_count += 1
         url = urllib.parse.urlsplit(self.path)
         query = dict(urllib.parse.parse_qsl(url.query))
-        if store.away or self.client_address[0] in store.refused:
+        if (store.unavailable
+                or self.client_address[0] in store.refused_addresses):
             self.reply(503)
             return
         if url.path.endswith("/kv-range"):
-            self.reply(200, store.range(query["prefix"],
-                                        query.get("after", "")))
+            self.reply(200, store.list_page(query["prefix"],
+                                            query.get("after", "")))
             return
-        found = store.watch(
+        changes = store.watch(
             query["prefix"], int(query["after"]),
             int(query.get("wait_ms", 0)) / 1000
         )
-        self.reply(410 if found is None else 200, found)
+        self.reply(410 if changes is None else 200, changes)
 
 
-def document(version, routes, services, connections_max=64, **members):
-    """`members` of each service."""
+def config_document(version, routes, services, connections_max=64, **members):
+    """Build a configuration; `members` are added to each service."""
     return {
         "version": version,
         "routes": routes,
@@ -308,19 +318,19 @@
 
 
 class Gateway:
-    """A real instance, on an own address of the loopback range."""
+    """A gateway process, with a loopback address of its own."""
 
-    def __init__(self, build, folder, store, number, peer_port, seeds=(),
+    def __init__(self, build, directory, store, number, peer_port, seeds=(),
                  data_centre="dc-0", stop_max_s=2.2, **members):
         self.ip = f"127.0.0.{10 + number}"
         self.port = free_port()
-        self.pages = free_port()
-        self.path = folder / f"gateway-{number}.json"
+        self.ready_port = free_port()
+        self.path = directory / f"gateway-{number}.json"
         self.settings = {
             "instance": f"gateway-{number}",
             "data_centre": data_centre,
             "caller_address": f"{self.ip}:{self.port}",
-            "ready_address": f"{self.ip}:{self.pages}",
+            "ready_address": f"{self.ip}:{self.ready_port}",
             "directory_address": f"{self.ip}:{free_port()}",
             "control_address": f"{self.ip}:{free_port()}",
             "peer_ports": [peer_port, peer_port],
@@ -333,7 +343,7 @@
             **members,
         }
         self.write_settings()
-        self.log_path = folder / f"gateway-{number}.log"
+        self.log_path = directory / f"gateway-{number}.log"
         self.build = build
         self.process = None
 
@@ -348,23 +358,24 @@
             )
 
     def page(self, key, path):
-        """(status, body) of a page; (0, b"") if nobody answers."""
+        """Return (status, body) of a page; (0, b"") if the request fails."""
         ip, _, port = self.settings[key].partition(":")
-        conn = http.client.HTTPConnection(ip, int(port), timeout=5)
+        connection = http.client.HTTPConnection(ip, int(port), timeout=5)
         try:
-            conn.request("GET", path)
-            response = conn.getresponse()
+            connection.request("GET", path)
+            response = connection.getresponse()
             return response.status, response.read()
         except OSError:
             return 0, b""
         finally:
-            conn.close()
+            connection.close()
 
     def is_ready(self):
         return self.page("ready_address", "/v1/ready")[0] == 200
 
     def log(self):
-        """Its log lines so far; what is no JSON is a sanitizer's report."""
+        """Return its log lines so far. A line that is not JSON comes from a
+        sanitizer and gets the event "no JSON"."""
         lines = []
         for line in self.log_path.read_text(encoding="utf-8").splitlines():
             try:
@@ -374,7 +385,7 @@
         return lines
 
     def stop(self):
-        """Exit status of a planned stop."""
+        """Send SIGTERM and return the exit status."""
         if self.process.poll() is None:
             self.process.terminate()
         return self.process.wait(timeout=30)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,7 +1,7 @@
-"""Bad input to real instances: settings, table, callers, peers, servers.
+"""Malformed input to instances: settings, table, callers, peers, servers.
 
-Each test ends with a planned stop of its instances, whose exit status must be
-0 and whose log must be free of the sanitizers' reports.
+Each test ends with a graceful stop of its instances, whose exit status must be
+0 and whose log must contain no sanitizer report.
 """
 
 import http.client
@@ -20,21 +20,21 @@
 import time
 import unittest
 
-HERE = pathlib.Path(__file__).resolve().parent
-sys.path.insert(0, str(HERE))
-sys.path.insert(0, str(HERE.parent / "bench"))
+TESTS_DIR = pathlib.Path(__file__).resolve().parent
+sys.path.insert(0, str(TESTS_DIR))
+sys.path.insert(0, str(TESTS_DIR.parent / "bench"))
 
 import experiment  # noqa: E402
 import fake_server  # noqa: E402
 import wire  # noqa: E402
-from fake_server import FakeServer, http as http_answer  # noqa: E402
+from fake_server import FakeServer, http_response  # noqa: E402
 
 BUILD = None
-BOUND_S = 20  # of every wait; reached only by a failure
+WAIT_MAX_S = 20  # upper limit of each wait, reached only on failure
 LOOPBACK = "127.0.0.1"
 DC = "dc-0"
 SERVICE = "desk"
-ASKS = 50
+SEARCHES_MAX = 50
 REFUSALS = ("unknown", "not_run", "too_late")
 
 EXIT_FAILED = 1
@@ -64,7 +64,7 @@
 
 
 def read_frame(stream):
-    """(kind, payload), or None at the end."""
+    """Read a frame as (kind, payload); None at the end of the stream."""
     head = stream.read(12)
     if len(head) < 12:
         return None
@@ -72,8 +72,8 @@
     return kind, stream.read(length)
 
 
-def signed(value):
-    """A sint32 of protocol buffers."""
+def decode_sint32(value):
+    """Decode a zigzag-encoded protocol buffers sint32."""
     return value >> 1 ^ -(value & 1)
 
 
@@ -85,7 +85,7 @@
         "services": {
             "columns": ["name", "market", "mode", "deadline_ms",
                         "retry_extra"],
-            # Retries enough for servers that are wrong all the time.
+            # Enough retries for servers that always answer wrongly.
             "rows": services or [[SERVICE, "be", "coverage", 2000, 1]],
         },
         "servers": {
@@ -99,7 +99,7 @@
     }
 
 
-class World(unittest.TestCase):
+class InstanceTest(unittest.TestCase):
     def setUp(self):
         out = tempfile.TemporaryDirectory()
         self.addCleanup(out.cleanup)
@@ -107,24 +107,24 @@
         self.bench = experiment.Bench("bad_input", BUILD, out.name)
         self.addCleanup(self.bench.finish)
 
-    def start(self, *servers, n=1, more_rows=(), **tunables):
-        """Instances with the table in force and all servers held."""
+    def start(self, *servers, n=1, extra_rows=(), **tunables):
+        """Start instances and wait until they serve with the table."""
         self.platform = self.bench.platform()
         self.platform.publish(table(servers, **tunables))
         instances = self.bench.instances(
             self.platform, [(f"i{i}", DC) for i in range(n)]
         )
-        if more_rows:
+        if extra_rows:
             self.platform.instances(
-                [i.row() for i in instances] + list(more_rows)
+                [i.row() for i in instances] + list(extra_rows)
             )
         for instance in instances:
             self.addCleanup(self.check_stop, instance)
             self.wait_serving(instance)
         return instances if n > 1 else instances[0]
 
-    def server(self, name, **how):
-        server = FakeServer(name, SERVICE, **how)
+    def server(self, name, **options):
+        server = FakeServer(name, SERVICE, **options)
         self.addCleanup(server.close)
         return server
 
@@ -136,7 +136,7 @@
             self.assertNotIn(report, log)
 
     def wait_serving(self, instance):
-        """Until it has a table and names itself to callers."""
+        """Wait until it has a table and lists addresses for callers."""
         experiment.wait_until(
             f"{instance.name} serves",
             lambda: instance.status()["table"]
@@ -145,27 +145,27 @@
             )["addresses"],
         )
 
-    def wait_full(self, instance):
-        """Until a search covers everything."""
+    def wait_full_coverage(self, instance):
+        """Wait until a search covers all shards."""
 
-        def is_full():
+        def has_full_coverage():
             status, answer = self.count(instance)
             return status == 200 and answer["coverage"]["ratio"] == 1
 
-        experiment.wait_until("full coverage", is_full)
+        experiment.wait_until("full coverage", has_full_coverage)
 
-    def count(self, instance, **more):
-        return instance.search({"service": SERVICE, "mode": "count", **more})
+    def count(self, instance, **fields):
+        return instance.search({"service": SERVICE, "mode": "count", **fields})
 
     def connect(self, port):
-        sock = socket.create_connection((LOOPBACK, port), BOUND_S)
+        sock = socket.create_connection((LOOPBACK, port), WAIT_MAX_S)
         self.addCleanup(sock.close)
         return sock
 
     def check_serves(self, instance):
-        """Another connection is served as ever."""
+        """Check that a request on a new connection is served."""
         status, _, body = experiment.request(
-            instance.port, "GET", "/v1/addresses", timeout=BOUND_S
+            instance.port, "GET", "/v1/addresses", timeout=WAIT_MAX_S
         )
         self.assertEqual(status, 200)
         self.assertTrue(json.loads(body)["addresses"])
@@ -178,12 +178,12 @@
         return answer
 
 
-class Files(World):
-    def run_program(self, *args):
+class Files(InstanceTest):
+    def run_command(self, *args):
         done = subprocess.run(
             [self.bench.build / "garnetreach", *args],
             capture_output=True,
-            timeout=BOUND_S,
+            timeout=WAIT_MAX_S,
         )
         text = (done.stdout + done.stderr).decode(errors="replace")
         self.assertNotIn("Sanitizer", text)
@@ -230,16 +230,16 @@
             path = self.write(text)
             for command in "check", "serve":
                 with self.subTest(text=text[:60], command=command):
-                    status, said = self.run_program(command, path)
-                    self.assertEqual(status, EXIT_INVALID, said)
-                    self.assertIn(subject, said)
+                    status, output = self.run_command(command, path)
+                    self.assertEqual(status, EXIT_INVALID, output)
+                    self.assertIn(subject, output)
 
     def test_no_file(self):
         for path in self.out / "none.json", self.out:
             for command in "check", "serve":
                 with self.subTest(path=path, command=command):
-                    status, said = self.run_program(command, path)
-                    self.assertEqual(status, EXIT_FAILED, said)
+                    status, output = self.run_command(command, path)
+                    self.assertEqual(status, EXIT_FAILED, output)
 
     def test_malformed_table_is_refused_and_the_old_one_kept(self):
         instance = self.start(n=1)
@@ -259,11 +259,11 @@
         for text in bad:
             with self.subTest(text=text[:60]):
                 path = self.write(text)
-                status, said = self.run_program("check", path)
-                self.assertEqual(status, EXIT_INVALID, said)
+                status, output = self.run_command("check", path)
+                self.assertEqual(status, EXIT_INVALID, output)
                 revision = self.platform.put("table", text)["revision"]
                 refused = experiment.wait_until(
-                    "the refusal",
+                    "the table refused",
                     lambda: self.refused_at(instance, revision),
                 )
                 self.assertTrue(refused["error"])
@@ -291,13 +291,13 @@
                     "platform_addresses": [platform.address],
                 }))
                 with self.subTest(caller=caller == port):
-                    status, said = self.run_program("serve", path)
-                    self.assertEqual(status, EXIT_FAILED, said)
-                    lines = [json.loads(line) for line in said.splitlines()]
+                    status, output = self.run_command("serve", path)
+                    self.assertEqual(status, EXIT_FAILED, output)
+                    lines = [json.loads(line) for line in output.splitlines()]
                     self.assertEqual(lines[-1]["error"], "address")
 
 
-class Callers(World):
+class Callers(InstanceTest):
     def test_malformed_http(self):
         instance = self.start()
         cases = [
@@ -329,7 +329,7 @@
                 self.check_serves(instance)
 
     def send_and_drain(self, sock, text):
-        """Sends, and reads what comes until it is quiet or closed."""
+        """Send a text and read until the peer is silent or closes."""
         sock.setblocking(False)
         while True:
             writable = [sock] if text else []
@@ -422,14 +422,14 @@
         self.check_serves(instance)
 
     def test_oversized_bodies(self):
-        """A caller sends more than body_max_bytes, with and without saying
-        so beforehand. It is refused by type, or its connection is closed."""
+        """A body above body_max_bytes is refused with 413, whether its size is
+        declared or it is sent in chunks."""
         instance = self.start(body_max_bytes=4096)
         body = json.dumps({"service": SERVICE, "where": {"a": "b" * 8192}})
         for chunked in False, True:
             with self.subTest(chunked=chunked):
                 conn = http.client.HTTPConnection(
-                    LOOPBACK, instance.port, timeout=BOUND_S
+                    LOOPBACK, instance.port, timeout=WAIT_MAX_S
                 )
                 self.addCleanup(conn.close)
                 conn.request(
@@ -445,8 +445,8 @@
                                    "bad_request", 413)
                 self.check_serves(instance)
 
-    def slowly(self, instance, texts):
-        """Sends the texts one by one; returns whether it was closed."""
+    def send_slowly(self, instance, texts):
+        """Send the texts one by one; return whether the connection closed."""
         sock = self.connect(instance.port)
         for text in texts:
             try:
@@ -462,9 +462,9 @@
         return False
 
     def test_slow_senders(self):
-        """A client sends a byte now and then, and so is never idle for long.
-        Some hundreds of them would take all connections for ever. The request
-        as a whole has the time of idle_timeout_ms."""
+        """Guards against slow clients holding connections for ever: some
+        hundreds that send a byte now and then are never idle, and would take
+        all connections. A whole request must arrive within idle_timeout_ms."""
         instance = self.start(idle_timeout_ms=1000)
         head = b"POST /v1/search HTTP/1.1\r\nContent-Length: 100\r\n\r\n"
         slow = {
@@ -476,7 +476,7 @@
         closed = {}
 
         def run(name, texts):
-            closed[name] = self.slowly(instance, texts)
+            closed[name] = self.send_slowly(instance, texts)
 
         threads = [threading.Thread(target=run, args=item)
                    for item in slow.items()]
@@ -488,11 +488,11 @@
         self.assertEqual(closed, {name: True for name in slow})
 
     def test_endless_headers(self):
-        """A client sends header after header. They are kept until the last
-        one, and would fill the memory within the time for a request."""
+        """Guards against memory exhaustion by endless headers, which are
+        buffered until the last one, within the timeout of a request."""
         instance = self.start()
         sock = self.connect(instance.port)
-        sock.settimeout(BOUND_S)
+        sock.settimeout(WAIT_MAX_S)
         line = b"name: " + b"x" * 1000 + b"\r\n"
         with self.assertRaises(OSError):
             sock.sendall(b"GET / HTTP/1.1\r\n")
@@ -501,14 +501,14 @@
         self.check_serves(instance)
 
     def test_slow_readers(self):
-        """A client asks for much and reads nothing of it. Its answers must
-        not fill the instance, and others are served meanwhile."""
+        """Guards against memory exhaustion by a client that pipelines requests
+        and reads no responses. Other clients are served meanwhile."""
         instance = self.start(idle_timeout_ms=1000)
         sock = self.connect(instance.port)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.settimeout(0.2)
         closed = False
-        end = time.monotonic() + BOUND_S
+        end = time.monotonic() + WAIT_MAX_S
         while not closed and time.monotonic() < end:
             try:
                 sock.sendall(b"GET /metrics HTTP/1.1\r\n\r\n" * 100)
@@ -521,8 +521,8 @@
         self.assertLess(instance.rss_bytes(), 1 << 30)
 
     def test_many_connections(self):
-        """Some hundred connections at once, most of them idle: each request
-        on any of them is served."""
+        """With hundreds of connections, most of them idle, requests on any of
+        them are served."""
         instance = self.start()
         socks = [self.connect(instance.port) for _ in range(300)]
         for sock in socks[::3]:
@@ -534,11 +534,11 @@
         self.check_serves(instance)
 
     def test_callers_max(self):
-        """More connections than callers_max: those above it are refused at
-        once instead of waiting, and served again when others have gone."""
-        most = 10
-        instance = self.start(callers_max=most)
-        socks = [self.connect(instance.port) for _ in range(3 * most)]
+        """Connections above callers_max are refused at once instead of waiting,
+        and accepted again after others are closed."""
+        callers_max = 10
+        instance = self.start(callers_max=callers_max)
+        socks = [self.connect(instance.port) for _ in range(3 * callers_max)]
         for sock in socks:
             try:
                 sock.sendall(b"GET /v1/addresses HTTP/1.1\r\n\r\n")
@@ -547,7 +547,7 @@
         answers = [self.first_bytes(sock) for sock in socks]
         served = sum(a.startswith(b"HTTP/1.1 200") for a in answers)
         self.assertGreater(served, 0)
-        self.assertLessEqual(served, most)
+        self.assertLessEqual(served, callers_max)
         for text in answers:
             if text.startswith(b"HTTP/1.1 200"):
                 continue
@@ -557,7 +557,7 @@
         for sock in socks:
             sock.close()
         experiment.wait_until(
-            "service again",
+            "requests served again",
             lambda: experiment.request(
                 instance.port, "GET", "/v1/addresses"
             )[0] == 200,
@@ -571,12 +571,12 @@
             return b""
 
     def test_out_of_descriptors(self):
-        """More clients connect than the process may have open. Those that
-        are connected are served; the others wait in the kernel, and the
-        instance neither spins nor fills its log meanwhile."""
+        """Guards against a busy loop and log flooding when clients exceed the
+        limit of open files. Accepted clients are served; the others wait in
+        the kernel's backlog."""
         instance = self.start()
         conn = http.client.HTTPConnection(LOOPBACK, instance.port,
-                                          timeout=BOUND_S)
+                                          timeout=WAIT_MAX_S)
         self.addCleanup(conn.close)
         conn.request("GET", "/v1/addresses")
         conn.getresponse().read()
@@ -597,11 +597,11 @@
         resource.prlimit(instance.pid, resource.RLIMIT_NOFILE, limits)
 
     def test_clients_that_vanish(self):
-        """Clients close or reset in the middle of a search. What they asked
-        for is given up, and nobody else notices."""
+        """Guards against leaked searches of clients that close or reset their
+        connections in the middle of a search."""
         server = self.server("b1")
         instance = self.start(server)
-        self.wait_full(instance)
+        self.wait_full_coverage(instance)
         body = json.dumps({"service": SERVICE}).encode()
         text = (b"POST /v1/search HTTP/1.1\r\nContent-Length: %d\r\n\r\n"
                 % len(body)) + body
@@ -612,21 +612,21 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
                                 struct.pack("ii", 1, 0))
             sock.close()
-        self.wait_full(instance)
+        self.wait_full_coverage(instance)
         experiment.wait_until(
             "no search open",
             lambda: instance.metrics()["garnetreach_searches_open"] == 0,
         )
 
 
-class Peers(World):
+class Peers(InstanceTest):
     def peer_port(self, instance):
         return int(instance.peer_address.rsplit(":", 1)[1])
 
-    def check_closed(self, instance, text, code, shaken=False):
-        """The link is closed with the failure, and others are not."""
+    def check_closed(self, instance, text, code, after_hello=False):
+        """Check that the text makes the instance send `code` and close."""
         sock = self.connect(self.peer_port(instance))
-        if shaken:
+        if after_hello:
             sock.sendall(frame(HELLO, hello()))
         sock.sendall(text)
         last = None
@@ -638,12 +638,14 @@
                 last = item
         self.assertIsNotNone(last)
         self.assertEqual(last[0], FAILURE)
-        self.assertEqual(signed(wire.number(wire.decode(last[1]), 1)), code)
+        self.assertEqual(
+            decode_sint32(wire.last_int(wire.decode(last[1]), 1)), code
+        )
 
     def test_bad_frames(self):
         server = self.server("b1")
         first, second = self.start(server, n=2)
-        self.wait_full(first)
+        self.wait_full_coverage(first)
         cases = [
             ("garbage", b"\xa5" * 64, ERR_FRAME),
             ("http", b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", ERR_FRAME),
@@ -656,9 +658,9 @@
             ("payload", frame(HELLO, b"\xff" * 40), ERR_FRAME),
         ]
         for name, text, code in cases:
-            for shaken in False, True:
-                with self.subTest(name=name, shaken=shaken):
-                    self.check_closed(first, text, code, shaken)
+            for after_hello in False, True:
+                with self.subTest(name=name, after_hello=after_hello):
+                    self.check_closed(first, text, code, after_hello)
         with self.subTest("before the Hello"):
             self.check_closed(first, frame(QUERY, b""), ERR_FRAME)
         with self.subTest("no incarnation"):
@@ -672,11 +674,11 @@
             self.assertEqual((status, answer["coverage"]["ratio"]), (200, 1))
 
     def test_every_type_with_odd_payloads(self):
-        """Well-formed frames whose content makes no sense: no crash, and the
-        others' searches go on."""
+        """Well-formed frames with invalid content cause no crash, and searches
+        of other clients continue."""
         server = self.server("b1")
         instance = self.start(server)
-        self.wait_full(instance)
+        self.wait_full_coverage(instance)
         payloads = [
             b"",
             wire.encode((1, 1)),
@@ -698,7 +700,7 @@
                 except OSError:
                     break
             sock.close()
-        self.wait_full(instance)
+        self.wait_full_coverage(instance)
 
     def test_cut_and_silent_links(self):
         instance = self.start()
@@ -707,19 +709,19 @@
             sock = self.connect(self.peer_port(instance))
             sock.sendall(text[:cut])
             sock.close()
-        # Without a Hello the link is closed in time.
+        # A link without a Hello is closed after a timeout.
         sock = self.connect(self.peer_port(instance))
         self.assertEqual(sock.recv(1), b"")
         self.check_serves(instance)
 
     def test_hello_of_a_foreign_name(self):
-        """The instance list is out of date: another instance listens at the
-        address of one that has gone. Queries for the one must not go to the
-        other."""
+        """Guards against an outdated instance list: a different instance
+        listens at the address of a removed one, and must not receive its
+        queries."""
         with socket.create_server((LOOPBACK, 0)) as listener:
             address = "127.0.0.1:%d" % listener.getsockname()[1]
-            listener.settimeout(BOUND_S)
-            instance = self.start(more_rows=[{
+            listener.settimeout(WAIT_MAX_S)
+            instance = self.start(extra_rows=[{
                 "instance": "gone",
                 "data_centre": DC,
                 "peer_address": address,
@@ -727,11 +729,11 @@
                 "state": "live",
             }])
             conn, _ = listener.accept()
-            conn.settimeout(BOUND_S)
+            conn.settimeout(WAIT_MAX_S)
             with conn, conn.makefile("rb") as stream:
                 kind, payload = read_frame(stream)
                 self.assertEqual(kind, HELLO)
-                self.assertEqual(wire.text(wire.decode(payload), 1), "i0")
+                self.assertEqual(wire.last_text(wire.decode(payload), 1), "i0")
                 conn.sendall(frame(HELLO, hello("somebody-else")))
                 kinds = []
                 while True:
@@ -741,92 +743,94 @@
                     kinds.append(item)
             self.assertEqual(kinds[-1][0], FAILURE)
             self.assertEqual(
-                signed(wire.number(wire.decode(kinds[-1][1]), 1)),
+                decode_sint32(wire.last_int(wire.decode(kinds[-1][1]), 1)),
                 ERR_FOREIGN,
             )
             self.assertNotIn(QUERY, [kind for kind, _ in kinds])
             self.check_serves(instance)
 
 
-def change_range(lo, hi):
+def shift_range(lo, hi):
     return (lo, hi - 1) if hi > lo else (lo, hi + 1)
 
 
-def shifted(server, body):
-    asked = fake_server.read_search(body)
-    asked["shards"] = [change_range(*s) for s in asked["shards"]]
-    return http_answer(fake_server.pack_answer(
-        asked["request_id"], server.name, asked["version"],
-        server.partials(asked)))
+def answer_shifted_ranges(server, body):
+    request = fake_server.read_search(body)
+    request["shards"] = [shift_range(*s) for s in request["shards"]]
+    return http_response(fake_server.pack_answer(
+        request["request_id"], server.name, request["version"],
+        server.partials(request)))
 
 
-def twice(server, body):
-    asked = fake_server.read_search(body)
-    asked["shards"] = asked["shards"][:1] * 2
-    return http_answer(fake_server.pack_answer(
-        asked["request_id"], server.name, asked["version"],
-        server.partials(asked)))
+def answer_shard_twice(server, body):
+    request = fake_server.read_search(body)
+    request["shards"] = request["shards"][:1] * 2
+    return http_response(fake_server.pack_answer(
+        request["request_id"], server.name, request["version"],
+        server.partials(request)))
 
 
-HUGE = b"x" * (20 << 20)
+HUGE_BODY = b"x" * (20 << 20)
 
-# What a server may answer to a search, none of it to be counted.
-WRONG = {
-    "garbage": lambda s, b: http_answer(b"\xff" * 200),
-    "empty": lambda s, b: http_answer(b""),
+# Invalid answers to a search, none of which may be counted.
+WRONG_ANSWERS = {
+    "garbage": lambda s, b: http_response(b"\xff" * 200),
+    "empty": lambda s, b: http_response(b""),
     "not HTTP": lambda s, b: b"\x00\x01\x02" * 50 + b"\r\n\r\n",
-    "cut": lambda s, b: http_answer(s.answer(b), length=100000),
-    "cut and closed": lambda s, b: http_answer(s.answer(b))[:-3],
+    "cut": lambda s, b: http_response(s.answer(b), length=100000),
+    "cut and closed": lambda s, b: http_response(s.answer(b))[:-3],
     "no length": lambda s, b: b"HTTP/1.1 200 OK\r\n\r\n" + s.answer(b),
     "closed": lambda s, b: None,
-    "too long": lambda s, b: http_answer(s.answer(b) + b"\xff\xff\xff"),
-    "another request": lambda s, b: http_answer(
+    "too long": lambda s, b: http_response(s.answer(b) + b"\xff\xff\xff"),
+    "another request": lambda s, b: http_response(
         s.answer(b, request_id="another")),
-    "another server": lambda s, b: http_answer(s.answer(b, server="b9")),
-    "another version": lambda s, b: http_answer(s.answer(b, version=99)),
-    "other ranges": shifted,
-    "a shard twice": twice,
-    "no shards": lambda s, b: http_answer(s.answer(b, partials=[])),
-    "more than held": lambda s, b: http_answer(s.answer(b, held=11)),
-    "counts too much": lambda s, b: http_answer(s.answer(b, count=11)),
-    "unsorted": lambda s, b: http_answer(s.answer(
+    "another server": lambda s, b: http_response(s.answer(b, server="b9")),
+    "another version": lambda s, b: http_response(s.answer(b, version=99)),
+    "other ranges": answer_shifted_ranges,
+    "a shard twice": answer_shard_twice,
+    "no shards": lambda s, b: http_response(s.answer(b, partials=[])),
+    "more than held": lambda s, b: http_response(s.answer(b, held=11)),
+    "counts too much": lambda s, b: http_response(s.answer(b, count=11)),
+    "unsorted": lambda s, b: http_response(s.answer(
         b, count=2, records=[("b", "k", "{}"), ("a", "k", "{}")])),
-    "status 500": lambda s, b: http_answer(b"", "500 Oops"),
-    "status 200 with error text": lambda s, b: http_answer(b"<html>no"),
-    "status 999": lambda s, b: http_answer(s.answer(b), "999 What"),
-    "huge": lambda s, b: http_answer(HUGE),
-    "huge record": lambda s, b: http_answer(s.answer(
+    "status 500": lambda s, b: http_response(b"", "500 Oops"),
+    "status 200 with error text": lambda s, b: http_response(b"<html>no"),
+    "status 999": lambda s, b: http_response(s.answer(b), "999 What"),
+    "huge": lambda s, b: http_response(HUGE_BODY),
+    "huge record": lambda s, b: http_response(s.answer(
         b, records=[("a", "k", b"x" * (9 << 20))])),
 }
-# The connection must end, or the answer would be waited for.
-CLOSING = {"not HTTP", "cut", "cut and closed", "no length"}
+# Answers whose end is only recognised when the connection is closed.
+ENDED_BY_CLOSE = {"not HTTP", "cut", "cut and closed", "no length"}
 
 
-class Servers(World):
+class Servers(InstanceTest):
     def test_wrong_answers_with_a_replica(self):
-        """One of two replicas answers wrongly in every way: the caller gets
-        the whole answer, from the other."""
+        """If one of two replicas answers wrongly, the caller gets the complete
+        answer from the other."""
         bad, good = self.server("b1"), self.server("b2")
         instance = self.start(bad, good)
-        self.wait_full(instance)
-        for name, search in WRONG.items():
+        self.wait_full_coverage(instance)
+        for name, search in WRONG_ANSWERS.items():
             with self.subTest(name):
-                bad.close_after = name in CLOSING
+                bad.close_after = name in ENDED_BY_CLOSE
                 bad.search = search
-                self.ask_until_whole(instance, bad)
-                bad.search = FakeServer.good_search
+                self.search_until_complete(instance, bad)
+                bad.search = FakeServer.valid_search
                 bad.close_after = False
 
-    def ask_until_whole(self, instance, bad):
-        """Asks until the answer is whole though the bad server was asked, or
-        it is asked no more: it may be left alone after many failures. No
-        answer may be wrong; on a busy machine the other server can be out of
-        reach for a moment."""
-        n_whole = 0
-        for number in range(ASKS):
+    def search_until_complete(self, instance, bad):
+        """Search until an answer is complete although the bad server was asked.
+
+        After many failures the bad server may get no more searches; then any
+        complete answer will do. No answer may be wrong, but on a busy machine
+        the other server can be unreachable for a moment.
+        """
+        complete_count = 0
+        for number in range(SEARCHES_MAX):
             before = bad.searches
-            # Another search each time: one that seems to crash servers is
-            # not given to all of them.
+            # A different search each time: one that seems to crash servers
+            # is not sent to all of them.
             status, answer = instance.search(
                 {"service": SERVICE, "where": {"n": number}}
             )
@@ -841,21 +845,21 @@
                 continue
             self.assertEqual([r["lo"] for r in answer["records"]],
                              [0, 32768])
-            n_whole += 1
+            complete_count += 1
             if bad.searches > before:
                 return
-        self.assertGreater(n_whole, 0)
+        self.assertGreater(complete_count, 0)
 
     def test_wrong_answers_alone(self):
-        """The only server of half of the data answers wrongly: the caller
-        gets the other half, and is told what is missing."""
-        bad = self.server("b1", here=[0])
-        good = self.server("b2", here=[1])
+        """If the only server of half of the data answers wrongly, the caller
+        gets the other half and a list of the missing ranges."""
+        bad = self.server("b1", shard_indexes=[0])
+        good = self.server("b2", shard_indexes=[1])
         instance = self.start(bad, good)
-        self.wait_full(instance)
-        for name, search in WRONG.items():
+        self.wait_full_coverage(instance)
+        for name, search in WRONG_ANSWERS.items():
             with self.subTest(name):
-                bad.close_after = name in CLOSING
+                bad.close_after = name in ENDED_BY_CLOSE
                 bad.search = search
                 status, answer = instance.search(
                     {"service": SERVICE, "deadline_ms": 600}
@@ -867,34 +871,35 @@
                 missing = answer["coverage"]["missing"]
                 self.assertEqual([m["lo"] for m in missing], [0])
                 self.assertTrue(missing[0]["reason"])
-                bad.search = FakeServer.good_search
+                bad.search = FakeServer.valid_search
                 bad.close_after = False
 
     def test_wrong_holdings(self):
-        """A server names itself wrongly, or gives a map with gaps or without
-        end. It is not asked; the other one answers for its half."""
-        bad = self.server("b1", here=[0])
-        good = self.server("b2", here=[1])
+        """A server with invalid holdings (a wrong name, or a shard map with
+        gaps or too many ranges) gets no searches; the other one answers for its
+        half."""
+        bad = self.server("b1", shard_indexes=[0])
+        good = self.server("b2", shard_indexes=[1])
         gap = [(0, 100, 10), (102, 65535, 10)]
         cases = {
-            "garbage": lambda s, b: http_answer(b"\xff" * 100),
-            "empty": lambda s, b: http_answer(b""),
+            "garbage": lambda s, b: http_response(b"\xff" * 100),
+            "empty": lambda s, b: http_response(b""),
             "closed": lambda s, b: None,
-            "another server": lambda s, b: http_answer(
+            "another server": lambda s, b: http_response(
                 fake_server.pack_holdings("b9", SERVICE, 1, s.ranges, [0])),
-            "another service": lambda s, b: http_answer(
+            "another service": lambda s, b: http_response(
                 fake_server.pack_holdings("b1", "other", 1, s.ranges, [0])),
-            "gap": lambda s, b: http_answer(
+            "gap": lambda s, b: http_response(
                 fake_server.pack_holdings("b1", SERVICE, 9, gap, [0])),
-            "beyond the map": lambda s, b: http_answer(
+            "beyond the map": lambda s, b: http_response(
                 fake_server.pack_holdings("b1", SERVICE, 1, s.ranges,
                                           [7, 8, 2 ** 32 - 1])),
-            "no map": lambda s, b: http_answer(
+            "no map": lambda s, b: http_response(
                 fake_server.pack_holdings("b1", SERVICE, 9, [], [0])),
-            "status 304 at first": lambda s, b: http_answer(
+            "status 304 at first": lambda s, b: http_response(
                 b"", "304 Not Modified"),
-            "huge": lambda s, b: http_answer(HUGE),
-            "many ranges": lambda s, b: http_answer(
+            "huge": lambda s, b: http_response(HUGE_BODY),
+            "many ranges": lambda s, b: http_response(
                 fake_server.pack_holdings("b1", SERVICE, 9,
                                           [(0, 0, 1)] * 200000, [0])),
         }
@@ -908,21 +913,20 @@
         for name, holdings in cases.items():
             with self.subTest(name):
                 bad.holdings = holdings
-                experiment.wait_until("half", has_half)
+                experiment.wait_until("half coverage", has_half)
                 for _ in range(5):
                     self.assertTrue(has_half())
-        bad.holdings = FakeServer.good_holdings
-        self.wait_full(instance)
+        bad.holdings = FakeServer.valid_holdings
+        self.wait_full_coverage(instance)
 
     def test_large_answers_of_many_servers(self):
-        """Each answer fits between instances, but not all of them in one
-        frame. They must come in several, or the caller would wait for them
-        in vain."""
+        """Guards against a search that never completes because the answers fit
+        into frames between instances one by one, but not all into one."""
         body = b'{"x":"' + b"y" * (3 << 20) + b'"}'
-        servers = [self.server(f"b{i}", shards=4, here=[i])
+        servers = [self.server(f"b{i}", shards=4, shard_indexes=[i])
                    for i in range(4)]
         for server in servers:
-            server.search = lambda s, b: http_answer(
+            server.search = lambda s, b: http_response(
                 s.answer(b, records=[("a" + s.name, s.name, body)]))
         instance = self.start(*servers)
         experiment.wait_until(
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,5 +1,5 @@
-"""Checks repeated arrivals at refusing servers against the fleet-wide budget of
-second sends, with real gateway processes."""
+"""Tests of the fleet-wide retry budget with gateway processes and servers that
+refuse requests."""
 
 import bisect
 import collections
@@ -11,11 +11,11 @@
 import unittest
 
 import test_gateway
-from opaque_world import OpaqueServer, free_port, route
+from gateway_fixtures import OpaqueServer, free_port, route
 from test_gateway import Caller, GatewayTest
 
 RATIO = 0.2
-SLACK = 24
+SLACK_RETRIES = 24
 WINDOW_S = 10
 WINDOW_OFFSETS_S = (0, WINDOW_S / 2, WINDOW_S)
 CALL_INTERVAL_S = 0.4
@@ -23,21 +23,23 @@
 SEED = 3201
 
 
-def count(times, start):
+def count_in_window(times, start):
     return (bisect.bisect_left(times, start + WINDOW_S)
             - bisect.bisect_left(times, start))
 
 
-def allowed(sent_at, start):
-    """Budget of the window that begins at `start`, from the requests in that
-    window, the one before or the one half a window before, whichever has most.
+def retries_allowed(sent_at, start):
+    """Return the retries allowed in the window that begins at `start`.
+
+    They follow from the requests in that window, the one before or the one
+    half a window before, whichever has most.
     """
-    return RATIO * max(count(sent_at, start - s)
-                       for s in WINDOW_OFFSETS_S) + SLACK
+    return RATIO * max(count_in_window(sent_at, start - s)
+                       for s in WINDOW_OFFSETS_S) + SLACK_RETRIES
 
 
-def second_arrivals(servers):
-    """Times of the arrivals beyond the first of each request at a service."""
+def repeated_arrivals(servers):
+    """Return the times at which a service received a request again."""
     arrivals = collections.defaultdict(list)
     for server in servers:
         for request in list(server.seen):
@@ -54,18 +56,18 @@
         self.lock = threading.Lock()
         self.stopped = threading.Event()
 
-    def random_unit(self):
+    def random_sample(self):
         with self.lock:
             return self.random.random()
 
     def run_caller(self, caller_id, target, gateways):
-        """Sends requests to random gateways, each on a new connection."""
-        chosen = random.Random(SEED + caller_id)
+        """Send requests to random gateways, each on a new connection."""
+        rng = random.Random(SEED + caller_id)
         for i in range(1 << 30):
             if self.stopped.wait(CALL_INTERVAL_S):
                 return
             try:
-                caller = Caller(chosen.choice(gateways))
+                caller = Caller(rng.choice(gateways))
             except OSError:
                 continue
             try:
@@ -101,36 +103,39 @@
         super().setUp()
         self.refuse_ratio = 0.0
         for i in range(SERVERS):
-            self.server(f"one-{i}", "one").behave = self.answer
+            self.server(f"one-{i}", "one").respond = self.answer
         self.publish(routes=[route("/any/", service="one", timeout_ms=400,
                                    goal_ms=200, servers_max=SERVERS)])
 
     def answer(self, server, request):
-        if self.random_unit() < self.refuse_ratio:
+        if self.random_sample() < self.refuse_ratio:
             return server.refuse(request)
-        return OpaqueServer.good(server, request)
+        return OpaqueServer.echo(server, request)
 
     def start_fleet(self, cpu_quotas):
         self.peer_port = free_port()
         seed = f"127.0.0.10:{self.peer_port}"
         return [self.ready_gateway(seeds=[seed], cpu_quota=quota,
-                                   retry_ratio=RATIO, retry_slack=SLACK,
+                                   retry_ratio=RATIO, retry_slack=SLACK_RETRIES,
                                    retry_window_s=WINDOW_S)
                 for quota in cpu_quotas]
 
     def check_budget(self):
-        repeated = second_arrivals(self.servers)
+        repeated = repeated_arrivals(self.servers)
         sent_at = sorted(self.sent_at)
-        worst = max(((count(repeated, at) - allowed(sent_at, at), at)
+        worst = max(((count_in_window(repeated, at)
+                      - retries_allowed(sent_at, at), at)
                      for at in repeated), default=(0, 0))
         print(f"{len(sent_at)} requests, {len(repeated)} arrivals beyond the"
-              f" first; worst window: {count(repeated, worst[1])} where"
-              f" {allowed(sent_at, worst[1]):.1f} are allowed", file=sys.stderr)
+              " first; worst window:"
+              f" {count_in_window(repeated, worst[1])} where"
+              f" {retries_allowed(sent_at, worst[1]):.1f} are allowed",
+              file=sys.stderr)
         self.assertGreater(len(repeated), len(sent_at) / 20)
         self.assertLessEqual(worst[0], 0)
 
     def test_rolling_restarts(self):
-        """Guards against a full share of the slack for each restart."""
+        """Guards against granting a full share of the slack at each restart."""
         gateways = self.start_fleet([1] * 5)
         threads = self.start_callers(24, "/any/x", gateways)
         self.refuse_ratio = 0.9
@@ -141,7 +146,8 @@
         self.check_budget()
 
     def test_uncounted_instances(self):
-        """Guards against slack used by instances the divisor does not count."""
+        """Guards against retries by small instances that the divisor of the
+        slack does not count."""
         gateways = self.start_fleet([1] + [0.1] * 11)
         threads = self.start_callers(10, "/any/x", gateways)
         time.sleep(4)
@@ -153,26 +159,27 @@
 
 class ChargedSends(CallersTest):
     def answer(self, server, request):
-        draw = self.random_unit()
-        if draw < 0.15:
+        sample = self.random_sample()
+        if sample < 0.15:
             return server.refuse(request)
-        if draw < 0.3:
+        if sample < 0.3:
             return None
-        if draw < 0.45:
+        if sample < 0.45:
             time.sleep(0.1)
-        return OpaqueServer.records(server, request)
+        return OpaqueServer.send_records(server, request)
 
     def charged_sends(self, gateway):
         return sum(line.get("charged", 0) for line in gateway.log()
                    if line["event"] == "sent_again")
 
     def test_every_second_arrival_is_charged(self):
-        """Guards against uncharged second sends after a send that a server
-        received: refused, reset, answered late, or sent by a killed relay."""
+        """Guards against retries that are not charged although a server
+        received the first attempt: refused, reset, answered late, or sent by a
+        relay that was killed."""
         for i in range(4):
             for j, data_centre in enumerate(("dc-0", "dc-1", "dc-1")):
                 self.server(f"s{i}-{j}", f"s{i}",
-                            data_centre=data_centre).behave = self.answer
+                            data_centre=data_centre).respond = self.answer
         self.publish()
         seed = f"127.0.0.10:{self.peer_port}"
         settings = {"seeds": [seed], "retry_ratio": 1, "retry_slack": 1000,
@@ -187,7 +194,7 @@
             self.restart(relays[i % 2])
         self.stop_callers(threads)
         time.sleep(1)  # requests in flight arrive and are logged
-        repeated = len(second_arrivals(self.servers))
+        repeated = len(repeated_arrivals(self.servers))
         print(f"{len(self.sent_at)} requests, {repeated} arrivals beyond the"
               f" first, {self.charged_sends(entry)} charged", file=sys.stderr)
         self.assertGreater(repeated, len(self.sent_at) / 5)
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -1,7 +1,10 @@
-"""Protocol buffer bodies of docs/PROTOCOL.md's backend part, for tests."""
+"""Encoder and decoder of the backend messages in docs/PROTOCOL.md.
+
+Protocol buffers without generated code, for tests.
+"""
 
 VARINT = 0
-BYTES = 2
+LENGTH_DELIMITED = 2
 
 
 def varint(value):
@@ -14,7 +17,7 @@
 
 
 def encode(*fields):
-    """A message from (number, value) pairs; None leaves a field out."""
+    """Encode a message from (number, value) pairs; None omits the field."""
     out = b""
     for number, value in fields:
         if value is None:
@@ -24,56 +27,61 @@
             continue
         if isinstance(value, str):
             value = value.encode()
-        out += varint(number << 3 | BYTES) + varint(len(value)) + value
+        out += (varint(number << 3 | LENGTH_DELIMITED) + varint(len(value))
+                + value)
     return out
 
 
-def read_varint(data, at):
+def read_varint(data, pos):
+    """Return the varint at pos and the position after it."""
     value = shift = 0
     while True:
-        byte = data[at]
-        at += 1
+        byte = data[pos]
+        pos += 1
         value |= (byte & 0x7F) << shift
         if byte < 0x80:
-            return value, at
+            return value, pos
         shift += 7
 
 
 def decode(data):
-    """Field number to the list of its values, in order."""
+    """Map each field number to the list of its values, in message order."""
     fields = {}
-    at = 0
-    while at < len(data):
-        tag, at = read_varint(data, at)
+    pos = 0
+    while pos < len(data):
+        tag, pos = read_varint(data, pos)
         if tag & 7 == VARINT:
-            value, at = read_varint(data, at)
-        elif tag & 7 == BYTES:
-            size, at = read_varint(data, at)
-            value = data[at:at + size]
-            at += size
+            value, pos = read_varint(data, pos)
+        elif tag & 7 == LENGTH_DELIMITED:
+            size, pos = read_varint(data, pos)
+            value = data[pos:pos + size]
+            pos += size
         else:
             raise ValueError("wire type %d" % (tag & 7))
         fields.setdefault(tag >> 3, []).append(value)
     return fields
 
 
-def number(fields, field):
+def last_int(fields, field):
+    """Return the last value of an integer field, 0 if absent."""
     return fields.get(field, [0])[-1]
 
 
-def text(fields, field):
+def last_text(fields, field):
+    """Return the last value of a string field, "" if absent."""
     return fields.get(field, [b""])[-1].decode()
 
 
-def packed(fields, field):
+def unpack_ints(fields, field):
+    """Return a repeated integer field, packed or not."""
     out = []
     for item in fields.get(field, []):
         if isinstance(item, int):
             out.append(item)
             continue
-        at = 0
-        while at < len(item):
-            value, at = read_varint(item, at)
+        pos = 0
+        while pos < len(item):
+            value, pos = read_varint(item, pos)
             out.append(value)
     return out
 
@@ -102,7 +110,7 @@
 
 def read_range(data):
     fields = decode(data)
-    return number(fields, 1), number(fields, 2)
+    return last_int(fields, 1), last_int(fields, 2)
 
 
 def read_holdings(data):
@@ -111,27 +119,27 @@
     for item in fields.get(5, []):
         snapshot = decode(item)
         infos = [decode(info) for info in snapshot.get(2, [])]
-        snapshots[number(snapshot, 1)] = {
-            "map": [(read_range(info[1][0]), number(info, 2))
+        snapshots[last_int(snapshot, 1)] = {
+            "map": [(read_range(info[1][0]), last_int(info, 2))
                     for info in infos],
-            "here": packed(snapshot, 3),
+            "here": unpack_ints(snapshot, 3),
         }
-    return {"server": text(fields, 1), "service": text(fields, 2),
-            "draining": bool(number(fields, 3)),
-            "cold": bool(number(fields, 4)), "snapshots": snapshots}
+    return {"server": last_text(fields, 1), "service": last_text(fields, 2),
+            "draining": bool(last_int(fields, 3)),
+            "cold": bool(last_int(fields, 4)), "snapshots": snapshots}
 
 
 def read_partial(data):
     fields = decode(data)
     records = [decode(item) for item in fields.get(5, [])]
-    return {"shard": read_range(fields[1][0]), "status": number(fields, 2),
-            "held": number(fields, 3), "count": number(fields, 4),
-            "records": [(text(r, 1), text(r, 2), text(r, 3))
+    return {"shard": read_range(fields[1][0]), "status": last_int(fields, 2),
+            "held": last_int(fields, 3), "count": last_int(fields, 4),
+            "records": [(last_text(r, 1), last_text(r, 2), last_text(r, 3))
                         for r in records]}
 
 
 def read_search_answer(data):
     fields = decode(data)
-    return {"request_id": text(fields, 1), "server": text(fields, 2),
-            "version": number(fields, 3),
+    return {"request_id": last_text(fields, 1), "server": last_text(fields, 2),
+            "version": last_int(fields, 3),
             "shards": [read_partial(item) for item in fields.get(4, [])]}
