--- a/tests/test_table_fleet.py
+++ b/tests/test_table_fleet.py
@@ -1,11 +1,14 @@
-"""The table in a fleet of real instances: pushed to all, watched by few."""
+"""Tests of how a fleet distributes the table: few instances read it from the
+platform, and the non_readers get it from them."""
 
 import pathlib
 import sys
 import tempfile
 import unittest
 
-sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent / "bench"))
+sys.path.insert(
+    0, str(pathlib.Path(__file__).resolve().parent.parent / "bench")
+)
 
 import experiment  # noqa: E402
 
@@ -41,10 +44,10 @@
         bench = experiment.Bench("table_fleet", BUILD, out.name)
         self.addCleanup(bench.finish)
         platform = bench.platform(*options)
-        places = [
+        placements = [
             (f"i{n}", f"dc-{n % DATA_CENTRES}") for n in range(INSTANCES)
         ]
-        return platform, bench.instances(platform, places)
+        return platform, bench.instances(platform, placements)
 
     def tables(self, instances):
         return [instance.status()["table"] for instance in instances]
@@ -66,34 +69,36 @@
             self.wait_in_force(instances, revision)
         readers = [t["reader"] for t in self.tables(instances)]
         self.assertEqual(sum(readers), READERS)
-        by_delta = [
+        delta_counts = [
             instance.metrics()["garnetreach_table_by_delta_total"]
             for instance in instances
         ]
-        for reader, count in zip(readers, by_delta):
+        for reader, count in zip(readers, delta_counts):
             if not reader:
                 self.assertGreater(count, 0)
-        # All have one digest, whether read from the platform or by rows.
+        # Instances that read the table from the platform and those that got
+        # changed rows from a peer have the same digest.
         digests = {t["digest"] for t in self.tables(instances)}
         self.assertEqual(len(digests), 1)
 
     def test_invalid_table_is_told_by_all(self):
         platform, instances = self.start()
-        good = platform.publish(table())
-        self.wait_in_force(instances, good)
-        bad = table()
-        bad["servers"]["rows"][1][3] = "host:1"
-        refused = platform.publish(bad)
+        valid_revision = platform.publish(table())
+        self.wait_in_force(instances, valid_revision)
+        invalid_table = table()
+        invalid_table["servers"]["rows"][1][3] = "host:1"
+        refused_revision = platform.publish(invalid_table)
         experiment.wait_until(
-            "the refusal",
+            "the table refused everywhere",
             lambda: all(
-                i.status().get("table_refused", {}).get("revision") == refused
+                i.status().get("table_refused", {}).get("revision")
+                == refused_revision
                 for i in instances
             ),
         )
         for instance in instances:
             status = instance.status()
-            self.assertEqual(status["table"]["revision"], good)
+            self.assertEqual(status["table"]["revision"], valid_revision)
             self.assertEqual(
                 status["table_refused"]["subject"],
                 "servers row 2 column address",
@@ -119,11 +124,11 @@
     def test_list_reaches_those_that_do_not_read(self):
         platform, instances = self.start()
         self.wait_in_force(instances, platform.publish(table()))
-        others = [
+        non_readers = [
             i for i in instances if not i.status()["table"]["reader"]
         ]
         calls = "garnetreach_platform_calls_total"
-        before = [i.metrics()[calls] for i in others]
+        before = [i.metrics()[calls] for i in non_readers]
         rows = [i.row() for i in instances]
         rows[0]["state"] = "leaving"
         platform.instances(rows)
@@ -137,12 +142,12 @@
             ),
         )
         readers = {i.instance for i in instances} - {
-            i.instance for i in others
+            i.instance for i in non_readers
         }
-        # One that becomes a reader in place of the leaving one may call.
-        after = [i.metrics()[calls] for i in others]
-        callers = sum(a > b for a, b in zip(after, before))
-        self.assertLessEqual(callers, 1 if "i0" in readers else 0)
+        # The instance that replaces a leaving reader may call the platform.
+        after = [i.metrics()[calls] for i in non_readers]
+        new_callers = sum(a > b for a, b in zip(after, before))
+        self.assertLessEqual(new_callers, 1 if "i0" in readers else 0)
 
     def test_parts(self):
         platform, instances = self.start("--part-bytes", "2000")
@@ -158,7 +163,7 @@
         revision = platform.publish(table(lease_ms=800))
         self.wait_in_force(instances, revision)
         platform.state(serve_old=old)
-        # A failed call makes the readers read the whole value again.
+        # After a failed call the readers read the whole table again.
         platform.state(down=True)
         experiment.wait_until(
             "a failed call",
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -1,4 +1,5 @@
-"""Tickets over real instances and stand-ins that count the runs of each."""
+"""Tests of tickets with several instances and simulated servers that count how
+often each ticket was run."""
 
 import json
 import pathlib
@@ -6,13 +7,15 @@
 import tempfile
 import unittest
 
-sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent / "bench"))
+sys.path.insert(
+    0, str(pathlib.Path(__file__).resolve().parent.parent / "bench")
+)
 
 import experiment  # noqa: E402
 
 BUILD = None
 SERVICE = "fanout"
-PLACES = [(f"be1-{name}", "be1") for name in "abc"]
+PLACEMENTS = [(f"be1-{name}", "be1") for name in "abc"]
 
 
 class Tickets(unittest.TestCase):
@@ -28,19 +31,21 @@
         )
         platform = bench.platform()
         platform.publish(self.deployment.table)
-        self.a, self.b, self.c = bench.instances(platform, PLACES)
+        self.a, self.b, self.c = bench.instances(platform, PLACEMENTS)
         for instance in (self.a, self.b, self.c):
             experiment.wait_until(
                 "full coverage",
                 lambda: instance.search({"service": SERVICE})[1]
                 .get("coverage", {}).get("ratio") == 1,
             )
-        # Forwarding needs the links between all of them.
-        for taker in (self.a, self.b, self.c):
+        # Orders are forwarded to the issuer over links between instances.
+        for receiver in (self.a, self.b, self.c):
             for issuer in (self.a, self.b, self.c):
                 experiment.wait_until(
-                    "an order",
-                    lambda: self.run_at(taker, self.ticket(issuer))[0] == 200,
+                    "a forwarded order",
+                    lambda: self.run_order(
+                        receiver, self.ticket(issuer)
+                    )[0] == 200,
                 )
 
     def post(self, instance, path, body):
@@ -55,13 +60,13 @@
         self.assertEqual(status, 200, answer)
         return answer["ticket"]
 
-    def run_at(self, instance, ticket, key="order", **more):
+    def run_order(self, instance, ticket, key="order", **fields):
         return self.post(instance, "/v1/run", {
             "ticket": ticket, "service": SERVICE, "key": key,
-            "payload": {"van": 1}, "deadline_ms": 800, **more,
+            "payload": {"van": 1}, "deadline_ms": 800, **fields,
         })
 
-    def runs_of(self, ticket):
+    def count_runs(self, ticket):
         runs = 0
         for backend in self.deployment.backends:
             report = experiment.request_json(
@@ -72,52 +77,48 @@
         return runs
 
     def test_repeats_at_every_instance(self):
-        """A caller loses its answer and asks two other instances.
-
-        They get the same answer from the issuer; the order runs once.
-        """
+        """Guards against running an order twice when a caller loses its answer
+        and repeats the order at other instances. They get the same answer from
+        the issuer."""
         ticket = self.ticket(self.a)
-        answers = [self.run_at(i, ticket) for i in (self.b, self.c, self.a)]
+        answers = [self.run_order(i, ticket) for i in (self.b, self.c, self.a)]
         self.assertEqual([s for s, _ in answers], [200] * 3, answers)
         self.assertEqual(len({json.dumps(a["result"]) for _, a in answers}), 1)
-        self.assertEqual(self.runs_of(ticket), 1)
+        self.assertEqual(self.count_runs(ticket), 1)
 
     def test_issuer_is_gone(self):
-        """The issuer is killed after the order ran.
-
-        Nobody else knows whether it ran: unknown, and never a second run.
-        """
+        """Guards against a second run after the issuer was killed. No other
+        instance knows whether the order ran, so the outcome is unknown."""
         ticket = self.ticket(self.a)
-        self.assertEqual(self.run_at(self.b, ticket)[0], 200)
+        self.assertEqual(self.run_order(self.b, ticket)[0], 200)
         self.a.kill()
-        status, answer = self.run_at(self.b, ticket)
+        status, answer = self.run_order(self.b, ticket)
         self.assertEqual((status, answer["outcome"]), (502, "unknown"), answer)
-        self.assertEqual(self.runs_of(ticket), 1)
+        self.assertEqual(self.count_runs(ticket), 1)
 
     def test_servers_that_refuse(self):
-        """All servers shed: the order provably did not run.
-
-        The ticket is closed by that. Were it not, a late duplicate could run
-        beside the order that the caller then sends anew.
-        """
+        """Guards against a late duplicate of an order that all servers shed. It
+        did not run, and the ticket is closed; otherwise the duplicate could
+        run in addition to the order that the caller sends again."""
         ticket = self.ticket(self.a)
         self.deployment.control(fault="shed", server="*", ratio=1)
-        status, answer = self.run_at(self.b, ticket)
+        status, answer = self.run_order(self.b, ticket)
         self.assertEqual((status, answer["outcome"]), (503, "not_run"), answer)
         self.assertGreater(answer["retry_after_ms"], 0)
         self.deployment.control(fault="shed", server="*", ratio=0)
-        status, answer = self.run_at(self.c, ticket)
+        status, answer = self.run_order(self.c, ticket)
         self.assertEqual((status, answer["outcome"]), (503, "not_run"), answer)
-        self.assertEqual(self.runs_of(ticket), 0)
+        self.assertEqual(self.count_runs(ticket), 0)
 
     def test_server_dies_of_it(self):
-        """The server crashes while it runs the order: unknown, not sent on."""
+        """Guards against a second run after a server crashed during the first:
+        the outcome is unknown, and the order isn't sent to another server."""
         ticket = self.ticket(self.a)
         self.deployment.control(fault="crash_on", server="*", marker="boom",
                                 restart_ms=100)
-        status, answer = self.run_at(self.b, ticket, payload="boom")
+        status, answer = self.run_order(self.b, ticket, payload="boom")
         self.assertEqual((status, answer["outcome"]), (502, "unknown"), answer)
-        self.assertEqual(self.runs_of(ticket), 1)
+        self.assertEqual(self.count_runs(ticket), 1)
 
     def test_refused_tickets(self):
         ticket = self.ticket(self.a)
@@ -125,12 +126,12 @@
         nonce = parts[3]
         parts[3] = ("0" if nonce[0] != "0" else "1") + nonce[1:]
         for bad in ("x", "-".join(parts)):
-            status, answer = self.run_at(self.b, bad)
+            status, answer = self.run_order(self.b, bad)
             self.assertEqual((status, answer["error"]), (400, "ticket"), answer)
-        self.assertEqual(self.run_at(self.a, ticket)[0], 200)
-        status, answer = self.run_at(self.c, ticket, key="another")
+        self.assertEqual(self.run_order(self.a, ticket)[0], 200)
+        status, answer = self.run_order(self.c, ticket, key="another")
         self.assertEqual((status, answer["outcome"]), (400, "bad_request"))
-        self.assertEqual(self.runs_of(ticket), 1)
+        self.assertEqual(self.count_runs(ticket), 1)
 
 
 if __name__ == "__main__":
