--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -869,7 +869,7 @@
 
     def test_caller_leaves(self):
         """Guards against a server working on after its caller has disconnected:
-        the connection to the server must be closed."""
+        the connection to it must be closed, the only way to cancel there."""
         server = self.server("one-1", "one")
         ended = threading.Event()
 
