--- a/bench/experiments/two_builds.py
+++ b/bench/experiments/two_builds.py
@@ -25,11 +25,11 @@
 
 sys.path.insert(0, str(experiment.ROOT / "tests"))
 
-from opaque_world import (  # noqa: E402
-    HOST, Gateway, OpaqueServer, Store, document, free_port, route,
+from gateway_fixtures import (  # noqa: E402
+    HOST, Gateway, OpaqueServer, Store, config_document, free_port, route,
 )
 
-TITLE = "every other instance of another build (OLD), each restarted under load"
+TITLE = "every other instance of another build (OLD), each restarted"
 
 INSTANCES = 6
 DATA_CENTRES = ("be1", "be2")
@@ -225,8 +225,8 @@
                for service in SERVICES for n in range(2)]
     for server in servers:
         if server.service != "one":
-            server.behave = OpaqueServer.records
-    store.put("op/config", document(1, ROUTES, SERVICES))
+            server.respond = OpaqueServer.send_records
+    store.put("op/config", config_document(1, ROUTES, SERVICES))
     peer_port = free_port()
     folder = bench.out / f"gateway-{way}"
     folder.mkdir(parents=True, exist_ok=True)
@@ -264,7 +264,7 @@
         logged=logged(line for g in gateways for line in g.log()))
     if way == "old":
         routes = folder / "routes.json"
-        routes.write_text(json.dumps(document(1, ROUTES, SERVICES)))
+        routes.write_text(json.dumps(config_document(1, ROUTES, SERVICES)))
         same(bench, builds[0], "check", routes)
         same(bench, builds[0], "check", gateways[0].path)
         same(bench, builds[0], "losses", "--json",
