--- a/bench/trace_cost.c
+++ b/bench/trace_cost.c
@@ -24,17 +24,17 @@
 	return (double)ts.tv_sec + (double)ts.tv_nsec / 1e9;
 }
 
-static void record_search(struct trace_store *book, struct burn *burn,
+static void record_search(struct trace_store *store, struct burn *burn,
 			  int parts)
 {
 	static const struct burn_target target = {"m", 60, 0.99, 0.99};
 	struct burn_event event = {true, true, MSEC(20)};
 	struct trace_summary summary = {.request_id = "0123456789abcdef-1"};
-	int64_t now = clock_now(book->clock);
+	int64_t now = clock_now(store->clock);
 	struct trace_log log;
 	int i;
 
-	trace_log_init(&log, book, now);
+	trace_log_init(&log, store, now);
 	for (i = 0; i < parts; i++)
 		trace_log_sent(&log, now, str_from(names[i]),
 			       str_from(names[i % 95]), TRACE_FIRST, 1);
@@ -43,36 +43,36 @@
 		trace_log_done(&log, i, now + 1000, 0);
 	}
 	burn_record(burn, STR("desk"), &target, &event);
-	trace_store_add(book, &summary, &log);
+	trace_store_add(store, &summary, &log);
 	trace_log_finish(&log);
 }
 
 static void measure(int parts)
 {
 	struct trace_limits limits = {4096, 8388608, 128};
-	struct trace_store book;
+	struct trace_store store;
 	struct clock clock;
 	struct burn burn;
 	double start;
 	int i;
 
 	clock_init(&clock);
-	trace_store_init(&book, &clock);
-	trace_store_set_limits(&book, &limits);
+	trace_store_init(&store, &clock);
+	trace_store_set_limits(&store, &limits);
 	burn_init(&burn, &clock);
 	burn_set_services_max(&burn, 10);
 	for (i = 0; i < SEARCHES; i++)
-		record_search(&book, &burn, parts);
+		record_search(&store, &burn, parts);
 	start = cpu_seconds();
 	for (i = 0; i < SEARCHES; i++)
-		record_search(&book, &burn, parts);
+		record_search(&store, &burn, parts);
 	printf("{\"measure\":\"trace\",\"parts\":%d,\"us_per_search\":%.3f,"
 	       "\"records\":%lld,\"bytes\":%lld}\n",
 	       parts, (cpu_seconds() - start) * 1e6 / SEARCHES,
-	       (long long)trace_store_count(&book),
-	       (long long)trace_store_bytes(&book));
+	       (long long)trace_store_count(&store),
+	       (long long)trace_store_bytes(&store));
 	burn_finish(&burn);
-	trace_store_finish(&book);
+	trace_store_finish(&store);
 }
 
 int main(void)
--- a/dispatch_forecast.c
+++ b/dispatch_forecast.c
@@ -250,20 +250,21 @@
 {
 	const struct dispatch *dispatch = send->part->dispatch;
 	struct registry_server *server = send->server;
-	struct server_estimate *outlook = &server->estimate;
+	struct server_estimate *estimate = &server->estimate;
 	int64_t now = clock_now(dispatch->clock);
 	int64_t slots = server->entry.slots > 0 ? server->entry.slots : 1;
 	int64_t added_wait;
 	int i;
 
 	if (!can_forecast(dispatch) || server->queue ||
-	    !outlook->processing_time_at ||
-	    now - outlook->processing_time_at > REPORT_AGE_MAX)
+	    !estimate->processing_time_at ||
+	    now - estimate->processing_time_at > REPORT_AGE_MAX)
 		return;
 	added_wait = forecast_server(dispatch, server, now).run_time / slots;
 	for (i = level_of(dispatch); i < ESTIMATE_LEVELS; i++)
-		server_estimate_set_wait(outlook, i,
-					 server_estimate_wait(outlook, i, now) +
+		server_estimate_set_wait(estimate, i,
+					 server_estimate_wait(estimate, i,
+							      now) +
 						 added_wait,
 					 now);
 }
--- a/operator_pages.c
+++ b/operator_pages.c
@@ -57,15 +57,15 @@
 	return code == ERR_NO_TRACE ? EVHTP_RES_NOTFOUND : EVHTP_RES_BADREQ;
 }
 
-static void add_traces(struct json_object *root, const struct trace_store *book,
-		       struct str request_id)
+static void add_traces(struct json_object *root,
+		       const struct trace_store *store, struct str request_id)
 {
 	struct json_object *list = json_object_new_array();
 	const struct trace *trace = NULL;
 	int i;
 
 	for (i = 0; i < TRACES_MAX; i++) {
-		if (trace_store_find(book, request_id, trace, &trace))
+		if (trace_store_find(store, request_id, trace, &trace))
 			break;
 		json_object_array_add(list, trace_json(trace));
 	}
@@ -91,7 +91,7 @@
 static void on_explain(evhtp_request_t *http, void *arg)
 {
 	struct blackboard *board = arg;
-	const struct trace_store *book = &board->traces;
+	const struct trace_store *store = &board->traces;
 	struct json_object *root;
 	const struct trace *trace;
 	char *id = request_id_param(http);
@@ -103,8 +103,8 @@
 		return;
 	}
 	if (id)
-		code = trace_store_find(book, str_from(id), NULL, &trace);
-	retention = clock_now(board->clock) - trace_store_oldest(book);
+		code = trace_store_find(store, str_from(id), NULL, &trace);
+	retention = clock_now(board->clock) - trace_store_oldest(store);
 	root = json_object_new_object();
 	json_value_add_text(root, "instance", board->settings->instance);
 	json_value_add_text(root, "data_centre", board->settings->data_centre);
@@ -115,7 +115,7 @@
 			       json_object_new_int64(retention /
 						     USEC_PER_MSEC));
 	if (!code)
-		add_traces(root, book, str_from(id));
+		add_traces(root, store, str_from(id));
 	free(id);
 	send_json_object(http, root, http_status(code));
 }
--- a/tests/test_answer_due.c
+++ b/tests/test_answer_due.c
@@ -72,10 +72,10 @@
 }
 
 static const struct unit_test tests[] = {
-	{"time used", test_time_elapsed_at_caller},
-	{"far callers", test_far_callers},
-	{"other reasons", test_other_timeouts},
-	{"not measured", test_round_trip_not_measured},
+	{"time elapsed at the caller is deducted", test_time_elapsed_at_caller},
+	{"round trip is deducted within limits", test_far_callers},
+	{"unusual caller timeouts are ignored", test_other_timeouts},
+	{"round trip is not measured", test_round_trip_not_measured},
 };
 
 UNIT_MAIN("answer_due", tests)
--- a/tests/test_dispatch_forecast.c
+++ b/tests/test_dispatch_forecast.c
@@ -196,15 +196,17 @@
 }
 
 static const struct unit_test tests[] = {
-	{"refused", test_refused},
-	{"switched off", test_switched_off},
-	{"little known", test_incomplete_reports},
-	{"probe", test_probe},
-	{"promised", test_promised},
-	{"left out", test_left_out},
-	{"what was left out is needed", test_left_out_part_needed_later},
-	{"kept back", test_useless_sends_suppressed},
-	{"own sends count", test_own_sends_count},
+	{"request that would be late is refused", test_refused},
+	{"no refusals when switched off", test_switched_off},
+	{"missing or outdated reports", test_incomplete_reports},
+	{"request to idle servers is sent as a probe", test_probe},
+	{"caller returning at the promised time is not refused", test_promised},
+	{"part that would be late is left out", test_left_out},
+	{"left-out part is sent when another fails",
+	 test_left_out_part_needed_later},
+	{"useless hedges and retries are not sent",
+	 test_useless_sends_suppressed},
+	{"own sends add to the expected wait", test_own_sends_count},
 };
 
 UNIT_MAIN("dispatch_forecast", tests)
--- a/tests/test_gateway_settings.c
+++ b/tests/test_gateway_settings.c
@@ -108,10 +108,10 @@
 }
 
 static const struct unit_test tests[] = {
-	{"read", test_read},
-	{"refused", test_refused},
-	{"update", test_update},
-	{"load control", test_load_control},
+	{"valid settings are read", test_read},
+	{"invalid settings are refused", test_refused},
+	{"update keeps names and ports in use", test_update},
+	{"mechanisms of load control", test_load_control},
 };
 
 UNIT_MAIN("gateway_settings", tests)
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -355,14 +355,17 @@
 }
 
 static const struct unit_test tests[] = {
-	{"floor", test_floor},
-	{"floor not taken", test_floor_not_taken},
-	{"short floor not taken", test_short_floor_not_taken},
-	{"no floor", test_no_floor},
-	{"relay tells failures", test_relay_tells_failures},
-	{"cold part comes back", test_cold_part_comes_back},
-	{"a wait is not the server's", test_wait_is_not_the_servers},
-	{"times of a part are bounded", test_times_of_a_part_are_bounded},
+	{"parts without records below the floor are complete", test_floor},
+	{"floor raised by an unused part", test_floor_not_taken},
+	{"floor raised by an unused part with few records",
+	 test_short_floor_not_taken},
+	{"unused part that did not raise the floor", test_no_floor},
+	{"failure rate from a relay is used", test_relay_tells_failures},
+	{"part returned unsent by a cold server", test_cold_part_comes_back},
+	{"wait in a relay's queue is not server latency",
+	 test_wait_is_not_the_servers},
+	{"times reported for a part are bounded",
+	 test_times_of_a_part_are_bounded},
 };
 
 UNIT_MAIN("relay", tests)
